--- a/crates/peerlab/examples/start.rs
+++ b/crates/peerlab/examples/start.rs
@@ -11,13 +11,14 @@
     let began = std::time::Instant::now();
     for second in 1..=40 {
         net.play(f64::from(second) * 1000.0);
-        let knows =
-            |node| net.peers(node).map_or(0, |peers| peers.members().filter(|m| m.state.here()).count());
+        let knows = |node| {
+            net.peers(node).map_or(0, |peers| peers.members().filter(|m| m.state.is_running()).count())
+        };
         let (least, most) = ((0..routers).map(knows).min(), (0..routers).map(knows).max());
         let bytes = net.bytes();
         let (sent, called) = bytes.values().fold((0, 0), |sum, row| (sum.0 + row.0, sum.1 + row.1));
         let failed: u64 = (0..routers).filter_map(|n| net.peers(n)).map(|p| p.counts.failed).sum();
-        let pages = net.peers(0).map_or(0, |p| p.keeping().number());
+        let pages = net.peers(0).map_or(0, |p| p.consensus().number());
         let one = net.one_view();
         println!(
             "{second} s: knows {least:?} to {most:?}, one view {one}, page {pages}, {failed} called failed, \
@@ -35,7 +36,7 @@
         };
         println!(
             "   rumours that wait {}, calls {}, letters {}, probes {}, refuted {}",
-            sum(&|p| p.waiting_rumours() as u64),
+            sum(&|p| p.queued_gossip() as u64),
             sum(&|p| p.counts.calls),
             sum(&|p| p.counts.sent),
             sum(&|p| p.counts.probes),
--- a/crates/peerlab/src/enumerate.rs
+++ b/crates/peerlab/src/enumerate.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use paddleproxy_peers::{About, Action, Event, Life, Peers, Place, Rules};
+use paddleproxy_peers::{Action, Event, Generation, Peers, RouterIndex, RouterInfo, Rules};
 
 use crate::net::address;
 
@@ -64,16 +64,16 @@
     fn start(&mut self, rules: &Rules, node: usize, remembers: bool) {
         self.lives[node] = if remembers { self.lives[node] + 1 } else { 1 };
         self.seed += 1;
-        let about = About {
+        let about = RouterInfo {
             name: format!("router-{node}"),
             address: address(node),
             zone: 0,
             region: "r".into(),
             format: 2,
         };
-        let rules = Rules { own: Place(node as u16), places: ROUTERS, ..rules.clone() };
+        let rules = Rules { own: RouterIndex(node as u16), router_count: ROUTERS, ..rules.clone() };
         let seeds = (0..ROUTERS).map(address).collect();
-        let life = Life(self.lives[node]);
+        let life = Generation(self.lives[node]);
         self.peers[node] = Some(Peers::new(self.now_ms, rules, about, seeds, life, self.seed));
     }
 
@@ -87,10 +87,10 @@
                 Action::Send { to, bytes } => {
                     self.ways.extend(to_node(to).map(|to| Way::Datagram { from: node, to, bytes }));
                 }
-                Action::Call { to, letters } => {
+                Action::Call { to, packets: letters } => {
                     self.ways.extend(to_node(to).map(|to| Way::Call { from: node, to, letters }));
                 }
-                Action::Lived { life } => self.lives[node] = life.0,
+                Action::GenerationRaised { generation: life } => self.lives[node] = life.0,
                 _ => {}
             }
         }
@@ -104,14 +104,14 @@
             Way::Call { from, to, letters } if !self.stopped[to] => {
                 let now_ms = self.now_ms;
                 let Some(peers) = self.peers[to].as_mut() else { return };
-                for action in peers.handle(now_ms, Event::Called { letters: &letters }) {
-                    if let Action::Reply { letters } = action {
+                for action in peers.handle(now_ms, Event::CallReceived { packets: &letters }) {
+                    if let Action::Reply { packets: letters } = action {
                         self.ways.push(Way::Answer { from: to, to: from, letters });
                     }
                 }
             }
             Way::Answer { from, to, letters } if !self.stopped[to] => {
-                self.tell(to, Event::Answered { to: address(from), letters: &letters });
+                self.tell(to, Event::CallAnswered { to: address(from), packets: &letters });
             }
             // Kept by the system until it runs again; here the same as lost.
             _ => {}
--- a/crates/peerlab/src/measure.rs
+++ b/crates/peerlab/src/measure.rs
@@ -1,6 +1,6 @@
 //! How long it takes, what it costs, how often it errs; beside the baselines, in one run.
 
-use paddleproxy_peers::{Place, Rules};
+use paddleproxy_peers::{RouterIndex, Rules};
 use serde::Serialize;
 
 use crate::baselines::{Plain, Play};
@@ -59,14 +59,14 @@
 pub fn rules() -> Rules {
     Rules {
         deployment: "lab".into(),
-        places: 0,
-        own: Place(0),
+        router_count: 0,
+        own: RouterIndex(0),
         probe_ms: 200.0,
         lease_ms: 1500.0,
         floor: 0.5,
         remember_ms: 600_000.0,
-        things: 2,
-        pieces: 4,
+        resources: 2,
+        slow_start_permits: 4,
     }
 }
 
--- a/crates/peerlab/src/net.rs
+++ b/crates/peerlab/src/net.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::{Ipv4Addr, SocketAddr};
 
-use paddleproxy_peers::{About, Action, Event, Life, Peers, Place, Rules, State};
+use paddleproxy_peers::{Action, Event, Generation, Peers, RouterIndex, RouterInfo, Rules, State};
 
 /// What links do to datagrams. Calls over TCP come through late or not at all.
 #[derive(Clone, Debug, PartialEq)]
@@ -91,7 +91,7 @@
     pub at_ms: f64,
     pub at: usize,
     pub of: usize,
-    pub life: Life,
+    pub life: Generation,
     pub to: State,
 }
 
@@ -140,7 +140,7 @@
 impl Net {
     /// So many routers that are all down. Clocks show different times and run up to 2% apart.
     pub fn new(mut rules: Rules, routers: usize, zones: usize, seed: u64) -> Self {
-        rules.places = routers;
+        rules.router_count = routers;
         let mut rng = fastrand::Rng::with_seed(seed);
         let nodes = (0..routers)
             .map(|_| Node {
@@ -152,13 +152,13 @@
                 waiting: Vec::new(),
                 armed_ms: f64::INFINITY,
                 started_ms: 0.0,
-                need: vec![1.0; rules.things],
+                need: vec![1.0; rules.resources],
                 starts: 0,
             })
             .collect();
         Net {
             now_ms: 0.0,
-            worst: vec![0.0; rules.things],
+            worst: vec![0.0; rules.resources],
             rules,
             nodes,
             links: Links::default(),
@@ -193,9 +193,9 @@
     /// Starts a router's process. The first three places are the seeds that all know.
     pub fn start(&mut self, node: usize) {
         let now_ms = self.clock(node);
-        let rules = Rules { own: Place(node as u16), ..self.rules.clone() };
+        let rules = Rules { own: RouterIndex(node as u16), ..self.rules.clone() };
         let zone = (node % self.zones) as u8;
-        let about = About {
+        let about = RouterInfo {
             name: format!("router-{node}"),
             address: address(node),
             zone,
@@ -205,7 +205,7 @@
         let seeds = (0..self.nodes.len().min(3)).map(address).collect();
         let (started_ms, seed) = (self.now_ms, self.rng.u64(..));
         let own = &mut self.nodes[node];
-        let life = Life(own.kept_life.map_or(1, |life| life + 1));
+        let life = Generation(own.kept_life.map_or(1, |life| life + 1));
         own.kept_life = own.kept_life.map(|_| life.0);
         own.peers = Some(Peers::new(now_ms, rules, about, seeds, life, seed));
         (own.stopped, own.armed_ms, own.started_ms) = (false, f64::INFINITY, started_ms);
@@ -353,14 +353,16 @@
     fn hand(&mut self, node: usize, waits: Waits) {
         match waits {
             Waits::Datagram { from, bytes } => self.tell(node, |_| Event::Datagram { from, bytes: &bytes }),
-            Waits::Answered { to, letters } => self.tell(node, |_| Event::Answered { to, letters: &letters }),
+            Waits::Answered { to, letters } => {
+                self.tell(node, |_| Event::CallAnswered { to, packets: &letters })
+            }
             Waits::Failed { to } => self.tell(node, |_| Event::CallFailed { to }),
             Waits::Called { from, letters } => {
                 let clock = self.clock(node);
                 let Some(peers) = self.nodes[node].peers.as_mut() else { return };
-                let mut actions = peers.handle(clock, Event::Called { letters: &letters });
+                let mut actions = peers.handle(clock, Event::CallReceived { packets: &letters });
                 let reply = actions.iter().position(|action| matches!(action, Action::Reply { .. }));
-                if let Some(Action::Reply { letters }) = reply.map(|row| actions.remove(row)) {
+                if let Some(Action::Reply { packets: letters }) = reply.map(|row| actions.remove(row)) {
                     let waits = Waits::Answered { to: address(node), letters };
                     let late_ms = self.delay();
                     if self.cut_calls.contains(&(node, from)) {
@@ -395,7 +397,7 @@
         for action in actions {
             match action {
                 Action::Send { to, bytes } => self.send(node, to, bytes),
-                Action::Call { to, letters } => {
+                Action::Call { to, packets: letters } => {
                     let target = node_of(to).filter(|to| *to < self.nodes.len());
                     let reached = target.filter(|to| {
                         let through =
@@ -412,15 +414,15 @@
                         None => self.push(CALL_MS, What::Arrives { to: node, waits: Waits::Failed { to } }),
                     }
                 }
-                Action::Changed { place, change } => {
+                Action::Changed { router: place, change } => {
                     let (at_ms, of) = (self.now_ms, usize::from(place.0));
-                    self.seen.push(Seen { at_ms, at: node, of, life: change.life, to: change.to });
+                    self.seen.push(Seen { at_ms, at: node, of, life: change.generation, to: change.to });
                 }
-                Action::Lived { life } => {
+                Action::GenerationRaised { generation: life } => {
                     let kept = &mut self.nodes[node].kept_life;
                     *kept = kept.map(|_| life.0);
                 }
-                Action::Reply { .. } | Action::Displaced { .. } | Action::Paged { .. } => {}
+                Action::Reply { .. } | Action::Displaced { .. } | Action::AllocationAdopted { .. } => {}
             }
         }
         self.arm(node);
@@ -461,7 +463,7 @@
 
     /// What all running processes may use together is at most the whole.
     fn look(&mut self) {
-        let mut sums = vec![0.0; self.rules.things];
+        let mut sums = vec![0.0; self.rules.resources];
         for node in 0..self.nodes.len() {
             if self.nodes[node].stopped {
                 continue;
@@ -487,7 +489,7 @@
         let whole = |node: &usize| {
             let Some(peers) = self.peers(*node) else { return false };
             let here: BTreeSet<usize> =
-                peers.members().filter(|m| m.state.here()).map(|m| usize::from(m.place.0)).collect();
+                peers.members().filter(|m| m.state.is_running()).map(|m| usize::from(m.router.0)).collect();
             let wanted: BTreeSet<usize> = up.iter().copied().filter(|other| other != node).collect();
             here == wanted
         };
@@ -501,18 +503,18 @@
         for node in (0..self.nodes.len()).filter(|node| self.running(*node) && !self.nodes[*node].stopped) {
             let Some(peers) = self.peers(node) else { continue };
             for of in (0..self.nodes.len()).filter(|of| *of != node) {
-                let truth = self.peers(of).map(|peers| (peers.life(), peers.incarnation()));
-                let held = peers.members().find(|m| usize::from(m.place.0) == of);
+                let truth = self.peers(of).map(|peers| (peers.generation(), peers.incarnation()));
+                let held = peers.members().find(|m| usize::from(m.router.0) == of);
                 let same = match (truth, held) {
-                    (Some((life, _)), Some(m)) => m.state.here() && m.life == life,
-                    (None, held) => held.is_none_or(|m| !m.state.here()),
+                    (Some((life, _)), Some(m)) => m.state.is_running() && m.generation == life,
+                    (None, held) => held.is_none_or(|m| !m.state.is_running()),
                     (Some(_), None) => false,
                 };
                 if !same {
-                    let held = held.map(|m| (m.state, m.life, m.incarnation));
+                    let held = held.map(|m| (m.state, m.generation, m.incarnation));
                     told.push(format!(
                         "{node} ({:?}) holds {of} as {held:?}, it is {truth:?}",
-                        peers.stand().mind
+                        peers.cluster_report().status
                     ));
                 }
             }
@@ -522,7 +524,8 @@
 
     /// How many running routers hold one for failed or gone.
     pub fn know_down(&self, node: usize) -> usize {
-        let here = |peers: &Peers| peers.members().any(|m| usize::from(m.place.0) == node && !m.state.here());
+        let here =
+            |peers: &Peers| peers.members().any(|m| usize::from(m.router.0) == node && !m.state.is_running());
         (0..self.nodes.len())
             .filter(|n| *n != node)
             .filter_map(|n| self.peers(n))
--- a/crates/peerlab/tests/invariants.rs
+++ b/crates/peerlab/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 use paddleproxy_peerlab::measure::rules;
 use paddleproxy_peerlab::{random, Net};
-use paddleproxy_peers::{Mind, Place, State};
+use paddleproxy_peers::{ClusterStatus, RouterIndex, State};
 
 fn started(routers: usize, seed: u64) -> Net {
     let mut net = Net::new(rules(), routers, 3, seed);
@@ -15,7 +15,9 @@
     let mut net = started(9, 1);
     assert!(net.play_until(5000.0, 20.0, Net::one_view), "no one view in 5 s");
     let shared = |net: &Net| {
-        (0..9).filter_map(|n| net.peers(n)).all(|p| p.keeping().page().is_some_and(|p| p.seats.len() == 9))
+        (0..9)
+            .filter_map(|n| net.peers(n))
+            .all(|p| p.consensus().allocation().is_some_and(|p| p.entries.len() == 9))
     };
     assert!(net.play_until(8000.0, 50.0, shared), "no page that seats all");
     net.play(net.now_ms + 4000.0);
@@ -26,7 +28,7 @@
         net.worst
     );
     for node in 0..9 {
-        assert_eq!(net.peers(node).unwrap().stand().mind, Mind::Whole);
+        assert_eq!(net.peers(node).unwrap().cluster_report().status, ClusterStatus::Majority);
     }
 }
 
@@ -54,8 +56,9 @@
     assert!(net.play_until(5000.0, 20.0, Net::one_view));
     net.leave(4);
     assert!(net.play_until(1000.0, 20.0, |net| net.know_down(4) == 8));
-    let left =
-        |p: &paddleproxy_peers::Peers| p.members().any(|m| m.place == Place(4) && m.state == State::Left);
+    let left = |p: &paddleproxy_peers::Peers| {
+        p.members().any(|m| m.router == RouterIndex(4) && m.state == State::Left)
+    };
     assert!((0..9).filter_map(|n| net.peers(n)).all(left));
     net.kill(5);
     assert!(net.play_until(6000.0, 20.0, |net| net.know_down(5) == 7));
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -3,22 +3,22 @@
 //!
 //! `docs/design/peers.md` tells what was weighed and what each state may do.
 
-pub mod keepers;
+pub mod allocation;
+pub mod consensus;
+pub mod gossip;
 pub mod member;
-pub mod mind;
-pub mod page;
-pub mod rumours;
 pub mod shares;
+pub mod status;
 pub mod view;
-pub mod words;
+pub mod wire;
 
-pub use keepers::Keeping;
-pub use member::{About, Change, Member, State};
-pub use mind::{Mind, Stand};
-pub use page::{Page, Seat};
+pub use allocation::{Allocation, AllocationEntry};
+pub use consensus::Consensus;
+pub use member::{Change, Member, RouterInfo, State};
 pub use shares::{Granted, Needs};
+pub use status::{ClusterReport, ClusterStatus};
 pub use view::{Action, Counts, Event, Peers};
-pub use words::{Life, Place, Wrong};
+pub use wire::{DecodeError, Generation, RouterIndex};
 
 /// What a router is told of its fellows at the start. Times in ms.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,8 +26,8 @@
     /// Name of the deployment; words of another one are dropped.
     pub deployment: String,
     /// Places that are configured, and the own one among them.
-    pub places: usize,
-    pub own: Place,
+    pub router_count: usize,
+    pub own: RouterIndex,
     /// Time between two probes; every other time of detection is a ratio to it.
     pub probe_ms: f64,
     /// How long a share stays valid at its holder without being confirmed anew.
@@ -37,7 +37,7 @@
     /// How long one that failed or left is remembered.
     pub remember_ms: f64,
     /// Things shared out that are split by need.
-    pub things: usize,
+    pub resources: usize,
     /// Pieces of the first thing, the right to send to fresh workers, that may be held at once.
-    pub pieces: usize,
+    pub slow_start_permits: usize,
 }
--- a/crates/peers/src/shares.rs
+++ b/crates/peers/src/shares.rs
@@ -5,8 +5,8 @@
 
 use std::collections::BTreeMap;
 
-use crate::page::{Page, Seat, WHOLE};
-use crate::words::{Life, Place};
+use crate::allocation::{Allocation, AllocationEntry, WHOLE};
+use crate::wire::{Generation, RouterIndex};
 
 /// What one router wants of each thing, in units a second that all routers count alike.
 pub type Needs = Vec<f64>;
@@ -21,77 +21,90 @@
     pub shares: Vec<f64>,
     /// Until when on the own clock that holds without another word; then the floor alone does.
     pub until_ms: f64,
-    pub page: u64,
+    pub allocation: u64,
 }
 
 /// Part of the way to what need asks for that one page goes. Guards against shares that swing with every gust of
 /// traffic. Harm: who suddenly needs more waits for some pages.
-const STEP: f64 = 0.5;
+const STEP_FRACTION: f64 = 0.5;
 /// Need that everyone is held to have, as a part of the mean: nobody is lent nothing.
-const LEAST: f64 = 0.1;
+const MIN_NEED_FRACTION: f64 = 0.1;
 
 /// Splits all things among those seated.
 pub fn split(
     number: u64,
-    roster: &BTreeMap<Place, (Life, Needs)>,
-    before: Option<&Page>,
-    things: usize,
-    pieces: usize,
-) -> Page {
-    let pieces = pieces.min(usize::from(u16::MAX));
-    let mut seats: Vec<Seat> = roster
+    roster: &BTreeMap<RouterIndex, (Generation, Needs)>,
+    before: Option<&Allocation>,
+    resources: usize,
+    slow_start_permits: usize,
+) -> Allocation {
+    let slow_start_permits = slow_start_permits.min(usize::from(u16::MAX));
+    let mut entries: Vec<AllocationEntry> = roster
         .iter()
-        .map(|(place, (life, _))| Seat { place: *place, life: *life, parts: Vec::new() })
+        .map(|(router, (generation, _))| AllocationEntry {
+            router: *router,
+            generation: *generation,
+            parts: Vec::new(),
+        })
         .collect();
-    for thing in 0..things {
-        let need = |seat: &Seat| roster[&seat.place].1.get(thing).copied().unwrap_or(0.0).max(0.0);
-        let old = |seat: &Seat| {
-            let seat = before.and_then(|page| page.seat(seat.place)).filter(|old| old.life == seat.life);
-            seat.and_then(|seat| seat.parts.get(thing)).copied().unwrap_or(0)
+    for resource in 0..resources {
+        let need =
+            |entry: &AllocationEntry| roster[&entry.router].1.get(resource).copied().unwrap_or(0.0).max(0.0);
+        let old = |entry: &AllocationEntry| {
+            let entry = before
+                .and_then(|allocation| allocation.entry(entry.router))
+                .filter(|old| old.generation == entry.generation);
+            entry.and_then(|entry| entry.parts.get(resource)).copied().unwrap_or(0)
         };
-        let parts = match thing {
-            0 => whole_pieces(&seats, pieces, need, old),
-            _ => by_need(&seats, need, old, before.is_some()),
+        let parts = match resource {
+            0 => split_permits(&entries, slow_start_permits, need, old),
+            _ => split_by_need(&entries, need, old, before.is_some()),
         };
-        seats.iter_mut().zip(parts).for_each(|(seat, part)| seat.parts.push(part));
+        entries.iter_mut().zip(parts).for_each(|(entry, part)| entry.parts.push(part));
     }
-    Page { number, pieces: pieces as u16, seats, extra: Vec::new() }
+    Allocation { number, slow_start_permits: slow_start_permits as u16, entries, extra: Vec::new() }
 }
 
 /// Evenly as far as it goes; the rest to those who hold one already, then to those who need most.
-fn whole_pieces(
-    seats: &[Seat],
-    pieces: usize,
-    need: impl Fn(&Seat) -> f64,
-    old: impl Fn(&Seat) -> u16,
+fn split_permits(
+    entries: &[AllocationEntry],
+    slow_start_permits: usize,
+    need: impl Fn(&AllocationEntry) -> f64,
+    old: impl Fn(&AllocationEntry) -> u16,
 ) -> Vec<u16> {
-    let all = seats.len().max(1);
-    let (each, rest) = (pieces / all, pieces % all);
-    let mut order: Vec<usize> = (0..seats.len()).collect();
-    let holds = |row: &usize| usize::from(old(&seats[*row])) > each;
+    let all = entries.len().max(1);
+    let (each, rest) = (slow_start_permits / all, slow_start_permits % all);
+    let mut order: Vec<usize> = (0..entries.len()).collect();
+    let holds = |row: &usize| usize::from(old(&entries[*row])) > each;
     order.sort_by(|a, b| {
-        let by_need = need(&seats[*b]).total_cmp(&need(&seats[*a]));
+        let by_need = need(&entries[*b]).total_cmp(&need(&entries[*a]));
         holds(b).cmp(&holds(a)).then(by_need).then(a.cmp(b))
     });
-    let mut parts = vec![each as u16; seats.len()];
+    let mut parts = vec![each as u16; entries.len()];
     order.iter().take(rest).for_each(|row| parts[*row] += 1);
     parts
 }
 
-fn by_need(seats: &[Seat], need: impl Fn(&Seat) -> f64, old: impl Fn(&Seat) -> u16, moves: bool) -> Vec<u16> {
-    let mean = seats.iter().map(&need).sum::<f64>() / seats.len().max(1) as f64;
-    let wants: Vec<f64> = seats.iter().map(|seat| need(seat).max(LEAST * mean).max(1e-9)).collect();
-    let sum: f64 = wants.iter().sum();
-    let held: f64 = seats.iter().map(|seat| f64::from(old(seat))).sum();
+fn split_by_need(
+    entries: &[AllocationEntry],
+    need: impl Fn(&AllocationEntry) -> f64,
+    old: impl Fn(&AllocationEntry) -> u16,
+    has_previous: bool,
+) -> Vec<u16> {
+    let mean = entries.iter().map(&need).sum::<f64>() / entries.len().max(1) as f64;
+    let wanted_needs: Vec<f64> =
+        entries.iter().map(|entry| need(entry).max(MIN_NEED_FRACTION * mean).max(1e-9)).collect();
+    let sum: f64 = wanted_needs.iter().sum();
+    let held: f64 = entries.iter().map(|entry| f64::from(old(entry))).sum();
     let whole = f64::from(WHOLE);
-    let mut parts: Vec<f64> = seats
+    let mut parts: Vec<f64> = entries
         .iter()
-        .zip(wants)
-        .map(|(seat, want)| {
+        .zip(wanted_needs)
+        .map(|(entry, want)| {
             let target = whole * want / sum;
-            let from = f64::from(old(seat));
-            if moves {
-                from + STEP * (target - from)
+            let from = f64::from(old(entry));
+            if has_previous {
+                from + STEP_FRACTION * (target - from)
             } else {
                 target
             }
@@ -107,17 +120,16 @@
 
 /// Whether another page is worth its while: somebody came, went or started anew, or a share is off by an eighth of
 /// an even one and more, or what it carries for others is another.
-pub fn differs(now: &Page, wanted: &Page) -> bool {
-    let same = now.seats.len() == wanted.seats.len()
-        && now.pieces == wanted.pieces
-        && now
-            .seats
-            .iter()
-            .zip(&wanted.seats)
-            .all(|(a, b)| (a.place, a.life, a.parts.len()) == (b.place, b.life, b.parts.len()));
-    let slack = f64::from(WHOLE) / now.seats.len().max(1) as f64 / 8.0;
-    let off = |(a, b): (&Seat, &Seat)| {
-        a.parts.iter().zip(&b.parts).skip(1).any(|(a, b)| (f64::from(*a) - f64::from(*b)).abs() > slack)
+pub fn is_worth_proposing(now: &Allocation, wanted: &Allocation) -> bool {
+    let same =
+        now.entries.len() == wanted.entries.len()
+            && now.slow_start_permits == wanted.slow_start_permits
+            && now.entries.iter().zip(&wanted.entries).all(|(a, b)| {
+                (a.router, a.generation, a.parts.len()) == (b.router, b.generation, b.parts.len())
+            });
+    let tolerance = f64::from(WHOLE) / now.entries.len().max(1) as f64 / 8.0;
+    let off = |(a, b): (&AllocationEntry, &AllocationEntry)| {
+        a.parts.iter().zip(&b.parts).skip(1).any(|(a, b)| (f64::from(*a) - f64::from(*b)).abs() > tolerance)
     };
-    !same || now.extra != wanted.extra || now.seats.iter().zip(&wanted.seats).any(off)
+    !same || now.extra != wanted.extra || now.entries.iter().zip(&wanted.entries).any(off)
 }
--- /dev/null
+++ b/crates/peers/src/view/exchange.rs
@@ -0,0 +1,157 @@
+//! Whole views and pages over TCP; joining and leaving.
+
+use super::*;
+
+impl Peers {
+    pub(super) fn exchange(&mut self, to: SocketAddr) {
+        if self.free_to_call() {
+            self.calling = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
+            let packets = self.full_view(true);
+            self.call(to, packets);
+        }
+    }
+
+    pub(super) fn free_to_call(&self) -> bool {
+        self.calling.is_none_or(|(_, until)| self.now_ms >= until)
+    }
+
+    pub(super) fn fetch_allocation(&mut self, to: SocketAddr) {
+        if self.free_to_call() {
+            self.calling = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
+            let above = self.consensus.number();
+            let packets = vec![self.packet(vec![Message::FetchAllocation { above }])];
+            self.call(to, packets);
+        }
+    }
+
+    pub(super) fn call(&mut self, to: SocketAddr, packets: Vec<Vec<u8>>) {
+        self.counts.calls += 1;
+        self.counts.call_bytes += packets.iter().map(|packet| packet.len() as u64).sum::<u64>();
+        self.actions.push(Action::Call { to, packets });
+    }
+
+    /// All that is known, in pages.
+    pub(super) fn full_view(&mut self, asks: bool) -> Vec<Vec<u8>> {
+        let mut messages: Vec<Message> = Vec::new();
+        messages.extend(asks.then_some(Message::Exchange));
+        if self.joined || !asks {
+            self.announced = true;
+            messages.push(Message::Update(self.own_update(State::Alive, true)));
+        }
+        messages.extend(self.members.values().map(|m| Message::Update(m.update(self.rules.own, true))));
+        messages.extend(self.members.values().filter_map(|m| m.row.clone()).map(Message::Row));
+        messages
+            .extend(self.consensus.allocation().cloned().map(|allocation| Message::Chosen { allocation }));
+        let (mut packets, mut some, mut room) =
+            (Vec::new(), Vec::new(), MAX_EXCHANGE_PACKET_BYTES - PACKET_HEADER_BYTES);
+        for message in messages {
+            let size = size(&message);
+            if size > room && !some.is_empty() {
+                packets.push(self.packet(std::mem::take(&mut some)));
+                room = MAX_EXCHANGE_PACKET_BYTES - PACKET_HEADER_BYTES;
+            }
+            room = room.saturating_sub(size);
+            some.push(message);
+        }
+        packets.push(self.packet(some));
+        packets
+    }
+
+    pub(super) fn handle_call(&mut self, packets: &[Vec<u8>]) {
+        let mut reply = Vec::new();
+        let mut whole = false;
+        for bytes in packets.iter().take(MAX_EXCHANGE_PACKETS) {
+            self.counts.received_bytes += bytes.len() as u64;
+            let Some(packet) = self.read(bytes, MAX_EXCHANGE_PACKET_BYTES * 4) else { continue };
+            for message in &packet.messages {
+                match message {
+                    Message::FetchAllocation { above } => {
+                        let allocation = self
+                            .consensus
+                            .allocation()
+                            .filter(|allocation| allocation.number > *above)
+                            .cloned();
+                        reply.extend(
+                            allocation.map(|allocation| self.packet(vec![Message::Chosen { allocation }])),
+                        );
+                    }
+                    Message::Propose { allocation } => {
+                        let message = self.vote_on(allocation);
+                        reply.push(self.packet(vec![message]));
+                    }
+                    Message::Exchange => whole = true,
+                    _ => {}
+                }
+            }
+            self.apply_exchange_packet(packet);
+        }
+        if whole {
+            reply.extend(self.full_view(false));
+        }
+        self.counts.call_bytes += reply.iter().map(|packet| packet.len() as u64).sum::<u64>();
+        self.actions.push(Action::Reply { packets: reply });
+    }
+
+    pub(super) fn handle_call_answer(&mut self, packets: &[Vec<u8>]) {
+        let mut viewed = false;
+        for bytes in packets.iter().take(MAX_EXCHANGE_PACKETS) {
+            self.counts.received_bytes += bytes.len() as u64;
+            let Some(packet) = self.read(bytes, MAX_EXCHANGE_PACKET_BYTES * 4) else { continue };
+            viewed |= packet.messages.iter().any(|message| matches!(message, Message::Update(_)));
+            self.apply_exchange_packet(packet);
+        }
+        if viewed && !self.joined {
+            self.join();
+        }
+    }
+
+    pub(super) fn apply_exchange_packet(&mut self, packet: Packet) {
+        if packet.from == self.rules.own {
+            return;
+        }
+        for message in packet.messages.clone() {
+            match message {
+                Message::Update(update) => self.apply_update(&update),
+                Message::Row(row) => self.apply_row(row),
+                Message::Chosen { allocation } => self.adopt(allocation),
+                Message::Vote { number, accepted, accepted_number } => {
+                    self.handle_vote(packet.from, number, accepted, accepted_number)
+                }
+                _ => {}
+            }
+        }
+        self.observe_sender(&packet);
+    }
+
+    pub(super) fn join(&mut self) {
+        self.joined = true;
+        self.seed_ms = self.now_ms + self.rules.probe_ms * CONTACT_SEED_EVERY_PROBES * self.rng.f64();
+        let message = Message::Update(self.own_update(State::Alive, true));
+        self.gossip.add(message.clone());
+        // A few hear it at once, so that the word does not hang on one.
+        let mut peers: Vec<_> =
+            self.members.values().filter(|m| m.state.is_running()).map(|m| m.info.address).collect();
+        self.rng.shuffle(&mut peers);
+        for to in peers.into_iter().take(INDIRECT_PROBE_HELPERS) {
+            let seq = self.next_sequence();
+            self.send(to, vec![Message::Ping { seq, silent_to_sender: false }, message.clone()], false);
+        }
+    }
+
+    pub(super) fn leave(&mut self) {
+        self.leaving = true;
+        let message = Message::Update(self.own_update(State::Left, true));
+        let mut peers: Vec<_> =
+            self.members.values().filter(|m| m.state.is_running()).map(|m| m.info.address).collect();
+        self.rng.shuffle(&mut peers);
+        for to in peers.into_iter().take(4 * INDIRECT_PROBE_HELPERS) {
+            self.send(to, vec![message.clone()], false);
+        }
+    }
+
+    pub(super) fn queue_row(&mut self, bytes: Vec<u8>) {
+        self.row_version += 1;
+        let (router, generation, version) = (self.rules.own, self.generation, self.row_version);
+        self.gossip.add(Message::Row(Row { router, generation, version, bytes }));
+    }
+}
--- a/crates/peers/src/view/mod.rs
+++ b/crates/peers/src/view/mod.rs
@@ -1,49 +1,50 @@
 //! The machine: probes its fellows, passes words on, keeps the view, and says what may be used.
 
-mod calling;
-mod hearing;
-mod probing;
-mod saying;
-mod sharing;
+mod allocate;
+mod exchange;
+mod probe;
+mod receive;
+mod send;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::keepers::{keepers, Keeping};
-use crate::member::{About, Change, Doubt, Member, State};
-use crate::mind::{mind, Mind, Stand};
-use crate::page::{Page, WHOLE};
-use crate::rumours::Rumours;
-use crate::shares::{differs, split, Granted, Needs};
-use crate::words::{
-    decode, deployment, encode, size, Letter, Life, Place, Row, Rumour, Word, Wrong, DATAGRAM, PAGE,
+use crate::allocation::{Allocation, WHOLE};
+use crate::consensus::{voters, Consensus};
+use crate::gossip::GossipQueue;
+use crate::member::{Change, Member, RouterInfo, State, Suspicion};
+use crate::shares::{is_worth_proposing, split, Granted, Needs};
+use crate::status::{cluster_status, ClusterReport, ClusterStatus};
+use crate::wire::{
+    decode, deployment, encode, size, DecodeError, Generation, Message, Packet, RouterIndex, Row,
+    StateUpdate, MAX_DATAGRAM_BYTES, MAX_EXCHANGE_PACKET_BYTES,
 };
 use crate::Rules;
 
 /// Of the time between two probes: when fellows are asked to probe too.
-const INDIRECT: f64 = 0.4;
+const INDIRECT_PROBE_AFTER: f64 = 0.4;
 /// Fellows asked for that, and witnesses who shorten a suspicion to its least.
-const HELPERS: usize = 3;
-const WITNESSES: f64 = 3.0;
+const INDIRECT_PROBE_HELPERS: usize = 3;
+const MAX_WITNESSES: f64 = 3.0;
 /// Least time of a suspicion in probes, for each tenfold of routers; the most is so many times that.
-const DOUBT: f64 = 2.0;
-const DOUBT_MOST: f64 = 6.0;
+const SUSPICION_MIN_PROBES: f64 = 2.0;
+const SUSPICION_MAX_FACTOR: f64 = 6.0;
 /// How far a router that misses its own deadlines stretches its probes.
-const HEALTH_MAX: u32 = 8;
+const MAX_HEALTH_SCORE: u32 = 8;
 /// Probes between two asks of one that failed, between two looks at a seed, and between two comparisons of views.
-const ASK_FAILED: f64 = 4.0;
-const ASK_SEED: f64 = 50.0;
-const COMPARE: f64 = 25.0;
+const PROBE_FAILED_EVERY_PROBES: f64 = 4.0;
+const CONTACT_SEED_EVERY_PROBES: f64 = 50.0;
+const COMPARE_VIEWS_EVERY_PROBES: f64 = 25.0;
 /// Probes after which a change of the view has gone round, and a digest that differs is worth an exchange.
-const SETTLES: f64 = 5.0;
+const VIEW_SETTLE_PROBES: f64 = 5.0;
 /// Direct probes in a row without an answer after which a fellow that others hear is called unheard.
-const UNHEARD: u32 = 2;
+const NOT_HEARING_AFTER_PROBES: u32 = 2;
 /// Room that a letter's own fields need, in bytes.
-const LETTER: usize = 48;
+const PACKET_HEADER_BYTES: usize = 48;
 /// Leases between two pages at least.
-const PAGES: f64 = 1.5;
+const MIN_PROPOSAL_LEASES: f64 = 1.5;
 /// Letters of one exchange at most.
-const LETTERS_MAX: usize = 256;
+const MAX_EXCHANGE_PACKETS: usize = 256;
 
 /// What the machine is told.
 #[derive(Debug)]
@@ -53,13 +54,13 @@
         bytes: &'a [u8],
     },
     /// Somebody called over TCP with these letters; answered by [`Action::Reply`].
-    Called {
-        letters: &'a [Vec<u8>],
+    CallReceived {
+        packets: &'a [Vec<u8>],
     },
     /// What the one that was called said.
-    Answered {
+    CallAnswered {
         to: SocketAddr,
-        letters: &'a [Vec<u8>],
+        packets: &'a [Vec<u8>],
     },
     CallFailed {
         to: SocketAddr,
@@ -70,13 +71,13 @@
     Need(Needs),
     /// What the own row carries for others beside its needs, and what the page after that number is to carry if this
     /// router puts it to the keepers.
-    Carry {
+    SetExtra {
         row: Vec<u8>,
-        page: Vec<u8>,
+        allocation: Vec<u8>,
         after: u64,
     },
     /// Settings count other places now.
-    Places(usize),
+    RouterCount(usize),
     Leave,
 }
 
@@ -89,26 +90,26 @@
     /// Letters over TCP; what comes back is told by [`Event::Answered`].
     Call {
         to: SocketAddr,
-        letters: Vec<Vec<u8>>,
+        packets: Vec<Vec<u8>>,
     },
     Reply {
-        letters: Vec<Vec<u8>>,
+        packets: Vec<Vec<u8>>,
     },
     /// A member's state changed.
     Changed {
-        place: Place,
+        router: RouterIndex,
         change: Change,
     },
     /// The own life was raised above what fellows remember.
-    Lived {
-        life: Life,
+    GenerationRaised {
+        generation: Generation,
     },
     /// Another process holds this place.
     Displaced {
         by: SocketAddr,
     },
     /// Another page is gone by.
-    Paged {
+    AllocationAdopted {
         number: u64,
     },
 }
@@ -118,8 +119,8 @@
 pub struct Counts {
     pub sent: u64,
     pub sent_bytes: u64,
-    pub heard: u64,
-    pub heard_bytes: u64,
+    pub received: u64,
+    pub received_bytes: u64,
     pub calls: u64,
     pub call_bytes: u64,
     pub probes: u64,
@@ -128,29 +129,29 @@
     pub failed: u64,
     pub refuted: u64,
     pub late_ticks: u64,
-    pub wrong: BTreeMap<Wrong, u64>,
+    pub rejected: BTreeMap<DecodeError, u64>,
 }
 
 /// A probe that is out.
 #[derive(Clone, Debug)]
 struct Probe {
-    target: Place,
+    target: RouterIndex,
     seq: u32,
-    ask_ms: f64,
+    indirect_ms: f64,
     end_ms: f64,
     asked: bool,
     direct: bool,
     answered: bool,
     /// Helpers that said that the target did not answer them either.
-    nays: usize,
+    failures: usize,
 }
 
 /// A probe made for a fellow.
 #[derive(Clone, Debug)]
-struct Errand {
-    for_place: Place,
-    for_seq: u32,
-    target: Place,
+struct RelayedProbe {
+    requester: RouterIndex,
+    requester_seq: u32,
+    target: RouterIndex,
     end_ms: f64,
 }
 
@@ -158,36 +159,36 @@
 #[derive(Clone)]
 pub struct Peers {
     pub(crate) rules: Rules,
-    about: About,
+    info: RouterInfo,
     seeds: Vec<SocketAddr>,
     rng: fastrand::Rng,
     deployment: u32,
     now_ms: f64,
-    life: Life,
+    generation: Generation,
     incarnation: u32,
     joined: bool,
     /// Somebody was told that this life runs.
-    told_of: bool,
+    announced: bool,
     displaced: bool,
     leaving: bool,
-    members: BTreeMap<Place, Member>,
-    order: Vec<Place>,
-    silent: BTreeMap<Place, u32>,
+    members: BTreeMap<RouterIndex, Member>,
+    order: Vec<RouterIndex>,
+    silent: BTreeMap<RouterIndex, u32>,
     probe: Option<Probe>,
-    errands: BTreeMap<u32, Errand>,
+    relayed_probes: BTreeMap<u32, RelayedProbe>,
     next_seq: u32,
     health: u32,
-    rumours: Rumours,
-    keeping: Keeping,
+    gossip: GossipQueue,
+    consensus: Consensus,
     needs: Needs,
     /// Bytes that the own row carries, and those for the page after that one.
     row_extra: Vec<u8>,
-    page_extra: (u64, Vec<u8>),
+    allocation_extra: (u64, Vec<u8>),
     row_version: u32,
     proposed_ms: f64,
     calling: Option<(SocketAddr, f64)>,
     /// A process elsewhere that was said to hold this place, and until when it may answer.
-    rival: Option<(SocketAddr, Life, f64)>,
+    rival: Option<(SocketAddr, Generation, f64)>,
     probe_ms: f64,
     failed_ms: f64,
     seed_ms: f64,
@@ -205,45 +206,45 @@
     pub fn new(
         now_ms: f64,
         rules: Rules,
-        about: About,
+        info: RouterInfo,
         seeds: Vec<SocketAddr>,
-        life: Life,
+        generation: Generation,
         seed: u64,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let spread = |rng: &mut fastrand::Rng, probes: f64| now_ms + rules.probe_ms * probes * rng.f64();
-        let keeping = Keeping::new(now_ms, rules.own, rules.places, rules.lease_ms);
+        let consensus = Consensus::new(now_ms, rules.own, rules.router_count, rules.lease_ms);
         Peers {
             deployment: deployment(&rules.deployment),
-            about,
+            info,
             seeds,
             now_ms,
-            life: life.max(Life(1)),
+            generation: generation.max(Generation(1)),
             incarnation: 0,
             joined: false,
-            told_of: false,
+            announced: false,
             displaced: false,
             leaving: false,
             members: BTreeMap::new(),
             order: Vec::new(),
             silent: BTreeMap::new(),
             probe: None,
-            errands: BTreeMap::new(),
+            relayed_probes: BTreeMap::new(),
             next_seq: 0,
             health: 0,
-            rumours: Rumours::default(),
-            keeping,
+            gossip: GossipQueue::default(),
+            consensus,
             needs: Vec::new(),
             row_extra: Vec::new(),
-            page_extra: (0, Vec::new()),
+            allocation_extra: (0, Vec::new()),
             row_version: 0,
             proposed_ms: f64::NEG_INFINITY,
             calling: None,
             rival: None,
             probe_ms: spread(&mut rng, 1.0),
-            failed_ms: spread(&mut rng, ASK_FAILED),
+            failed_ms: spread(&mut rng, PROBE_FAILED_EVERY_PROBES),
             seed_ms: now_ms,
-            compare_ms: spread(&mut rng, COMPARE),
+            compare_ms: spread(&mut rng, COMPARE_VIEWS_EVERY_PROBES),
             counts: Counts::default(),
             actions: Vec::new(),
             known_digest: std::cell::Cell::new(None),
@@ -261,25 +262,25 @@
         }
         match event {
             Event::Datagram { from, bytes } => {
-                self.counts.heard += 1;
-                self.counts.heard_bytes += bytes.len() as u64;
-                if let Some(letter) = self.read(bytes, DATAGRAM) {
-                    self.datagram(from, letter);
+                self.counts.received += 1;
+                self.counts.received_bytes += bytes.len() as u64;
+                if let Some(packet) = self.read(bytes, MAX_DATAGRAM_BYTES) {
+                    self.datagram(from, packet);
                 }
             }
-            Event::Called { letters } => self.called(letters),
-            Event::Answered { to, letters } => {
+            Event::CallReceived { packets } => self.handle_call(packets),
+            Event::CallAnswered { to, packets } => {
                 self.calling = self.calling.filter(|(at, _)| *at != to);
-                self.answered(letters);
+                self.handle_call_answer(packets);
             }
             Event::CallFailed { to } => self.calling = self.calling.filter(|(at, _)| *at != to),
             Event::Tick => self.tick(),
-            Event::Need(needs) => self.need(needs),
-            Event::Carry { row, page, after } => self.carry(row, page, after),
-            Event::Places(places) => {
-                if places != self.rules.places && places > usize::from(self.rules.own.0) {
-                    self.rules.places = places;
-                    self.keeping.resettle(self.now_ms, places);
+            Event::Need(needs) => self.update_needs(needs),
+            Event::SetExtra { row, allocation, after } => self.set_extra(row, allocation, after),
+            Event::RouterCount(router_count) => {
+                if router_count != self.rules.router_count && router_count > usize::from(self.rules.own.0) {
+                    self.rules.router_count = router_count;
+                    self.consensus.reconfigure(self.now_ms, router_count);
                 }
             }
             Event::Leave => self.leave(),
@@ -294,22 +295,25 @@
         }
         let mut times = vec![self.probe_ms, self.seed_ms, self.compare_ms, self.failed_ms];
         times.extend(
-            self.probe.as_ref().filter(|probe| !probe.asked && !probe.answered).map(|probe| probe.ask_ms),
+            self.probe
+                .as_ref()
+                .filter(|probe| !probe.asked && !probe.answered)
+                .map(|probe| probe.indirect_ms),
         );
-        let doubted = || self.members.values().filter(|member| member.doubt.is_some());
+        let doubted = || self.members.values().filter(|member| member.suspicion.is_some());
         if doubted().next().is_some() {
-            let here = self.here();
-            times.extend(doubted().filter_map(|member| self.doubt_ends_ms(member, here)));
+            let running = self.running_routers();
+            times.extend(doubted().filter_map(|member| self.suspicion_ends_ms(member, running)));
         }
         times.extend(self.rival.map(|(_, _, until)| until));
-        if self.joined && self.keeping.page().is_some() {
-            times.push(self.keeping.renew_ms);
+        if self.joined && self.consensus.allocation().is_some() {
+            times.push(self.consensus.renew_ms);
         }
-        times.extend(self.keeping.turns_ms(self.now_ms));
+        times.extend(self.consensus.next_change_ms(self.now_ms));
         times.into_iter().fold(f64::INFINITY, f64::min)
     }
 }
 
-fn member_address(members: &BTreeMap<Place, Member>, place: Place) -> Option<SocketAddr> {
-    members.get(&place).filter(|member| member.state.here()).map(|member| member.about.address)
+fn member_address(members: &BTreeMap<RouterIndex, Member>, router: RouterIndex) -> Option<SocketAddr> {
+    members.get(&router).filter(|member| member.state.is_running()).map(|member| member.info.address)
 }
--- /dev/null
+++ b/crates/peers/src/view/probe.rs
@@ -0,0 +1,254 @@
+//! What is due: probes, suspicions that run out, those thought gone, comparisons of views.
+
+use super::*;
+
+impl Peers {
+    pub(super) fn tick(&mut self) {
+        let late_ms = self.now_ms - self.next_ms();
+        if late_ms > self.rules.probe_ms {
+            self.handle_late_tick(late_ms);
+        }
+        if self.leaving {
+            return;
+        }
+        let now_ms = self.now_ms;
+        if let Some((_, generation, _)) = self.rival.filter(|(_, _, until)| now_ms >= *until) {
+            self.rival = None;
+            self.raise_generation(generation);
+        }
+        if now_ms >= self.seed_ms {
+            self.contact_seed();
+        }
+        if self.probe.as_ref().is_some_and(|p| !p.asked && !p.answered && now_ms >= p.indirect_ms) {
+            self.request_indirect_probes();
+        }
+        if now_ms >= self.probe_ms {
+            self.next_probe();
+        }
+        let running = self.running_routers();
+        let ends = |m: &&Member| self.suspicion_ends_ms(m, running).is_some_and(|at| now_ms >= at);
+        let expired: Vec<_> = self.members.values().filter(ends).collect();
+        let expired: Vec<_> = expired
+            .into_iter()
+            .map(|m| StateUpdate { state: State::Failed, ..m.update(self.rules.own, false) })
+            .collect();
+        expired.iter().for_each(|update| self.apply_update(update));
+        if now_ms >= self.failed_ms {
+            self.probe_failed();
+        }
+        if now_ms >= self.compare_ms {
+            self.compare_views();
+        }
+        if self.joined && self.consensus.allocation().is_some() && now_ms >= self.consensus.renew_ms {
+            self.renew_lease();
+        }
+    }
+
+    /// This router did not run when it should have: what it thinks that others missed, it may have missed itself.
+    pub(super) fn handle_late_tick(&mut self, late_ms: f64) {
+        self.counts.late_ticks += 1;
+        let steps = (late_ms / self.rules.probe_ms).min(f64::from(MAX_HEALTH_SCORE)) as u32;
+        self.health = (self.health + steps.max(1)).min(MAX_HEALTH_SCORE);
+        self.probe = None;
+        self.relayed_probes.clear();
+        for suspicion in self.members.values_mut().filter_map(|member| member.suspicion.as_mut()) {
+            suspicion.since_ms += late_ms;
+        }
+    }
+
+    pub(super) fn probe_interval_ms(&self) -> f64 {
+        self.rules.probe_ms * (1.0 + f64::from(self.health) / 2.0)
+    }
+
+    pub(super) fn suspicion_ends_ms(&self, member: &Member, running: usize) -> Option<f64> {
+        let suspicion = member.suspicion.as_ref()?;
+        let least = SUSPICION_MIN_PROBES * self.rules.probe_ms * (running as f64).log10().max(1.0);
+        let others = (suspicion.reporters.len() as f64 - 1.0).clamp(0.0, MAX_WITNESSES);
+        // Who misses its own deadlines gives others more time before it blames them.
+        let most = SUSPICION_MAX_FACTOR * least * (1.0 + f64::from(self.health) / 2.0);
+        let share = (1.0 + others).ln() / (1.0 + MAX_WITNESSES).ln();
+        // Where too few others are there to confirm, the least time is as good as all their words.
+        let few = (running as f64) < MAX_WITNESSES + 2.0;
+        let lasts = if few { (least + most) / 2.0 } else { most - (most - least) * share };
+        Some(suspicion.since_ms + lasts)
+    }
+
+    pub(super) fn running_routers(&self) -> usize {
+        1 + self.members.values().filter(|member| member.state.is_running()).count()
+    }
+
+    pub(super) fn next_sequence(&mut self) -> u32 {
+        self.next_seq = self.next_seq.wrapping_add(1);
+        self.next_seq
+    }
+
+    pub(super) fn next_probe(&mut self) {
+        self.end_probe();
+        let end_ms = self.now_ms + self.probe_interval_ms();
+        self.probe_ms = end_ms;
+        if !self.joined {
+            return;
+        }
+        let target = loop {
+            match self.order.pop() {
+                Some(router) if self.members.get(&router).is_some_and(|member| member.state.is_running()) => {
+                    break Some(router)
+                }
+                Some(_) => {}
+                None => {
+                    self.order =
+                        self.members.values().filter(|m| m.state.is_running()).map(|m| m.router).collect();
+                    self.rng.shuffle(&mut self.order);
+                    if self.order.is_empty() {
+                        break None;
+                    }
+                }
+            }
+        };
+        let Some(target) = target else { return };
+        let Some(address) = self.members.get(&target).map(|member| member.info.address) else { return };
+        let seq = self.next_sequence();
+        let indirect_ms = self.now_ms + INDIRECT_PROBE_AFTER * (end_ms - self.now_ms);
+        self.probe = Some(Probe {
+            target,
+            seq,
+            indirect_ms,
+            end_ms,
+            asked: false,
+            direct: false,
+            answered: false,
+            failures: 0,
+        });
+        self.counts.probes += 1;
+        let mut messages = vec![Message::Ping { seq, silent_to_sender: self.not_hearing(target) }];
+        let suspect = self.members.get(&target).filter(|member| member.state == State::Suspect);
+        messages.extend(suspect.map(|member| Message::Update(member.update(self.rules.own, false))));
+        self.send(address, messages, true);
+    }
+
+    pub(super) fn not_hearing(&self, target: RouterIndex) -> bool {
+        self.silent.get(&target).is_some_and(|times| *times >= NOT_HEARING_AFTER_PROBES)
+    }
+
+    pub(super) fn request_indirect_probes(&mut self) {
+        let Some((target, seq)) = self.probe.as_mut().map(|probe| {
+            probe.asked = true;
+            (probe.target, probe.seq)
+        }) else {
+            return;
+        };
+        let able = |m: &&Member| m.state == State::Alive && m.router != target;
+        let mut helpers: Vec<_> = self.members.values().filter(able).map(|m| m.info.address).collect();
+        self.rng.shuffle(&mut helpers);
+        for to in helpers.into_iter().take(INDIRECT_PROBE_HELPERS) {
+            self.send(to, vec![Message::PingRequest { seq, target }], false);
+        }
+    }
+
+    pub(super) fn end_probe(&mut self) {
+        let now_ms = self.now_ms;
+        let expired: Vec<_> =
+            self.relayed_probes.iter().filter(|(_, e)| now_ms >= e.end_ms).map(|(seq, _)| *seq).collect();
+        for relayed in
+            expired.into_iter().filter_map(|seq| self.relayed_probes.remove(&seq)).collect::<Vec<_>>()
+        {
+            let message =
+                Message::PingResult { seq: relayed.requester_seq, target: relayed.target, heard: false };
+            if let Some(to) = self.members.get(&relayed.requester).map(|member| member.info.address) {
+                self.send(to, vec![message], false);
+            }
+        }
+        let early = self.probe.as_ref().is_some_and(|probe| !probe.answered && now_ms < probe.end_ms);
+        let Some(probe) = self.probe.take() else { return };
+        if probe.direct {
+            self.health = self.health.saturating_sub(1);
+            return;
+        }
+        // One that was cut short by a more urgent one proves nothing.
+        if early {
+            return;
+        }
+        let times = self.silent.entry(probe.target).or_default();
+        *times = times.saturating_add(1);
+        if probe.answered {
+            return;
+        }
+        self.counts.unanswered += 1;
+        if probe.asked && probe.failures == 0 && self.running_routers() > 2 {
+            // Not even the helpers were heard: the fault may be ours.
+            self.health = (self.health + 1).min(MAX_HEALTH_SCORE);
+        }
+        let Some(member) = self.members.get(&probe.target).filter(|member| member.state.is_running()) else {
+            return;
+        };
+        let update = StateUpdate { state: State::Suspect, ..member.update(self.rules.own, false) };
+        self.apply_update(&update);
+        // It hears so itself, and may answer.
+        let (to, message) = (member_address(&self.members, probe.target), Message::Update(update));
+        if let Some(to) = to {
+            self.send(to, vec![message], false);
+        }
+    }
+
+    pub(super) fn contact_seed(&mut self) {
+        let wait = if self.joined { CONTACT_SEED_EVERY_PROBES } else { 1.0 + self.rng.f64() };
+        self.seed_ms = self.now_ms + self.rules.probe_ms * wait;
+        let known =
+            |at: &SocketAddr| self.members.values().any(|m| m.state.is_running() && m.info.address == *at);
+        let strange: Vec<_> =
+            self.seeds.iter().copied().filter(|at| *at != self.info.address && !known(at)).collect();
+        if strange.is_empty() {
+            if !self.joined && self.rules.router_count == 1 {
+                self.join();
+            }
+            return;
+        }
+        let to = strange[self.rng.usize(..strange.len())];
+        let seq = self.next_sequence();
+        let message =
+            if self.joined { Message::Ping { seq, silent_to_sender: false } } else { Message::Join { seq } };
+        self.send(to, vec![message], false);
+    }
+
+    /// Asks one that is thought gone whether it is: a cut that has healed is found by both its sides.
+    pub(super) fn probe_failed(&mut self) {
+        self.failed_ms =
+            self.now_ms + self.rules.probe_ms * PROBE_FAILED_EVERY_PROBES * (0.5 + self.rng.f64());
+        let oldest_ms = self.now_ms - self.rules.remember_ms;
+        let before = self.members.len();
+        self.members.retain(|_, m| m.state.is_running() || m.since_ms >= oldest_ms);
+        if self.members.len() != before {
+            self.view_changed();
+        }
+        let failed: Vec<_> = self.members.values().filter(|m| m.state == State::Failed).collect();
+        if failed.is_empty() || !self.joined {
+            return;
+        }
+        let member = failed[self.rng.usize(..failed.len())];
+        let (to, message) = (member.info.address, Message::Update(member.update(self.rules.own, true)));
+        let seq = self.next_sequence();
+        self.send(to, vec![Message::Ping { seq, silent_to_sender: false }, message], false);
+    }
+
+    pub(super) fn compare_views(&mut self) {
+        self.compare_ms =
+            self.now_ms + self.rules.probe_ms * COMPARE_VIEWS_EVERY_PROBES * (0.5 + self.rng.f64());
+        let own = self.digest();
+        let allocation = self.consensus.number();
+        let settled_ms = self.changed_ms + VIEW_SETTLE_PROBES * self.rules.probe_ms;
+        let since = |m: &&Member| m.last_heard_ms.is_some_and(|at| at >= settled_ms);
+        let is_worth_proposing = |m: &&Member| m.state == State::Alive && since(m) && m.digest != own;
+        let behind = |m: &&Member| m.state == State::Alive && m.allocation > allocation;
+        let pick = |rng: &mut fastrand::Rng, rows: Vec<SocketAddr>| {
+            (!rows.is_empty()).then(|| rows[rng.usize(..rows.len())])
+        };
+        let other: Vec<_> =
+            self.members.values().filter(is_worth_proposing).map(|m| m.info.address).collect();
+        let newer: Vec<_> = self.members.values().filter(behind).map(|m| m.info.address).collect();
+        if let Some(to) = pick(&mut self.rng, other) {
+            self.exchange(to);
+        } else if let Some(to) = pick(&mut self.rng, newer) {
+            self.fetch_allocation(to);
+        }
+    }
+}
--- a/crates/peers/src/words.rs
+++ b/crates/peers/src/wire.rs
@@ -5,123 +5,123 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::member::{About, State};
-use crate::page::Page;
+use crate::allocation::Allocation;
+use crate::member::{RouterInfo, State};
 
 /// Number of a router among those configured, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Place(pub u16);
+pub struct RouterIndex(pub u16);
 
 /// Which start of a router: higher with each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life(pub u64);
+pub struct Generation(pub u64);
 
 /// Longest datagram, in bytes: fits one frame of every link that is met, with room for heads on the way.
-pub const DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// Longest page of a view that goes over TCP, in bytes.
-pub const PAGE: usize = 16 << 10;
+pub const MAX_EXCHANGE_PACKET_BYTES: usize = 16 << 10;
 
-const MARK: u8 = 0xb7;
+const MAGIC: u8 = 0xb7;
 /// The format written; the one before is read too.
-pub const FORMAT: u8 = 2;
-const OLDEST: u8 = 1;
-const HEAD: usize = 10;
+pub const FORMAT_VERSION: u8 = 2;
+const OLDEST_READABLE_VERSION: u8 = 1;
+const HEADER_BYTES: usize = 10;
 
 /// One router's word on one router. Newer wins: life, then incarnation, then the graver state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rumour {
-    pub place: Place,
-    pub life: Life,
+pub struct StateUpdate {
+    pub router: RouterIndex,
+    pub generation: Generation,
     pub incarnation: u32,
     pub state: State,
     /// Who saw it first-hand.
-    pub by: Place,
+    pub reporter: RouterIndex,
     /// Told once for each life; a later word of the same life leaves it out.
-    pub about: Option<About>,
+    pub info: Option<RouterInfo>,
 }
 
 /// What a router says of itself, as bytes that others only carry: newest life and version win.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    pub place: Place,
-    pub life: Life,
+    pub router: RouterIndex,
+    pub generation: Generation,
     pub version: u32,
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// `deaf`: the sender has not heard the one asked for a while.
     Ping {
         seq: u32,
-        deaf: bool,
+        silent_to_sender: bool,
     },
     Ack {
         seq: u32,
     },
     /// Ask that one for me.
-    Ask {
+    PingRequest {
         seq: u32,
-        target: Place,
+        target: RouterIndex,
     },
     /// What came of it.
-    Answered {
+    PingResult {
         seq: u32,
-        target: Place,
+        target: RouterIndex,
         heard: bool,
     },
     /// A starting router asks to be let in; the answer is an `Ack` and an exchange of views.
     Join {
         seq: u32,
     },
-    Rumour(Rumour),
+    Update(StateUpdate),
     Row(Row),
     /// A holder asks a keeper to confirm the page that it goes by; `sent` comes back as it was.
     Renew {
         number: u64,
-        mark: u32,
-        sent: u32,
+        fingerprint: u32,
+        request: u32,
     },
     /// The keeper does, or says which one it keeps.
     Renewed {
         number: u64,
-        sent: u32,
-        kept: u64,
-        seated: bool,
+        request: u32,
+        accepted_number: u64,
+        confirmed: bool,
     },
     /// A page is put before a keeper.
     Propose {
-        page: Page,
+        allocation: Allocation,
     },
     /// The keeper's yes, or the number that it keeps instead.
-    Taken {
+    Vote {
         number: u64,
-        yes: bool,
-        kept: u64,
+        accepted: bool,
+        accepted_number: u64,
     },
     /// Send me all that you know; what I know comes with it.
     Exchange,
     /// Send me the page that you keep or go by.
-    Want {
+    FetchAllocation {
         above: u64,
     },
     /// A page that a majority of the keepers has taken.
     Chosen {
-        page: Page,
+        allocation: Allocation,
     },
 }
 
-impl Word {
-    fn page(&self) -> Option<&Page> {
+impl Message {
+    fn allocation(&self) -> Option<&Allocation> {
         match self {
-            Word::Propose { page } | Word::Chosen { page } => Some(page),
+            Message::Propose { allocation } | Message::Chosen { allocation } => Some(allocation),
             _ => None,
         }
     }
 
-    fn page_mut(&mut self) -> Option<&mut Page> {
+    fn page_mut(&mut self) -> Option<&mut Allocation> {
         match self {
-            Word::Propose { page } | Word::Chosen { page } => Some(page),
+            Message::Propose { allocation } | Message::Chosen { allocation } => Some(allocation),
             _ => None,
         }
     }
@@ -129,25 +129,25 @@
 
 /// One datagram or one page of an exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Letter {
-    pub from: Place,
-    pub life: Life,
+pub struct Packet {
+    pub from: RouterIndex,
+    pub generation: Generation,
     pub incarnation: u32,
     /// Places in the sender's settings.
-    pub places: u16,
+    pub router_count: u16,
     /// Of the sender's view; equal views have equal digests.
     pub digest: u32,
     /// Number of the page that the sender goes by.
-    pub page: u64,
-    pub words: Vec<Word>,
+    pub allocation: u64,
+    pub messages: Vec<Message>,
 }
 
 /// Why bytes are no letter for us.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Wrong {
-    #[error("too short or too long for a letter")]
+pub enum DecodeError {
+    #[error("too short or too long for a packet")]
     Size,
-    #[error("not a letter of routers")]
+    #[error("not a packet of routers")]
     Mark,
     #[error("a format that this version does not read")]
     Format,
@@ -155,21 +155,21 @@
     Deployment,
     #[error("checksum does not fit")]
     Checksum,
-    #[error("words that can't be read")]
+    #[error("messages that can't be read")]
     Words,
-    #[error("a place, address or figure out of bounds")]
+    #[error("a router, address or figure out of bounds")]
     Bounds,
 }
 
-impl Wrong {
-    pub const ALL: [Wrong; 7] = [
-        Wrong::Size,
-        Wrong::Mark,
-        Wrong::Format,
-        Wrong::Deployment,
-        Wrong::Checksum,
-        Wrong::Words,
-        Wrong::Bounds,
+impl DecodeError {
+    pub const ALL: [DecodeError; 7] = [
+        DecodeError::Size,
+        DecodeError::Mark,
+        DecodeError::Format,
+        DecodeError::Deployment,
+        DecodeError::Checksum,
+        DecodeError::Words,
+        DecodeError::Bounds,
     ];
 }
 
@@ -179,19 +179,20 @@
 }
 
 /// The bytes of a letter.
-pub fn encode(deployment: u32, letter: &Letter) -> Vec<u8> {
-    let mut bytes = vec![MARK, FORMAT];
+pub fn encode(deployment: u32, packet: &Packet) -> Vec<u8> {
+    let mut bytes = vec![MAGIC, FORMAT_VERSION];
     bytes.extend(deployment.to_le_bytes());
     bytes.extend([0; 4]);
     // Writing plain values to memory can't fail; an empty letter would be refused by its reader.
-    let mut bytes = postcard::to_extend(letter, bytes).unwrap_or_default();
-    let extras: Vec<&Vec<u8>> = letter.words.iter().filter_map(Word::page).map(|page| &page.extra).collect();
+    let mut bytes = postcard::to_extend(packet, bytes).unwrap_or_default();
+    let extras: Vec<&Vec<u8>> =
+        packet.messages.iter().filter_map(Message::allocation).map(|allocation| &allocation.extra).collect();
     if !extras.is_empty() {
         bytes = postcard::to_extend(&extras, bytes).unwrap_or_default();
     }
-    if bytes.len() > HEAD {
+    if bytes.len() > HEADER_BYTES {
         let sum = checksum(&bytes);
-        bytes[6..HEAD].copy_from_slice(&sum.to_le_bytes());
+        bytes[6..HEADER_BYTES].copy_from_slice(&sum.to_le_bytes());
     }
     bytes
 }
@@ -199,7 +200,7 @@
 fn checksum(bytes: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&bytes[..6]);
-    sum.update(&bytes[HEAD..]);
+    sum.update(&bytes[HEADER_BYTES..]);
     sum.finalize()
 }
 
@@ -207,54 +208,55 @@
 ///
 /// # Errors
 /// What is wrong with it.
-pub fn decode(ours: u32, bytes: &[u8], most: usize) -> Result<Letter, Wrong> {
-    if bytes.len() <= HEAD || bytes.len() > most {
-        return Err(Wrong::Size);
+pub fn decode(deployment: u32, bytes: &[u8], max_bytes: usize) -> Result<Packet, DecodeError> {
+    if bytes.len() <= HEADER_BYTES || bytes.len() > max_bytes {
+        return Err(DecodeError::Size);
     }
-    if bytes[0] != MARK {
-        return Err(Wrong::Mark);
+    if bytes[0] != MAGIC {
+        return Err(DecodeError::Mark);
     }
-    let word =
+    let u32_at =
         |from: usize| u32::from_le_bytes([bytes[from], bytes[from + 1], bytes[from + 2], bytes[from + 3]]);
-    if word(6) != checksum(bytes) {
-        return Err(Wrong::Checksum);
+    if u32_at(6) != checksum(bytes) {
+        return Err(DecodeError::Checksum);
     }
-    if !(OLDEST..=FORMAT).contains(&bytes[1]) {
-        return Err(Wrong::Format);
+    if !(OLDEST_READABLE_VERSION..=FORMAT_VERSION).contains(&bytes[1]) {
+        return Err(DecodeError::Format);
     }
-    if word(2) != ours {
-        return Err(Wrong::Deployment);
+    if u32_at(2) != deployment {
+        return Err(DecodeError::Deployment);
     }
     // What a newer version may add stands behind the words that this one knows, and is passed over.
-    let (mut letter, rest): (Letter, _) =
-        postcard::take_from_bytes(&bytes[HEAD..]).map_err(|_| Wrong::Words)?;
+    let (mut packet, rest): (Packet, _) =
+        postcard::take_from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Words)?;
     // Before what a newer version may add, and only beside pages.
     if let Ok((extras, _)) = postcard::take_from_bytes::<Vec<Vec<u8>>>(rest) {
-        let pages = letter.words.iter_mut().filter_map(Word::page_mut);
-        pages.zip(extras).for_each(|(page, extra)| page.extra = extra);
+        let pages = packet.messages.iter_mut().filter_map(Message::page_mut);
+        pages.zip(extras).for_each(|(allocation, extra)| allocation.extra = extra);
     }
-    let addressed =
-        |about: &About| local(about.address) && about.name.len() <= 64 && about.region.len() <= 64;
-    let bounded = letter.words.iter().all(|word| match word {
-        Word::Rumour(rumour) => rumour.about.as_ref().is_none_or(addressed),
-        Word::Row(row) => row.bytes.len() <= DATAGRAM,
-        Word::Propose { page } | Word::Chosen { page } => page.sound(),
+    let valid_info = |info: &RouterInfo| {
+        is_loopback_address(info.address) && info.name.len() <= 64 && info.region.len() <= 64
+    };
+    let within_bounds = packet.messages.iter().all(|message| match message {
+        Message::Update(update) => update.info.as_ref().is_none_or(valid_info),
+        Message::Row(row) => row.bytes.len() <= MAX_DATAGRAM_BYTES,
+        Message::Propose { allocation } | Message::Chosen { allocation } => allocation.is_valid(),
         _ => true,
     });
-    if bounded {
-        Ok(letter)
+    if within_bounds {
+        Ok(packet)
     } else {
-        Err(Wrong::Bounds)
+        Err(DecodeError::Bounds)
     }
 }
 
 /// Addresses stay on the loopback range, as everywhere in our settings.
-fn local(address: SocketAddr) -> bool {
+fn is_loopback_address(address: SocketAddr) -> bool {
     address.ip().is_loopback() && address.port() != 0
 }
 
 /// Bytes of one word on the wire.
-pub fn size(word: &Word) -> usize {
-    let extra = word.page().map_or(0, |page| page.extra.len() + 4);
-    postcard::experimental::serialized_size(word).map_or(usize::MAX, |size| size + extra)
+pub fn size(message: &Message) -> usize {
+    let extra = message.allocation().map_or(0, |allocation| allocation.extra.len() + 4);
+    postcard::experimental::serialized_size(message).map_or(usize::MAX, |size| size + extra)
 }
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -9,9 +9,9 @@
 use paddleproxy_engine::Refusal;
 use paddleproxy_failover::evidence::tells;
 use paddleproxy_failover::{Desk, Met, Row, Rules, Saying, Verdict, Word, Zone};
-use paddleproxy_peers::mind::Stand;
-use paddleproxy_peers::page::EXTRA_MAX;
-use paddleproxy_peers::{About, Peers};
+use paddleproxy_peers::allocation::MAX_EXTRA_BYTES;
+use paddleproxy_peers::status::ClusterReport;
+use paddleproxy_peers::{Peers, RouterInfo};
 use paddleproxy_routing::SocketEnd;
 use paddleproxy_settings::router::RouterSettings;
 use serde::{Deserialize, Serialize};
@@ -91,20 +91,23 @@
 
 /// Reads what fellows carry and works out what to carry.
 pub fn carry(desk: &mut Desk, peers: &Peers, now_ms: f64) -> Carried {
-    let mut rows: Vec<Row> = peers.carried().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
+    let mut rows: Vec<Row> = peers.peer_extras().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
     let news = desk.hear(now_ms, &rows);
     // Of many routers of a zone the lowest tell what it sees, each for its part.
-    let (zone, place) = (peers.about().zone, peers.rules().own);
-    let fellows = || peers.members().filter(|member| member.state.here() && member.about.zone == zone);
-    let rank = fellows().filter(|member| member.place < place).count();
+    let (zone, place) = (peers.info().zone, peers.rules().own);
+    let fellows = || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
+    let rank = fellows().filter(|member| member.router < place).count();
     let own = desk.row(now_ms, tells(rank, fellows().count() + 1));
     let row = own.bytes();
     // As fellows read it: counts on the wire are rounded.
     let own_row = Row::read(&row).unwrap_or_default();
     rows.push(own_row.clone());
-    let mut speaking: Vec<Zone> =
-        peers.members().filter(|member| member.state.here()).map(|member| Zone(member.about.zone)).collect();
-    let own_zone = Zone(peers.about().zone);
+    let mut speaking: Vec<Zone> = peers
+        .members()
+        .filter(|member| member.state.is_running())
+        .map(|member| Zone(member.info.zone))
+        .collect();
+    let own_zone = Zone(peers.info().zone);
     speaking.push(own_zone);
     speaking.sort();
     speaking.dedup();
@@ -117,10 +120,10 @@
         return Carried { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
     }
     let (after, before) =
-        peers.keeping().page().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
+        peers.consensus().allocation().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
     let page = desk.next(now_ms, before, &rows, &speaking);
     // What no page carries is no plan: the one that stands goes on.
-    let page = if page.len() > EXTRA_MAX { before.to_vec() } else { page };
+    let page = if page.len() > MAX_EXTRA_BYTES { before.to_vec() } else { page };
     Carried { row, page, after, asks: desk.asks(now_ms as u64), news }
 }
 
@@ -212,7 +215,7 @@
 }
 
 /// All that operators may ask for.
-pub fn view(desk: &Desk, zones: &[String], about: &About, stand: Stand, now_ms: f64) -> Value {
+pub fn view(desk: &Desk, zones: &[String], about: &RouterInfo, stand: ClusterReport, now_ms: f64) -> Value {
     let zone = |zone: Zone| zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
     let (looked, agreed) = (&desk.last, desk.agreed());
     let words = desk.sayings.holding(now_ms).collect::<Vec<_>>();
@@ -248,7 +251,7 @@
         .collect();
     json!({
         "schema": "paddleproxy.failover.v1",
-        "name": about.name, "zone": zone(Zone(about.zone)), "mind": stand.mind.name(), "why": stand.why,
+        "name": about.name, "zone": zone(Zone(about.zone)), "mind": stand.status.name(), "why": stand.reason,
         "page": desk.forced(), "plan": agreed.map(|agreed| agreed.plan.number),
         "speaking": looked.speaking.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
         "completions": desk.homed_total, "moved": desk.moved_total, "zones": rows,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -9,7 +9,7 @@
 
 use anyhow::{Context, Result};
 use paddleproxy::interface::Settings;
-use paddleproxy_peers::{words, About, Action, Event, Granted, Life, Peers, Place, Rules};
+use paddleproxy_peers::{wire, Action, Event, Generation, Granted, Peers, RouterIndex, RouterInfo, Rules};
 use paddleproxy_routing::Admission;
 use paddleproxy_settings::peers::PeerSettings;
 use paddleproxy_settings::router::RouterSettings;
@@ -89,30 +89,30 @@
 pub fn first(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
     let places = decisions.routers;
-    let things = 1 + decisions.customers.len().min(paddleproxy_peers::page::THINGS_MAX - 1);
+    let things = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::RESOURCES_MAX - 1);
     let rules = Rules {
         deployment: peers.deployment.clone(),
-        places,
-        own: Place(decisions.own_number as u16),
+        router_count: places,
+        own: RouterIndex(decisions.own_number as u16),
         probe_ms: peers.probe_ms,
         lease_ms: peers.lease_ms,
         floor: peers.floor,
         remember_ms: peers.remember_ms,
-        things,
-        pieces: paddleproxy::control::at_once(decisions, places),
+        resources: things,
+        slow_start_permits: paddleproxy::control::at_once(decisions, places),
     };
     let about = about(settings, peers, peers.listen);
-    let alone = Peers::new(0.0, rules.clone(), about, Vec::new(), Life(1), 0);
+    let alone = Peers::new(0.0, rules.clone(), about, Vec::new(), Generation(1), 0);
     (rules, alone.floor())
 }
 
-fn about(settings: &RouterSettings, peers: &PeerSettings, address: SocketAddr) -> About {
-    About {
+fn about(settings: &RouterSettings, peers: &PeerSettings, address: SocketAddr) -> RouterInfo {
+    RouterInfo {
         name: peers.name.clone(),
         address: peers.advertise.unwrap_or(address),
         zone: settings.decisions.zone.map_or(0, |zone| zone.0 as u8),
         region: peers.region.clone(),
-        format: words::FORMAT,
+        format: wire::FORMAT_VERSION,
     }
 }
 
@@ -222,7 +222,7 @@
             Some(inside) = within.recv() => match inside {
                 Inside::Called { letters, reply } => task.called(letters, reply).await,
                 Inside::Answered { to, letters: Some(letters) } => {
-                    task.tell(Event::Answered { to, letters: &letters }).await;
+                    task.tell(Event::CallAnswered { to, packets: &letters }).await;
                 }
                 Inside::Answered { to, letters: None } => task.tell(Event::CallFailed { to }).await,
             },
@@ -257,9 +257,9 @@
     }
 
     async fn called(&mut self, letters: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>>) {
-        let mut actions = self.peers.handle(self.clock.now_ms(), Event::Called { letters: &letters });
+        let mut actions = self.peers.handle(self.clock.now_ms(), Event::CallReceived { packets: &letters });
         let row = actions.iter().position(|action| matches!(action, Action::Reply { .. }));
-        if let Some(Action::Reply { letters }) = row.map(|row| actions.remove(row)) {
+        if let Some(Action::Reply { packets: letters }) = row.map(|row| actions.remove(row)) {
             let _ = reply.send(letters);
         }
         self.act(actions).await;
@@ -270,12 +270,19 @@
             match action {
                 // A datagram that finds no room is lost, as it may be anywhere on its way.
                 Action::Send { to, bytes } => drop(self.datagrams.try_send_to(&bytes, to)),
-                Action::Call { to, letters } => self.call(to, letters),
-                Action::Changed { place, change } => {
+                Action::Call { to, packets: letters } => self.call(to, letters),
+                Action::Changed { router: place, change } => {
                     let (from, to) = (change.from.map(|state| state.name()), change.to.name());
-                    info!(place = place.0, life = change.life.0, from, to, by = change.by.0, "fellow");
+                    info!(
+                        place = place.0,
+                        life = change.generation.0,
+                        from,
+                        to,
+                        by = change.reporter.0,
+                        "fellow"
+                    );
                 }
-                Action::Lived { life } => {
+                Action::GenerationRaised { generation: life } => {
                     info!(life = life.0, "a higher life than fellows remember");
                     keep_life(&self.life_file, life);
                 }
@@ -283,16 +290,16 @@
                     tracing::error!(%by, "another process runs under this router's place; this one has no part in \
                         the common view any more and uses nothing that is shared out");
                 }
-                Action::Paged { number } => info!(number, "page"),
+                Action::AllocationAdopted { number } => info!(number, "page"),
                 Action::Reply { .. } => {}
             }
         }
         self.share().await;
-        let wrong: u64 = self.peers.counts.wrong.values().sum();
+        let wrong: u64 = self.peers.counts.rejected.values().sum();
         let now_ms = self.clock.now_ms();
         if wrong > self.wrong_told && now_ms >= self.wrong_ms + WRONG_EVERY_MS {
             (self.wrong_told, self.wrong_ms) = (wrong, now_ms);
-            warn!(wrong, kinds = ?self.peers.counts.wrong, "bytes that are no letters of fellows were dropped");
+            warn!(wrong, kinds = ?self.peers.counts.rejected, "bytes that are no letters of fellows were dropped");
         }
     }
 
@@ -312,13 +319,19 @@
             // A core with that many words waiting has no time for mere questions.
             let _ = self.core.try_send(Told::Look { workers: carried.asks });
         }
-        let event = Event::Carry { row: carried.row, page: carried.page, after: carried.after };
+        let event = Event::SetExtra { row: carried.row, allocation: carried.page, after: carried.after };
         self.tell(event).await;
     }
 
     fn failover(&self) -> Option<Value> {
         let desk = self.desk.as_ref()?.borrow();
-        Some(failover::view(&desk, &self.zones, self.peers.about(), self.peers.stand(), self.clock.now_ms()))
+        Some(failover::view(
+            &desk,
+            &self.zones,
+            self.peers.info(),
+            self.peers.cluster_report(),
+            self.clock.now_ms(),
+        ))
     }
 
     fn word(&mut self, word: &WordFor) -> Result<Value, String> {
@@ -329,7 +342,7 @@
     /// Tells the core and the gates what may be used, where that changed.
     async fn share(&mut self) {
         if let Some(desk) = self.desk.as_ref().filter(|desk| !desk.borrow().rules().alone) {
-            let page = self.peers.agreed(self.clock.now_ms());
+            let page = self.peers.agreed_extra(self.clock.now_ms());
             let mut desk = desk.borrow_mut();
             if desk.force(page) {
                 let plan = desk.agreed().map(|agreed| &agreed.plan);
@@ -358,7 +371,7 @@
         let over_s = ((now_ms - before_ms) / 1e3).max(1e-3);
         let new =
             |row: usize| counts[row].saturating_sub(before.get(row).copied().unwrap_or(0)) as f64 / over_s;
-        let things = self.peers.rules().things;
+        let things = self.peers.rules().resources;
         let customers = (0..things - 1).map(|row| if row + 1 < counts.len() { new(row + 1) } else { 0.0 });
         let now: Vec<f64> = std::iter::once((0..counts.len()).map(new).sum()).chain(customers).collect();
         self.needs.resize(things, 0.0);
@@ -386,8 +399,8 @@
     /// All that operators may ask for.
     fn view(&self) -> Value {
         let (peers, now_ms) = (&self.peers, self.clock.now_ms());
-        let stand = peers.stand();
-        let places = |list: &[Place]| list.iter().map(|place| place.0).collect::<Vec<_>>();
+        let stand = peers.cluster_report();
+        let places = |list: &[RouterIndex]| list.iter().map(|place| place.0).collect::<Vec<_>>();
         let digest = peers.digest();
         let zone = |zone: u8| self.zones.get(usize::from(zone)).cloned().unwrap_or_default();
         let rows: Vec<Value> = peers
@@ -395,40 +408,40 @@
             .map(|m| {
                 let history = m.history.iter().map(|c| {
                     json!({
-                        "ago_ms": now_ms - c.at_ms, "life": c.life.0, "incarnation": c.incarnation,
-                        "from": c.from.map(|state| state.name()), "to": c.to.name(), "by": c.by.0,
+                        "ago_ms": now_ms - c.at_ms, "life": c.generation.0, "incarnation": c.incarnation,
+                        "from": c.from.map(|state| state.name()), "to": c.to.name(), "by": c.reporter.0,
                     })
                 });
                 json!({
-                    "place": m.place.0, "name": m.about.name, "state": m.state.name(), "life": m.life.0,
-                    "incarnation": m.incarnation, "zone": zone(m.about.zone), "region": m.about.region,
-                    "address": m.about.address, "format": m.about.format, "for_ms": now_ms - m.since_ms,
-                    "heard_ms": m.heard_ms.map(|at| now_ms - at), "same_view": m.digest == digest,
-                    "page": m.page, "places": m.places,
-                    "deaf_to": stand.deaf_to.contains(&m.place), "unheard_by": stand.unheard_by.contains(&m.place),
-                    "doubted_by": m.doubt.iter().flat_map(|doubt| &doubt.by).map(|place| place.0).collect::<Vec<_>>(),
+                    "place": m.router.0, "name": m.info.name, "state": m.state.name(), "life": m.generation.0,
+                    "incarnation": m.incarnation, "zone": zone(m.info.zone), "region": m.info.region,
+                    "address": m.info.address, "format": m.info.format, "for_ms": now_ms - m.since_ms,
+                    "heard_ms": m.last_heard_ms.map(|at| now_ms - at), "same_view": m.digest == digest,
+                    "page": m.allocation, "places": m.router_count,
+                    "deaf_to": stand.not_hearing.contains(&m.router), "unheard_by": stand.not_heard_by.contains(&m.router),
+                    "doubted_by": m.suspicion.iter().flat_map(|doubt| &doubt.reporters).map(|place| place.0).collect::<Vec<_>>(),
                     "history": history.collect::<Vec<_>>(),
                 })
             })
             .collect();
         let granted = peers.granted(now_ms);
-        let keeping = peers.keeping();
-        let seats = keeping.page().map(|page| {
-            let rows = page.seats.iter().map(|seat| json!([seat.place.0, seat.life.0, seat.parts]));
+        let keeping = peers.consensus();
+        let seats = keeping.allocation().map(|page| {
+            let rows = page.entries.iter().map(|seat| json!([seat.router.0, seat.generation.0, seat.parts]));
             rows.collect::<Vec<_>>()
         });
         let counts = &peers.counts;
         json!({
             "schema": "paddleproxy.peers.v1",
-            "place": peers.rules().own.0, "name": peers.about().name, "life": peers.life().0,
-            "incarnation": peers.incarnation(), "zone": zone(peers.about().zone), "region": peers.about().region,
-            "address": peers.about().address, "places": peers.rules().places, "clock_ms": now_ms,
-            "mind": stand.mind.name(), "why": stand.why, "roster": stand.roster, "hears": stand.hears,
-            "same": stand.same, "of": stand.of, "differ": places(&stand.differ),
-            "deaf_to": places(&stand.deaf_to), "unheard_by": places(&stand.unheard_by),
-            "digest": digest, "health": peers.health(), "rumours": peers.waiting_rumours(),
+            "place": peers.rules().own.0, "name": peers.info().name, "life": peers.generation().0,
+            "incarnation": peers.incarnation(), "zone": zone(peers.info().zone), "region": peers.info().region,
+            "address": peers.info().address, "places": peers.rules().router_count, "clock_ms": now_ms,
+            "mind": stand.status.name(), "why": stand.reason, "roster": stand.roster, "hears": stand.heard,
+            "same": stand.same_view, "of": stand.compared, "differ": places(&stand.differing),
+            "deaf_to": places(&stand.not_hearing), "unheard_by": places(&stand.not_heard_by),
+            "digest": digest, "health": peers.health(), "rumours": peers.queued_gossip(),
             "page": {
-                "number": keeping.number(), "seats": seats, "keeper": keeping.is_keeper(), "kept": keeping.kept_number(),
+                "number": keeping.number(), "seats": seats, "keeper": keeping.is_voter(), "kept": keeping.accepted_number(),
                 "silent_ms": (keeping.silent_until_ms() - now_ms).max(0.0),
             },
             "shares": {
@@ -436,11 +449,11 @@
                 "for_ms": granted.until_ms.is_finite().then_some(granted.until_ms - now_ms),
             },
             "counts": {
-                "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
-                "heard_bytes": counts.heard_bytes, "calls": counts.calls, "call_bytes": counts.call_bytes,
+                "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.received,
+                "heard_bytes": counts.received_bytes, "calls": counts.calls, "call_bytes": counts.call_bytes,
                 "probes": counts.probes, "unanswered": counts.unanswered, "suspected": counts.suspected,
                 "failed": counts.failed, "refuted": counts.refuted, "late_ticks": counts.late_ticks,
-                "wrong": counts.wrong.values().sum::<u64>(),
+                "wrong": counts.rejected.values().sum::<u64>(),
             },
             "members": rows,
         })
@@ -448,14 +461,14 @@
 }
 
 /// Which start this is: one more than the file says, which is written before anybody hears of it.
-fn next_life(file: &Path) -> Life {
+fn next_life(file: &Path) -> Generation {
     let last = std::fs::read_to_string(file).ok().and_then(|text| text.trim().parse::<u64>().ok());
-    let life = Life(last.unwrap_or(0).saturating_add(1));
+    let life = Generation(last.unwrap_or(0).saturating_add(1));
     keep_life(file, life);
     life
 }
 
-fn keep_life(file: &Path, life: Life) {
+fn keep_life(file: &Path, life: Generation) {
     if let Err(cause) = write_whole(file, format!("{}\n", life.0).as_bytes()) {
         warn!(%cause, file = %file.display(), "the router's life is not kept; its fellows will tell it");
     }
@@ -487,7 +500,7 @@
             return Ok(letters);
         }
         anyhow::ensure!(
-            length <= left && length <= 4 * words::PAGE && letters.len() < LETTERS,
+            length <= left && length <= 4 * wire::MAX_EXCHANGE_PACKET_BYTES && letters.len() < LETTERS,
             "a call too long"
         );
         left -= length;
