--- a/crates/peers/src/allocation.rs
+++ b/crates/peers/src/allocation.rs
@@ -14,7 +14,7 @@
 }
 
 /// What all seats' parts of a thing add up to at most.
-pub const WHOLE: u16 = 60_000;
+pub const TOTAL_PARTS: u16 = 60_000;
 /// Most places and things that a page may have.
 pub const ROUTERS_MAX: usize = 4096;
 pub const RESOURCES_MAX: usize = 32;
@@ -50,7 +50,8 @@
         let alike = self.entries.iter().all(|entry| entry.parts.len() == resources);
         let sum =
             |resource: usize| self.entries.iter().map(|entry| u64::from(entry.parts[resource])).sum::<u64>();
-        let most = |resource: usize| u64::from(if resource == 0 { self.slow_start_permits } else { WHOLE });
+        let most =
+            |resource: usize| u64::from(if resource == 0 { self.slow_start_permits } else { TOTAL_PARTS });
         self.entries.len() <= ROUTERS_MAX
             && self.extra.len() <= MAX_EXTRA_BYTES
             && resources <= RESOURCES_MAX
--- a/crates/peers/src/consensus.rs
+++ b/crates/peers/src/consensus.rs
@@ -52,7 +52,7 @@
     lease_ms: f64,
     /// As keeper: what it took last, and until when it says nothing.
     accepted: Option<Allocation>,
-    silent_until_ms: f64,
+    abstains_until_ms: f64,
     /// As holder: the page it goes by, when it learned of it, and what it may use before that is ripe.
     allocation: Option<Allocation>,
     adopted_ms: f64,
@@ -77,7 +77,7 @@
             router_count,
             lease_ms,
             accepted: None,
-            silent_until_ms: now_ms + CLOCK_DRIFT_FACTOR * lease_ms,
+            abstains_until_ms: now_ms + CLOCK_DRIFT_FACTOR * lease_ms,
             allocation: None,
             adopted_ms: f64::NEG_INFINITY,
             restricted: Vec::new(),
@@ -126,7 +126,7 @@
     pub fn accept_proposal(&mut self, now_ms: f64, allocation: &Allocation) -> bool {
         self.observe_number(allocation.number);
         let good =
-            self.is_voter() && now_ms >= self.silent_until_ms && allocation.number > self.accepted_number();
+            self.is_voter() && now_ms >= self.abstains_until_ms && allocation.number > self.accepted_number();
         if good {
             self.accepted = Some(allocation.clone());
         }
@@ -137,7 +137,7 @@
     pub fn confirms_allocation(&self, now_ms: f64, number: u64, fingerprint: u32) -> bool {
         let same =
             |allocation: &Allocation| allocation.number == number && allocation.fingerprint() == fingerprint;
-        self.is_voter() && now_ms >= self.silent_until_ms && self.accepted.as_ref().is_some_and(same)
+        self.is_voter() && now_ms >= self.abstains_until_ms && self.accepted.as_ref().is_some_and(same)
     }
 
     /// As proposer: begins an offer; the own vote goes in at once.
@@ -286,8 +286,8 @@
         times.into_iter().filter(|at| at.is_finite() && *at > now_ms).min_by(f64::total_cmp)
     }
 
-    pub fn silent_until_ms(&self) -> f64 {
-        self.silent_until_ms
+    pub fn abstains_until_ms(&self) -> f64 {
+        self.abstains_until_ms
     }
 }
 
--- a/crates/peers/src/shares.rs
+++ b/crates/peers/src/shares.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::allocation::{Allocation, AllocationEntry, WHOLE};
+use crate::allocation::{Allocation, AllocationEntry, TOTAL_PARTS};
 use crate::wire::{Generation, RouterIndex};
 
 /// What one router wants of each thing, in units a second that all routers count alike.
@@ -96,7 +96,7 @@
         entries.iter().map(|entry| need(entry).max(MIN_NEED_FRACTION * mean).max(1e-9)).collect();
     let sum: f64 = wanted_needs.iter().sum();
     let held: f64 = entries.iter().map(|entry| f64::from(old(entry))).sum();
-    let whole = f64::from(WHOLE);
+    let whole = f64::from(TOTAL_PARTS);
     let mut parts: Vec<f64> = entries
         .iter()
         .zip(wanted_needs)
@@ -127,7 +127,7 @@
             && now.entries.iter().zip(&wanted.entries).all(|(a, b)| {
                 (a.router, a.generation, a.parts.len()) == (b.router, b.generation, b.parts.len())
             });
-    let tolerance = f64::from(WHOLE) / now.entries.len().max(1) as f64 / 8.0;
+    let tolerance = f64::from(TOTAL_PARTS) / now.entries.len().max(1) as f64 / 8.0;
     let off = |(a, b): (&AllocationEntry, &AllocationEntry)| {
         a.parts.iter().zip(&b.parts).skip(1).any(|(a, b)| (f64::from(*a) - f64::from(*b)).abs() > tolerance)
     };
--- a/crates/peers/src/view/allocate.rs
+++ b/crates/peers/src/view/allocate.rs
@@ -92,7 +92,7 @@
         let lowest =
             self.members.values().find(|m| m.state.is_running()).is_none_or(|m| m.router > self.rules.own);
         let every_ms = MIN_PROPOSAL_LEASES * self.rules.lease_ms * (1.0 + 0.2 * self.rng.f64());
-        let due = now_ms >= self.proposed_ms + every_ms && !self.consensus.proposal_pending(now_ms);
+        let due = now_ms >= self.last_proposal_ms + every_ms && !self.consensus.proposal_pending(now_ms);
         if !self.joined
             || self.leaving
             || !lowest
@@ -124,7 +124,7 @@
         {
             return;
         }
-        self.proposed_ms = now_ms;
+        self.last_proposal_ms = now_ms;
         self.consensus.begin_proposal(now_ms, allocation.clone());
         if let Some(allocation) = self.consensus.decided() {
             self.adopt(allocation);
@@ -167,7 +167,7 @@
             match resource {
                 0 => f64::from(part) / self.rules.slow_start_permits.max(1) as f64,
                 _ if self.displaced => 0.0,
-                _ => floor / router_count as f64 + (1.0 - floor) * f64::from(part) / f64::from(WHOLE),
+                _ => floor / router_count as f64 + (1.0 - floor) * f64::from(part) / f64::from(TOTAL_PARTS),
             }
         };
         // Those of the roster last agreed run as far as anyone knows, heard or not.
--- a/crates/peers/src/view/exchange.rs
+++ b/crates/peers/src/view/exchange.rs
@@ -5,19 +5,19 @@
 impl Peers {
     pub(super) fn exchange(&mut self, to: SocketAddr) {
         if self.free_to_call() {
-            self.calling = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
+            self.pending_call = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
             let packets = self.full_view(true);
             self.call(to, packets);
         }
     }
 
     pub(super) fn free_to_call(&self) -> bool {
-        self.calling.is_none_or(|(_, until)| self.now_ms >= until)
+        self.pending_call.is_none_or(|(_, until)| self.now_ms >= until)
     }
 
     pub(super) fn fetch_allocation(&mut self, to: SocketAddr) {
         if self.free_to_call() {
-            self.calling = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
+            self.pending_call = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
             let above = self.consensus.number();
             let packets = vec![self.packet(vec![Message::FetchAllocation { above }])];
             self.call(to, packets);
@@ -31,10 +31,10 @@
     }
 
     /// All that is known, in pages.
-    pub(super) fn full_view(&mut self, asks: bool) -> Vec<Vec<u8>> {
+    pub(super) fn full_view(&mut self, request_reply: bool) -> Vec<Vec<u8>> {
         let mut messages: Vec<Message> = Vec::new();
-        messages.extend(asks.then_some(Message::Exchange));
-        if self.joined || !asks {
+        messages.extend(request_reply.then_some(Message::Exchange));
+        if self.joined || !request_reply {
             self.announced = true;
             messages.push(Message::Update(self.own_update(State::Alive, true)));
         }
@@ -42,24 +42,24 @@
         messages.extend(self.members.values().filter_map(|m| m.row.clone()).map(Message::Row));
         messages
             .extend(self.consensus.allocation().cloned().map(|allocation| Message::Chosen { allocation }));
-        let (mut packets, mut some, mut room) =
-            (Vec::new(), Vec::new(), MAX_EXCHANGE_PACKET_BYTES - PACKET_HEADER_BYTES);
+        let (mut packets, mut batch, mut room) =
+            (Vec::new(), Vec::new(), MAX_EXCHANGE_PACKET_BYTES - PACKET_OVERHEAD_BYTES);
         for message in messages {
             let size = size(&message);
-            if size > room && !some.is_empty() {
-                packets.push(self.packet(std::mem::take(&mut some)));
-                room = MAX_EXCHANGE_PACKET_BYTES - PACKET_HEADER_BYTES;
+            if size > room && !batch.is_empty() {
+                packets.push(self.packet(std::mem::take(&mut batch)));
+                room = MAX_EXCHANGE_PACKET_BYTES - PACKET_OVERHEAD_BYTES;
             }
             room = room.saturating_sub(size);
-            some.push(message);
+            batch.push(message);
         }
-        packets.push(self.packet(some));
+        packets.push(self.packet(batch));
         packets
     }
 
     pub(super) fn handle_call(&mut self, packets: &[Vec<u8>]) {
         let mut reply = Vec::new();
-        let mut whole = false;
+        let mut view_requested = false;
         for bytes in packets.iter().take(MAX_EXCHANGE_PACKETS) {
             self.counts.received_bytes += bytes.len() as u64;
             let Some(packet) = self.read(bytes, MAX_EXCHANGE_PACKET_BYTES * 4) else { continue };
@@ -79,13 +79,13 @@
                         let message = self.vote_on(allocation);
                         reply.push(self.packet(vec![message]));
                     }
-                    Message::Exchange => whole = true,
+                    Message::Exchange => view_requested = true,
                     _ => {}
                 }
             }
             self.apply_exchange_packet(packet);
         }
-        if whole {
+        if view_requested {
             reply.extend(self.full_view(false));
         }
         self.counts.call_bytes += reply.iter().map(|packet| packet.len() as u64).sum::<u64>();
@@ -93,14 +93,14 @@
     }
 
     pub(super) fn handle_call_answer(&mut self, packets: &[Vec<u8>]) {
-        let mut viewed = false;
+        let mut received_view = false;
         for bytes in packets.iter().take(MAX_EXCHANGE_PACKETS) {
             self.counts.received_bytes += bytes.len() as u64;
             let Some(packet) = self.read(bytes, MAX_EXCHANGE_PACKET_BYTES * 4) else { continue };
-            viewed |= packet.messages.iter().any(|message| matches!(message, Message::Update(_)));
+            received_view |= packet.messages.iter().any(|message| matches!(message, Message::Update(_)));
             self.apply_exchange_packet(packet);
         }
-        if viewed && !self.joined {
+        if received_view && !self.joined {
             self.join();
         }
     }
@@ -125,7 +125,7 @@
 
     pub(super) fn join(&mut self) {
         self.joined = true;
-        self.seed_ms = self.now_ms + self.rules.probe_ms * CONTACT_SEED_EVERY_PROBES * self.rng.f64();
+        self.next_seed_ms = self.now_ms + self.rules.probe_ms * CONTACT_SEED_EVERY_PROBES * self.rng.f64();
         let message = Message::Update(self.own_update(State::Alive, true));
         self.gossip.add(message.clone());
         // A few hear it at once, so that the word does not hang on one.
--- a/crates/peers/src/view/mod.rs
+++ b/crates/peers/src/view/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use crate::allocation::{Allocation, WHOLE};
+use crate::allocation::{Allocation, TOTAL_PARTS};
 use crate::consensus::{voters, Consensus};
 use crate::gossip::GossipQueue;
 use crate::member::{Change, Member, RouterInfo, State, Suspicion};
@@ -40,7 +40,7 @@
 /// Direct probes in a row without an answer after which a fellow that others hear is called unheard.
 const NOT_HEARING_AFTER_PROBES: u32 = 2;
 /// Room that a letter's own fields need, in bytes.
-const PACKET_HEADER_BYTES: usize = 48;
+const PACKET_OVERHEAD_BYTES: usize = 48;
 /// Leases between two pages at least.
 const MIN_PROPOSAL_LEASES: f64 = 1.5;
 /// Letters of one exchange at most.
@@ -139,11 +139,11 @@
     seq: u32,
     indirect_ms: f64,
     end_ms: f64,
-    asked: bool,
-    direct: bool,
+    indirect_requested: bool,
+    direct_ack: bool,
     answered: bool,
     /// Helpers that said that the target did not answer them either.
-    failures: usize,
+    failed_helpers: usize,
 }
 
 /// A probe made for a fellow.
@@ -172,8 +172,8 @@
     displaced: bool,
     leaving: bool,
     members: BTreeMap<RouterIndex, Member>,
-    order: Vec<RouterIndex>,
-    silent: BTreeMap<RouterIndex, u32>,
+    probe_order: Vec<RouterIndex>,
+    missed_direct_probes: BTreeMap<RouterIndex, u32>,
     probe: Option<Probe>,
     relayed_probes: BTreeMap<u32, RelayedProbe>,
     next_seq: u32,
@@ -185,20 +185,20 @@
     row_extra: Vec<u8>,
     allocation_extra: (u64, Vec<u8>),
     row_version: u32,
-    proposed_ms: f64,
-    calling: Option<(SocketAddr, f64)>,
+    last_proposal_ms: f64,
+    pending_call: Option<(SocketAddr, f64)>,
     /// A process elsewhere that was said to hold this place, and until when it may answer.
-    rival: Option<(SocketAddr, Generation, f64)>,
-    probe_ms: f64,
-    failed_ms: f64,
-    seed_ms: f64,
-    compare_ms: f64,
+    duplicate: Option<(SocketAddr, Generation, f64)>,
+    next_probe_ms: f64,
+    next_failed_probe_ms: f64,
+    next_seed_ms: f64,
+    next_compare_ms: f64,
     pub counts: Counts,
     actions: Vec<Action>,
     /// Digest of the view as it last was; none where the view changed since.
-    known_digest: std::cell::Cell<Option<u32>>,
+    cached_digest: std::cell::Cell<Option<u32>>,
     /// When it last changed: digests that were heard before say nothing of it.
-    changed_ms: f64,
+    view_changed_ms: f64,
 }
 
 impl Peers {
@@ -226,8 +226,8 @@
             displaced: false,
             leaving: false,
             members: BTreeMap::new(),
-            order: Vec::new(),
-            silent: BTreeMap::new(),
+            probe_order: Vec::new(),
+            missed_direct_probes: BTreeMap::new(),
             probe: None,
             relayed_probes: BTreeMap::new(),
             next_seq: 0,
@@ -238,17 +238,17 @@
             row_extra: Vec::new(),
             allocation_extra: (0, Vec::new()),
             row_version: 0,
-            proposed_ms: f64::NEG_INFINITY,
-            calling: None,
-            rival: None,
-            probe_ms: spread(&mut rng, 1.0),
-            failed_ms: spread(&mut rng, PROBE_FAILED_EVERY_PROBES),
-            seed_ms: now_ms,
-            compare_ms: spread(&mut rng, COMPARE_VIEWS_EVERY_PROBES),
+            last_proposal_ms: f64::NEG_INFINITY,
+            pending_call: None,
+            duplicate: None,
+            next_probe_ms: spread(&mut rng, 1.0),
+            next_failed_probe_ms: spread(&mut rng, PROBE_FAILED_EVERY_PROBES),
+            next_seed_ms: now_ms,
+            next_compare_ms: spread(&mut rng, COMPARE_VIEWS_EVERY_PROBES),
             counts: Counts::default(),
             actions: Vec::new(),
-            known_digest: std::cell::Cell::new(None),
-            changed_ms: now_ms,
+            cached_digest: std::cell::Cell::new(None),
+            view_changed_ms: now_ms,
             rules,
             rng,
         }
@@ -270,10 +270,10 @@
             }
             Event::CallReceived { packets } => self.handle_call(packets),
             Event::CallAnswered { to, packets } => {
-                self.calling = self.calling.filter(|(at, _)| *at != to);
+                self.pending_call = self.pending_call.filter(|(at, _)| *at != to);
                 self.handle_call_answer(packets);
             }
-            Event::CallFailed { to } => self.calling = self.calling.filter(|(at, _)| *at != to),
+            Event::CallFailed { to } => self.pending_call = self.pending_call.filter(|(at, _)| *at != to),
             Event::Tick => self.tick(),
             Event::Need(needs) => self.update_needs(needs),
             Event::SetExtra { row, allocation, after } => self.set_extra(row, allocation, after),
@@ -293,11 +293,12 @@
         if self.displaced || self.leaving {
             return f64::INFINITY;
         }
-        let mut times = vec![self.probe_ms, self.seed_ms, self.compare_ms, self.failed_ms];
+        let mut times =
+            vec![self.next_probe_ms, self.next_seed_ms, self.next_compare_ms, self.next_failed_probe_ms];
         times.extend(
             self.probe
                 .as_ref()
-                .filter(|probe| !probe.asked && !probe.answered)
+                .filter(|probe| !probe.indirect_requested && !probe.answered)
                 .map(|probe| probe.indirect_ms),
         );
         let doubted = || self.members.values().filter(|member| member.suspicion.is_some());
@@ -305,7 +306,7 @@
             let running = self.running_routers();
             times.extend(doubted().filter_map(|member| self.suspicion_ends_ms(member, running)));
         }
-        times.extend(self.rival.map(|(_, _, until)| until));
+        times.extend(self.duplicate.map(|(_, _, until)| until));
         if self.joined && self.consensus.allocation().is_some() {
             times.push(self.consensus.renew_ms);
         }
--- a/crates/peers/src/view/probe.rs
+++ b/crates/peers/src/view/probe.rs
@@ -12,17 +12,21 @@
             return;
         }
         let now_ms = self.now_ms;
-        if let Some((_, generation, _)) = self.rival.filter(|(_, _, until)| now_ms >= *until) {
-            self.rival = None;
+        if let Some((_, generation, _)) = self.duplicate.filter(|(_, _, until)| now_ms >= *until) {
+            self.duplicate = None;
             self.raise_generation(generation);
         }
-        if now_ms >= self.seed_ms {
+        if now_ms >= self.next_seed_ms {
             self.contact_seed();
         }
-        if self.probe.as_ref().is_some_and(|p| !p.asked && !p.answered && now_ms >= p.indirect_ms) {
+        if self
+            .probe
+            .as_ref()
+            .is_some_and(|p| !p.indirect_requested && !p.answered && now_ms >= p.indirect_ms)
+        {
             self.request_indirect_probes();
         }
-        if now_ms >= self.probe_ms {
+        if now_ms >= self.next_probe_ms {
             self.next_probe();
         }
         let running = self.running_routers();
@@ -33,10 +37,10 @@
             .map(|m| StateUpdate { state: State::Failed, ..m.update(self.rules.own, false) })
             .collect();
         expired.iter().for_each(|update| self.apply_update(update));
-        if now_ms >= self.failed_ms {
+        if now_ms >= self.next_failed_probe_ms {
             self.probe_failed();
         }
-        if now_ms >= self.compare_ms {
+        if now_ms >= self.next_compare_ms {
             self.compare_views();
         }
         if self.joined && self.consensus.allocation().is_some() && now_ms >= self.consensus.renew_ms {
@@ -62,15 +66,15 @@
 
     pub(super) fn suspicion_ends_ms(&self, member: &Member, running: usize) -> Option<f64> {
         let suspicion = member.suspicion.as_ref()?;
-        let least = SUSPICION_MIN_PROBES * self.rules.probe_ms * (running as f64).log10().max(1.0);
+        let min_ms = SUSPICION_MIN_PROBES * self.rules.probe_ms * (running as f64).log10().max(1.0);
         let others = (suspicion.reporters.len() as f64 - 1.0).clamp(0.0, MAX_WITNESSES);
         // Who misses its own deadlines gives others more time before it blames them.
-        let most = SUSPICION_MAX_FACTOR * least * (1.0 + f64::from(self.health) / 2.0);
+        let max_ms = SUSPICION_MAX_FACTOR * min_ms * (1.0 + f64::from(self.health) / 2.0);
         let share = (1.0 + others).ln() / (1.0 + MAX_WITNESSES).ln();
         // Where too few others are there to confirm, the least time is as good as all their words.
-        let few = (running as f64) < MAX_WITNESSES + 2.0;
-        let lasts = if few { (least + most) / 2.0 } else { most - (most - least) * share };
-        Some(suspicion.since_ms + lasts)
+        let too_few = (running as f64) < MAX_WITNESSES + 2.0;
+        let duration_ms = if too_few { (min_ms + max_ms) / 2.0 } else { max_ms - (max_ms - min_ms) * share };
+        Some(suspicion.since_ms + duration_ms)
     }
 
     pub(super) fn running_routers(&self) -> usize {
@@ -85,21 +89,21 @@
     pub(super) fn next_probe(&mut self) {
         self.end_probe();
         let end_ms = self.now_ms + self.probe_interval_ms();
-        self.probe_ms = end_ms;
+        self.next_probe_ms = end_ms;
         if !self.joined {
             return;
         }
         let target = loop {
-            match self.order.pop() {
+            match self.probe_order.pop() {
                 Some(router) if self.members.get(&router).is_some_and(|member| member.state.is_running()) => {
                     break Some(router)
                 }
                 Some(_) => {}
                 None => {
-                    self.order =
+                    self.probe_order =
                         self.members.values().filter(|m| m.state.is_running()).map(|m| m.router).collect();
-                    self.rng.shuffle(&mut self.order);
-                    if self.order.is_empty() {
+                    self.rng.shuffle(&mut self.probe_order);
+                    if self.probe_order.is_empty() {
                         break None;
                     }
                 }
@@ -114,10 +118,10 @@
             seq,
             indirect_ms,
             end_ms,
-            asked: false,
-            direct: false,
+            indirect_requested: false,
+            direct_ack: false,
             answered: false,
-            failures: 0,
+            failed_helpers: 0,
         });
         self.counts.probes += 1;
         let mut messages = vec![Message::Ping { seq, silent_to_sender: self.not_hearing(target) }];
@@ -127,18 +131,18 @@
     }
 
     pub(super) fn not_hearing(&self, target: RouterIndex) -> bool {
-        self.silent.get(&target).is_some_and(|times| *times >= NOT_HEARING_AFTER_PROBES)
+        self.missed_direct_probes.get(&target).is_some_and(|misses| *misses >= NOT_HEARING_AFTER_PROBES)
     }
 
     pub(super) fn request_indirect_probes(&mut self) {
         let Some((target, seq)) = self.probe.as_mut().map(|probe| {
-            probe.asked = true;
+            probe.indirect_requested = true;
             (probe.target, probe.seq)
         }) else {
             return;
         };
-        let able = |m: &&Member| m.state == State::Alive && m.router != target;
-        let mut helpers: Vec<_> = self.members.values().filter(able).map(|m| m.info.address).collect();
+        let eligible = |m: &&Member| m.state == State::Alive && m.router != target;
+        let mut helpers: Vec<_> = self.members.values().filter(eligible).map(|m| m.info.address).collect();
         self.rng.shuffle(&mut helpers);
         for to in helpers.into_iter().take(INDIRECT_PROBE_HELPERS) {
             self.send(to, vec![Message::PingRequest { seq, target }], false);
@@ -153,14 +157,14 @@
             expired.into_iter().filter_map(|seq| self.relayed_probes.remove(&seq)).collect::<Vec<_>>()
         {
             let message =
-                Message::PingResult { seq: relayed.requester_seq, target: relayed.target, heard: false };
+                Message::PingResult { seq: relayed.requester_seq, target: relayed.target, answered: false };
             if let Some(to) = self.members.get(&relayed.requester).map(|member| member.info.address) {
                 self.send(to, vec![message], false);
             }
         }
         let early = self.probe.as_ref().is_some_and(|probe| !probe.answered && now_ms < probe.end_ms);
         let Some(probe) = self.probe.take() else { return };
-        if probe.direct {
+        if probe.direct_ack {
             self.health = self.health.saturating_sub(1);
             return;
         }
@@ -168,13 +172,13 @@
         if early {
             return;
         }
-        let times = self.silent.entry(probe.target).or_default();
-        *times = times.saturating_add(1);
+        let misses = self.missed_direct_probes.entry(probe.target).or_default();
+        *misses = misses.saturating_add(1);
         if probe.answered {
             return;
         }
         self.counts.unanswered += 1;
-        if probe.asked && probe.failures == 0 && self.running_routers() > 2 {
+        if probe.indirect_requested && probe.failed_helpers == 0 && self.running_routers() > 2 {
             // Not even the helpers were heard: the fault may be ours.
             self.health = (self.health + 1).min(MAX_HEALTH_SCORE);
         }
@@ -191,19 +195,19 @@
     }
 
     pub(super) fn contact_seed(&mut self) {
-        let wait = if self.joined { CONTACT_SEED_EVERY_PROBES } else { 1.0 + self.rng.f64() };
-        self.seed_ms = self.now_ms + self.rules.probe_ms * wait;
+        let wait_probes = if self.joined { CONTACT_SEED_EVERY_PROBES } else { 1.0 + self.rng.f64() };
+        self.next_seed_ms = self.now_ms + self.rules.probe_ms * wait_probes;
         let known =
             |at: &SocketAddr| self.members.values().any(|m| m.state.is_running() && m.info.address == *at);
-        let strange: Vec<_> =
+        let unknown_seeds: Vec<_> =
             self.seeds.iter().copied().filter(|at| *at != self.info.address && !known(at)).collect();
-        if strange.is_empty() {
+        if unknown_seeds.is_empty() {
             if !self.joined && self.rules.router_count == 1 {
                 self.join();
             }
             return;
         }
-        let to = strange[self.rng.usize(..strange.len())];
+        let to = unknown_seeds[self.rng.usize(..unknown_seeds.len())];
         let seq = self.next_sequence();
         let message =
             if self.joined { Message::Ping { seq, silent_to_sender: false } } else { Message::Join { seq } };
@@ -212,7 +216,7 @@
 
     /// Asks one that is thought gone whether it is: a cut that has healed is found by both its sides.
     pub(super) fn probe_failed(&mut self) {
-        self.failed_ms =
+        self.next_failed_probe_ms =
             self.now_ms + self.rules.probe_ms * PROBE_FAILED_EVERY_PROBES * (0.5 + self.rng.f64());
         let oldest_ms = self.now_ms - self.rules.remember_ms;
         let before = self.members.len();
@@ -231,23 +235,22 @@
     }
 
     pub(super) fn compare_views(&mut self) {
-        self.compare_ms =
+        self.next_compare_ms =
             self.now_ms + self.rules.probe_ms * COMPARE_VIEWS_EVERY_PROBES * (0.5 + self.rng.f64());
         let own = self.digest();
         let allocation = self.consensus.number();
-        let settled_ms = self.changed_ms + VIEW_SETTLE_PROBES * self.rules.probe_ms;
-        let since = |m: &&Member| m.last_heard_ms.is_some_and(|at| at >= settled_ms);
-        let is_worth_proposing = |m: &&Member| m.state == State::Alive && since(m) && m.digest != own;
-        let behind = |m: &&Member| m.state == State::Alive && m.allocation > allocation;
+        let settled_ms = self.view_changed_ms + VIEW_SETTLE_PROBES * self.rules.probe_ms;
+        let heard_since_change = |m: &&Member| m.last_heard_ms.is_some_and(|at| at >= settled_ms);
+        let differs = |m: &&Member| m.state == State::Alive && heard_since_change(m) && m.digest != own;
+        let has_newer = |m: &&Member| m.state == State::Alive && m.allocation > allocation;
         let pick = |rng: &mut fastrand::Rng, rows: Vec<SocketAddr>| {
             (!rows.is_empty()).then(|| rows[rng.usize(..rows.len())])
         };
-        let other: Vec<_> =
-            self.members.values().filter(is_worth_proposing).map(|m| m.info.address).collect();
-        let newer: Vec<_> = self.members.values().filter(behind).map(|m| m.info.address).collect();
-        if let Some(to) = pick(&mut self.rng, other) {
+        let differing: Vec<_> = self.members.values().filter(differs).map(|m| m.info.address).collect();
+        let ahead: Vec<_> = self.members.values().filter(has_newer).map(|m| m.info.address).collect();
+        if let Some(to) = pick(&mut self.rng, differing) {
             self.exchange(to);
-        } else if let Some(to) = pick(&mut self.rng, newer) {
+        } else if let Some(to) = pick(&mut self.rng, ahead) {
             self.fetch_allocation(to);
         }
     }
--- a/crates/peers/src/view/receive.rs
+++ b/crates/peers/src/view/receive.rs
@@ -105,8 +105,8 @@
             }
             Message::Ack { seq } => {
                 self.record_ack(packet.from, seq);
-                let rival = self.rival.filter(|(at, _, _)| *at == from);
-                if rival.is_none() && !known && (packet.generation != Generation(0) || !self.joined) {
+                let duplicate = self.duplicate.filter(|(at, _, _)| *at == from);
+                if duplicate.is_none() && !known && (packet.generation != Generation(0) || !self.joined) {
                     self.exchange(from);
                 }
             }
@@ -127,12 +127,12 @@
                     self.send(address, vec![Message::Ping { seq: own, silent_to_sender }], false);
                 }
             }
-            Message::PingResult { seq, target, heard } => {
+            Message::PingResult { seq, target, answered } => {
                 if let Some(probe) =
                     self.probe.as_mut().filter(|probe| probe.seq == seq && probe.target == target)
                 {
-                    probe.answered |= heard;
-                    probe.failures += usize::from(!heard);
+                    probe.answered |= answered;
+                    probe.failed_helpers += usize::from(!answered);
                 }
             }
             Message::Join { seq } => {
@@ -183,14 +183,14 @@
     }
 
     pub(super) fn record_ack(&mut self, from: RouterIndex, seq: u32) {
-        self.silent.remove(&from);
+        self.missed_direct_probes.remove(&from);
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq && probe.target == from) {
             probe.answered = true;
-            probe.direct = true;
+            probe.direct_ack = true;
         }
         if let Some(relayed) = self.relayed_probes.remove(&seq).filter(|relayed| relayed.target == from) {
             let message =
-                Message::PingResult { seq: relayed.requester_seq, target: relayed.target, heard: true };
+                Message::PingResult { seq: relayed.requester_seq, target: relayed.target, answered: true };
             if let Some(to) = self.members.get(&relayed.requester).map(|member| member.info.address) {
                 self.send(to, vec![message], false);
             }
@@ -210,7 +210,7 @@
 
     pub(super) fn apply_update(&mut self, update: &StateUpdate) {
         if update.router == self.rules.own {
-            self.update_about_self(update);
+            self.handle_update_about_self(update);
             return;
         }
         if usize::from(update.router.0) >= self.rules.router_count.max(1) * 4 {
@@ -228,18 +228,18 @@
     }
 
     /// Only the router itself refutes, by a higher incarnation; one that was remembered from before, by a higher life.
-    pub(super) fn update_about_self(&mut self, update: &StateUpdate) {
+    pub(super) fn handle_update_about_self(&mut self, update: &StateUpdate) {
         // Before anyone let this life in, one that is remembered as high was another's; and nobody comes back who left.
         let before = !self.joined && !self.announced || update.state == State::Left && !self.leaving;
         if update.generation > self.generation || before && update.generation == self.generation {
-            let elsewhere =
+            let other_address =
                 update.info.as_ref().map(|info| info.address).filter(|at| *at != self.info.address);
-            match elsewhere.filter(|_| update.state.is_running() && self.joined) {
+            match other_address.filter(|_| update.state.is_running() && self.joined) {
                 // Somebody may really be there: it is asked, and the higher life stays.
                 Some(address) => {
-                    if self.rival.is_none() {
+                    if self.duplicate.is_none() {
                         let until = self.now_ms + self.rules.probe_ms * 3.0;
-                        self.rival = Some((address, update.generation, until));
+                        self.duplicate = Some((address, update.generation, until));
                         let seq = self.next_sequence();
                         self.send(address, vec![Message::Ping { seq, silent_to_sender: false }], false);
                     }
@@ -276,15 +276,15 @@
             if !member.is_superseded_by(update.generation, update.incarnation, update.state) {
                 return false;
             }
-            self.known_digest.set(None);
-            self.changed_ms = now_ms;
+            self.cached_digest.set(None);
+            self.view_changed_ms = now_ms;
             let from = member.state;
             if update.generation > member.generation {
                 // A new life without its address can't be reached: the next exchange brings it.
                 let Some(info) = update.info.clone() else { return false };
                 let history = std::mem::take(&mut member.history);
                 *member = Member { history, ..Member::new(now_ms, update, info) };
-                self.silent.remove(&update.router);
+                self.missed_direct_probes.remove(&update.router);
             }
             let Some(member) = self.members.get_mut(&update.router) else { return false };
             member.incarnation = update.incarnation;
@@ -334,12 +334,13 @@
         let draw = f64::from(crc32fast::hash(&bytes)) / f64::from(u32::MAX);
         let chosen =
             draw * self.running_routers() as f64 <= 2.0 * MAX_WITNESSES && update.reporter != self.rules.own;
-        let looking = self.probe.as_ref().is_some_and(|probe| probe.target == update.router);
-        if chosen && !looking {
+        let already_probed = self.probe.as_ref().is_some_and(|probe| probe.target == update.router);
+        if chosen && !already_probed {
             // The next to be probed, and soon.
-            self.order.push(update.router);
-            self.probe_ms =
-                self.probe_ms.min(self.now_ms + self.rules.probe_ms * INDIRECT_PROBE_AFTER * self.rng.f64());
+            self.probe_order.push(update.router);
+            self.next_probe_ms = self
+                .next_probe_ms
+                .min(self.now_ms + self.rules.probe_ms * INDIRECT_PROBE_AFTER * self.rng.f64());
         }
     }
 
--- a/crates/peers/src/view/send.rs
+++ b/crates/peers/src/view/send.rs
@@ -28,9 +28,9 @@
     }
 
     /// A datagram with these words, and where `more`, with what there is to pass on.
-    pub(super) fn send(&mut self, to: SocketAddr, mut messages: Vec<Message>, more: bool) {
-        if more && self.joined {
-            let used: usize = messages.iter().map(size).sum::<usize>() + PACKET_HEADER_BYTES;
+    pub(super) fn send(&mut self, to: SocketAddr, mut messages: Vec<Message>, with_gossip: bool) {
+        if with_gossip && self.joined {
+            let used: usize = messages.iter().map(size).sum::<usize>() + PACKET_OVERHEAD_BYTES;
             let routers = self.running_routers();
             messages.extend(self.gossip.take(MAX_DATAGRAM_BYTES.saturating_sub(used), routers));
         }
@@ -42,7 +42,7 @@
 
     /// By datagram where it fits, else over TCP.
     pub(super) fn send_large(&mut self, to: SocketAddr, message: Message) {
-        if size(&message) + PACKET_HEADER_BYTES <= MAX_DATAGRAM_BYTES {
+        if size(&message) + PACKET_OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES {
             self.send(to, vec![message], false);
         } else {
             let packets = vec![self.packet(vec![message])];
@@ -53,19 +53,19 @@
     // What can be asked of it.
 
     pub(super) fn view_changed(&mut self) {
-        self.known_digest.set(None);
-        self.changed_ms = self.now_ms;
+        self.cached_digest.set(None);
+        self.view_changed_ms = self.now_ms;
     }
 
     /// Fingerprint of the view: equal views have equal ones, in whatever order they came about.
     pub fn digest(&self) -> u32 {
-        if let Some(known) = self.known_digest.get() {
+        if let Some(known) = self.cached_digest.get() {
             return known;
         }
         let own = Member::new(0.0, &self.own_update(State::Alive, false), self.info.clone()).digest();
         let digest =
             self.members.values().filter(|m| m.state != State::Left).fold(own, |sum, m| sum ^ m.digest());
-        self.known_digest.set(Some(digest));
+        self.cached_digest.set(Some(digest));
         digest
     }
 
@@ -87,7 +87,7 @@
         let peers: Vec<_> = self
             .members
             .values()
-            .filter(|m| m.state.is_running() && m.last_heard_ms.is_some_and(|at| at >= self.changed_ms))
+            .filter(|m| m.state.is_running() && m.last_heard_ms.is_some_and(|at| at >= self.view_changed_ms))
             .collect();
         let differing: Vec<_> = peers.iter().filter(|m| m.digest != digest).map(|m| m.router).collect();
         let running = || self.members.values().filter(|m| m.state.is_running());
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -68,7 +68,7 @@
     PingResult {
         seq: u32,
         target: RouterIndex,
-        heard: bool,
+        answered: bool,
     },
     /// A starting router asks to be let in; the answer is an `Ack` and an exchange of views.
     Join {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn page_mut(&mut self) -> Option<&mut Allocation> {
+    fn allocation_mut(&mut self) -> Option<&mut Allocation> {
         match self {
             Message::Propose { allocation } | Message::Chosen { allocation } => Some(allocation),
             _ => None,
@@ -231,8 +231,8 @@
         postcard::take_from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Words)?;
     // Before what a newer version may add, and only beside pages.
     if let Ok((extras, _)) = postcard::take_from_bytes::<Vec<Vec<u8>>>(rest) {
-        let pages = packet.messages.iter_mut().filter_map(Message::page_mut);
-        pages.zip(extras).for_each(|(allocation, extra)| allocation.extra = extra);
+        let allocations = packet.messages.iter_mut().filter_map(Message::allocation_mut);
+        allocations.zip(extras).for_each(|(allocation, extra)| allocation.extra = extra);
     }
     let valid_info = |info: &RouterInfo| {
         is_loopback_address(info.address) && info.name.len() <= 64 && info.region.len() <= 64
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -442,7 +442,7 @@
             "digest": digest, "health": peers.health(), "rumours": peers.queued_gossip(),
             "page": {
                 "number": keeping.number(), "seats": seats, "keeper": keeping.is_voter(), "kept": keeping.accepted_number(),
-                "silent_ms": (keeping.silent_until_ms() - now_ms).max(0.0),
+                "silent_ms": (keeping.abstains_until_ms() - now_ms).max(0.0),
             },
             "shares": {
                 "routers": granted.routers, "rank": granted.rank, "of": granted.shares,
