--- a/crates/peers/src/allocation.rs
+++ b/crates/peers/src/allocation.rs
@@ -1,49 +1,52 @@
-//! The page: the roster that was last agreed, numbered, with what is shared out among it.
+//! The allocation: the last agreed list of routers, numbered, with the parts of the shared resources that
+//! each of them may use.
 
 use serde::{Deserialize, Serialize};
 
 use crate::wire::{Generation, RouterIndex};
 
-/// One router's seat.
+/// One router's entry in an allocation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AllocationEntry {
     pub router: RouterIndex,
     pub generation: Generation,
-    /// Of each thing, in parts of [`WHOLE`] of what is lent; of the first thing, whole pieces.
+    /// By resource: out of [`TOTAL_PARTS`] of what is allocated by need; for resource 0, whole permits.
     pub parts: Vec<u16>,
 }
 
-/// What all seats' parts of a thing add up to at most.
+/// The most that all entries' parts of a resource may add up to.
 pub const TOTAL_PARTS: u16 = 60_000;
-/// Most places and things that a page may have.
+/// Most routers and resources in an allocation.
 pub const ROUTERS_MAX: usize = 4096;
 pub const RESOURCES_MAX: usize = 32;
-/// Most bytes that a page may carry for others.
+/// Most extra bytes in an allocation.
 pub const MAX_EXTRA_BYTES: usize = 4096;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allocation {
     pub number: u64,
-    /// Pieces of the first thing, as its maker's settings have it.
+    /// Number of slow-start permits (resource 0) in the proposer's settings.
     pub slow_start_permits: u16,
-    /// By place.
+    /// Sorted by router index.
     pub entries: Vec<AllocationEntry>,
-    /// What else was agreed with it, as bytes that are only carried. On the wire it stands behind the letter's words,
-    /// where a version that does not know it passes over it; without any, pages of both are the same.
+    /// Further data agreed with the allocation, opaque to this crate. On the wire it follows the packet's
+    /// messages, where a version that does not know it ignores it; without extra data, both versions encode
+    /// an allocation alike.
     #[serde(skip)]
     pub extra: Vec<u8>,
 }
 
 impl Allocation {
-    /// Fingerprint by which keepers and holders know that they mean the same page. Two of one number can only come to
-    /// be after a majority of the keepers started anew.
+    /// Hash by which voters and holders check that they mean the same allocation. Two allocations with the
+    /// same number are possible only after a quorum of the voters restarted.
     pub fn fingerprint(&self) -> u32 {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
         bytes.extend(&self.extra);
         crc32fast::hash(&bytes)
     }
 
-    /// Whether its places are in order, its rows alike, and nothing in it adds up to more than the whole.
+    /// Whether the entries are sorted and of equal length, and the parts of no resource add up to more than
+    /// the whole.
     pub fn is_valid(&self) -> bool {
         let resources = self.entries.first().map_or(0, |entry| entry.parts.len());
         let ordered = self.entries.windows(2).all(|pair| pair[0].router < pair[1].router);
@@ -61,10 +64,13 @@
     }
 
     pub fn entry(&self, router: RouterIndex) -> Option<&AllocationEntry> {
-        self.entries.binary_search_by_key(&router, |entry| entry.router).ok().map(|row| &self.entries[row])
+        self.entries
+            .binary_search_by_key(&router, |entry| entry.router)
+            .ok()
+            .map(|index| &self.entries[index])
     }
 
-    /// Rank of a place among those seated.
+    /// Rank of a router among the entries.
     pub fn rank(&self, router: RouterIndex) -> Option<usize> {
         self.entries.binary_search_by_key(&router, |entry| entry.router).ok()
     }
--- a/crates/peers/src/consensus.rs
+++ b/crates/peers/src/consensus.rs
@@ -1,31 +1,37 @@
-//! Pages are kept by a few routers, and hold where a majority of those has taken them. A holder uses what a page gives
-//! it as long as a majority of the keepers confirmed that page to it within the lease, counted on the holder's own
-//! clock from when it asked.
+//! Agreement on the allocation of shared resources. A few routers are voters; an allocation is chosen once a
+//! quorum of them has accepted it. A holder uses its share of an allocation as long as a quorum of the voters
+//! has confirmed that allocation to it within the lease, which counts on the holder's own clock from when the
+//! confirmation was requested.
 //!
-//! Why no two holders together use more than the whole, at any instant and under any cut, pause and restart:
-//! 1. A keeper takes higher numbers only and confirms the page alone that it keeps. Two majorities share a keeper, so
-//!    once a majority has taken page n, no lease of a lower one is renewed, and all have lapsed one lease later.
-//! 2. A page is *ripe* at a holder once it knows it for longer than a lease: then nobody uses an older one. Only
-//!    then does the holder use more than it did. Before, it uses the least of all pages since its last ripe one, and
-//!    only if it held each of them in turn; else nothing beyond its floor.
-//! 3. So everybody's use is at most its part of the newest page that is ripe at anyone, and a page adds up to the whole.
-//! 4. A keeper that started anew, or whose settings count other places, has forgotten what it took. It takes and
-//!    confirms nothing for longer than a lease, so whatever rested on its word has lapsed.
-//! 5. Leases run on the holder's clock, which goes on while its process is stopped; who wakes finds its own lapsed.
-//!    Clocks may run apart by a quarter of a lease in a lease.
+//! Why all holders together never use more than the whole, under any partition, pause or restart:
+//! 1. A voter accepts increasing numbers only, and confirms only the allocation that it has accepted. Two
+//!    quorums share a voter, so once a quorum has accepted allocation n, no lease on a lower one is renewed,
+//!    and all of them have expired one lease later.
+//! 2. An allocation is *in effect* at a holder once the holder has known it for longer than a lease: by then
+//!    nobody uses an older one. Only then may the holder use more than before. Until then it uses the least
+//!    share of all allocations since the last one in effect, and only if it received each of them in turn;
+//!    otherwise nothing beyond its floor.
+//! 3. So each holder uses at most its share of the newest allocation that is in effect anywhere, and the
+//!    shares of an allocation add up to the whole at most.
+//! 4. A voter that restarted, or whose number of configured routers changed, has forgotten what it accepted.
+//!    It accepts and confirms nothing for longer than a lease, so every lease that rested on its confirmation
+//!    has expired.
+//! 5. Leases run on the holder's clock, which goes on while its process is stopped; a holder that resumes
+//!    finds its lease expired. Clocks may drift apart by a quarter of a lease within a lease.
 
 use std::collections::BTreeMap;
 
 use crate::allocation::Allocation;
 use crate::wire::{Generation, RouterIndex};
 
-/// Most keepers; all routers where there are fewer. Places, not members: settings name them alike everywhere.
+/// Most voters; all routers where there are fewer. Voters are chosen among the configured routers rather than
+/// the current members, since every router's settings name the same ones.
 pub const MAX_VOTERS: usize = 9;
-/// How much longer than a lease others wait before they use what it covered.
+/// Factor on the lease, for clock drift: how long others wait before they use what a lease covered.
 const CLOCK_DRIFT_FACTOR: f64 = 1.25;
-/// Asks for confirmation within one lease.
+/// Renewal requests within one lease.
 const RENEWALS_PER_LEASE: f64 = 2.0;
-/// Asks of which the time is remembered.
+/// Renewal requests whose send time is remembered.
 const RENEWALS_KEPT: u32 = 8;
 
 pub fn voters(router_count: usize) -> impl Iterator<Item = RouterIndex> {
@@ -36,7 +42,7 @@
     router_count.min(MAX_VOTERS) / 2 + 1
 }
 
-/// A page put before the keepers.
+/// An allocation put before the voters.
 #[derive(Clone, Debug)]
 struct Proposal {
     allocation: Allocation,
@@ -44,28 +50,28 @@
     since_ms: f64,
 }
 
-/// The part of one router in what is kept in common: as keeper, holder and proposer.
+/// State of one router as voter, holder and proposer.
 #[derive(Clone, Debug)]
 pub struct Consensus {
     own: RouterIndex,
     router_count: usize,
     lease_ms: f64,
-    /// As keeper: what it took last, and until when it says nothing.
+    /// As voter: the allocation accepted last, and until when this router abstains.
     accepted: Option<Allocation>,
     abstains_until_ms: f64,
-    /// As holder: the page it goes by, when it learned of it, and what it may use before that is ripe.
+    /// As holder: the current allocation, when it was adopted, and what may be used until it takes effect.
     allocation: Option<Allocation>,
     adopted_ms: f64,
     restricted: Vec<u16>,
-    /// Until when the carried parts are covered by the leases of pages before this one.
+    /// Until when the leases on earlier allocations cover `restricted`.
     restricted_until_ms: f64,
-    /// When the newest confirmed ask of each keeper was sent.
+    /// For each voter, when the latest renewal request that it confirmed was sent.
     confirmed: BTreeMap<RouterIndex, f64>,
     renewals: BTreeMap<u32, f64>,
     next_renewal: u32,
     pub renew_ms: f64,
     proposal: Option<Proposal>,
-    /// Highest number heard of.
+    /// Highest allocation number seen.
     highest: u64,
     pub chosen_total: u64,
 }
@@ -92,7 +98,8 @@
         }
     }
 
-    /// Other settings: what was promised under the old count of places lapses first.
+    /// Adopts a changed number of configured routers. As after a restart, this router abstains until the
+    /// promises made under the old number have expired.
     pub fn reconfigure(&mut self, now_ms: f64, router_count: usize) {
         let highest = self.highest;
         *self = Consensus::new(now_ms, self.own, router_count, self.lease_ms);
@@ -112,7 +119,7 @@
     }
 
     pub fn observe_number(&mut self, number: u64) {
-        // A number that no fleet could have come to says nothing but that its sender is not to be believed.
+        // A number this far ahead cannot come from a correct router; it is ignored.
         if number < self.highest.saturating_add(1 << 32) {
             self.highest = self.highest.max(number);
         }
@@ -122,25 +129,25 @@
         self.accepted.as_ref().map_or(0, |allocation| allocation.number)
     }
 
-    /// As keeper: takes a page or says which one it keeps.
+    /// As voter: accepts an allocation if its number is above the accepted one.
     pub fn accept_proposal(&mut self, now_ms: f64, allocation: &Allocation) -> bool {
         self.observe_number(allocation.number);
-        let good =
+        let accepts =
             self.is_voter() && now_ms >= self.abstains_until_ms && allocation.number > self.accepted_number();
-        if good {
+        if accepts {
             self.accepted = Some(allocation.clone());
         }
-        good
+        accepts
     }
 
-    /// As keeper: whether a holder may go on with that page.
+    /// As voter: whether a holder may continue to use that allocation.
     pub fn confirms_allocation(&self, now_ms: f64, number: u64, fingerprint: u32) -> bool {
         let same =
             |allocation: &Allocation| allocation.number == number && allocation.fingerprint() == fingerprint;
         self.is_voter() && now_ms >= self.abstains_until_ms && self.accepted.as_ref().is_some_and(same)
     }
 
-    /// As proposer: begins an offer; the own vote goes in at once.
+    /// As proposer: starts a proposal, with this router's own vote if it is a voter.
     pub fn begin_proposal(&mut self, now_ms: f64, allocation: Allocation) {
         let own = self.accept_proposal(now_ms, &allocation);
         let votes = if own { vec![self.own] } else { Vec::new() };
@@ -155,7 +162,7 @@
         self.highest.max(self.number()).max(self.accepted_number()) + 1
     }
 
-    /// As proposer: a keeper's yes. The page, once it is a majority's.
+    /// As proposer: counts a voter's acceptance. Returns the allocation once a quorum has accepted it.
     pub fn record_vote(&mut self, from: RouterIndex, number: u64) -> Option<Allocation> {
         let proposal = self.proposal.as_mut().filter(|proposal| proposal.allocation.number == number)?;
         if usize::from(from.0) < self.router_count.min(MAX_VOTERS) && !proposal.votes.contains(&from) {
@@ -166,7 +173,8 @@
             .flatten()
     }
 
-    /// Whether the own vote alone decides, as where one router is configured.
+    /// Returns the proposed allocation if this router's own vote is a quorum, as with a single configured
+    /// router.
     pub fn decided(&mut self) -> Option<Allocation> {
         let proposal = self.proposal.as_ref()?;
         (proposal.votes.len() >= quorum(self.router_count))
@@ -174,24 +182,24 @@
             .flatten()
     }
 
-    /// A majority has taken this page. Whether it is news.
+    /// Adopts an allocation that a quorum has accepted. Returns whether it was new.
     pub fn apply_chosen(&mut self, now_ms: f64, allocation: &Allocation, generation: Generation) -> bool {
         self.observe_number(allocation.number);
         if self.is_voter() && allocation.number > self.accepted_number() {
             self.accepted = Some(allocation.clone());
         }
-        let lapsed = now_ms >= self.lease_until_ms();
-        let other = self
+        let expired = now_ms >= self.lease_until_ms();
+        let replaces_same_number = self
             .allocation
             .as_ref()
-            .is_some_and(|old| old.number == allocation.number && old != allocation && lapsed);
-        if allocation.number <= self.number() && !other {
+            .is_some_and(|old| old.number == allocation.number && old != allocation && expired);
+        if allocation.number <= self.number() && !replaces_same_number {
             return false;
         }
-        let follows = !other && allocation.number == self.number() + 1;
+        let follows = !replaces_same_number && allocation.number == self.number() + 1;
         let usable = self.usable(now_ms, generation);
         let granted = parts_of(allocation, self.own, generation);
-        // Rule 2 of the head of this file.
+        // Rule 2 of the module documentation.
         let restricted = match usable {
             Some(usable) if follows => {
                 usable.iter().zip(&granted).map(|(usable, granted)| *usable.min(granted)).collect()
@@ -209,7 +217,7 @@
         true
     }
 
-    /// As holder: it is time to ask the keepers; the number of the ask.
+    /// As holder: starts a renewal and returns its request number.
     pub fn begin_renewal(&mut self, now_ms: f64) -> u32 {
         self.next_renewal = self.next_renewal.wrapping_add(1);
         let renewal = self.next_renewal;
@@ -219,7 +227,7 @@
         renewal
     }
 
-    /// As holder: a keeper confirmed what was asked then.
+    /// As holder: records a voter's confirmation of a renewal request.
     pub fn record_renewal(&mut self, from: RouterIndex, number: u64, renewal: u32) {
         if number != self.number() || usize::from(from.0) >= self.router_count.min(MAX_VOTERS) {
             return;
@@ -230,7 +238,7 @@
         }
     }
 
-    /// Whom to ask: a majority of those who confirmed the last time; all keepers where they were fewer.
+    /// The voters to ask: a quorum of those that confirmed the previous request; all voters where fewer did.
     pub fn renewal_targets(&self) -> Vec<RouterIndex> {
         let all = || voters(self.router_count).filter(|router| *router != self.own);
         let requested_ms =
@@ -245,7 +253,7 @@
         }
     }
 
-    /// Confirms to itself, where it is a keeper.
+    /// If this router is a voter, confirms its own renewal.
     pub fn confirm_own(&mut self, now_ms: f64, renewal: u32) {
         if let Some(allocation) = &self.allocation {
             let (number, fingerprint) = (allocation.number, allocation.fingerprint());
@@ -255,14 +263,14 @@
         }
     }
 
-    /// Clock time until which a majority's word on the own page holds.
+    /// Until when a quorum's confirmations of the current allocation are valid, on the own clock.
     fn confirmed_until_ms(&self) -> f64 {
         let mut sent: Vec<f64> = self.confirmed.values().copied().collect();
         sent.sort_by(|a, b| b.total_cmp(a));
         sent.get(quorum(self.router_count) - 1).map_or(f64::NEG_INFINITY, |sent| sent + self.lease_ms)
     }
 
-    /// Clock time until which anything beyond the floor may be used.
+    /// Until when anything beyond the floor may be used, on the own clock.
     pub fn lease_until_ms(&self) -> f64 {
         self.confirmed_until_ms().max(self.restricted_until_ms)
     }
@@ -271,7 +279,7 @@
         self.adopted_ms + CLOCK_DRIFT_FACTOR * self.lease_ms
     }
 
-    /// Parts of what is lent that may be used now; none where no lease holds.
+    /// The allocated parts that may be used now; none without a valid lease.
     pub fn usable(&self, now_ms: f64, generation: Generation) -> Option<Vec<u16>> {
         let allocation = self.allocation.as_ref()?;
         if now_ms >= self.effective_ms() {
@@ -280,7 +288,7 @@
         (now_ms < self.lease_until_ms()).then(|| self.restricted.clone())
     }
 
-    /// When what may be used changes by itself: a lease lapses or a page ripens.
+    /// When the usable parts next change without an event: a lease expires or an allocation takes effect.
     pub fn next_change_ms(&self, now_ms: f64) -> Option<f64> {
         let times = [self.lease_until_ms(), self.confirmed_until_ms(), self.effective_ms()];
         times.into_iter().filter(|at| at.is_finite() && *at > now_ms).min_by(f64::total_cmp)
@@ -291,7 +299,7 @@
     }
 }
 
-/// Nothing for a router that the page seats under another life.
+/// All zero for a router that the allocation lists with another generation or not at all.
 fn parts_of(allocation: &Allocation, own: RouterIndex, generation: Generation) -> Vec<u16> {
     let entry = allocation.entry(own).filter(|entry| entry.generation == generation);
     let resources = allocation.entries.first().map_or(0, |entry| entry.parts.len());
--- a/crates/peers/src/gossip.rs
+++ b/crates/peers/src/gossip.rs
@@ -1,15 +1,15 @@
-//! Words that are passed on with every datagram, the least told first, until each was told often enough for everyone
-//! to have heard it.
+//! Messages that are piggybacked on datagrams, the least often sent first, until each has been sent often
+//! enough to reach every router.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::wire::{size, Message, RouterIndex};
 
-/// Times a word is told, for each tenfold of routers.
+/// How often a message is sent, for each factor of ten in the number of routers.
 const SENDS_PER_DECADE: f64 = 4.0;
-/// Times that a state or a page is told before a row comes first.
+/// A row is ranked as if it had been sent this many times more, so that states and allocations go first.
 const ROW_PENALTY_SENDS: u32 = 2;
-/// Bytes in which hardly a word finds room.
+/// Least room in bytes worth trying to fill.
 const MIN_MESSAGE_BYTES: usize = 12;
 
 #[derive(Clone, Debug)]
@@ -17,11 +17,11 @@
     message: Message,
     size: usize,
     sends: u32,
-    /// Newer first among those told as often.
+    /// Among messages sent equally often, the newer one goes first.
     number: u64,
 }
 
-/// What a word is about: a newer one takes the place of the older.
+/// What a message is about: a newer message replaces the older one on the same subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     State(RouterIndex),
@@ -29,11 +29,11 @@
     Allocation,
 }
 
-/// Bounded by its keys: two a router and one for the page.
+/// Bounded by its keys: two for each router and one for the allocation.
 #[derive(Clone, Debug, Default)]
 pub struct GossipQueue {
     queued: BTreeMap<Subject, Queued>,
-    /// The same in the order in which they are told.
+    /// The same messages in the order of sending.
     order: BTreeSet<(u32, u64, Subject)>,
     next: u64,
 }
@@ -49,14 +49,14 @@
 
 impl Queued {
     fn rank(&self, subject: Subject) -> (u32, u64, Subject) {
-        // What a router says of itself waits for who is there and who is not.
+        // What a router publishes about itself is less urgent than which routers are running.
         let penalty = if matches!(subject, Subject::Row(_)) { ROW_PENALTY_SENDS } else { 0 };
         (self.sends + penalty, u64::MAX - self.number, subject)
     }
 }
 
 impl GossipQueue {
-    /// Passes a word on from now; the one before on the same matter is dropped.
+    /// Queues a message, replacing the one on the same subject.
     pub fn add(&mut self, message: Message) {
         let Some(subject) = subject(&message) else { return };
         self.next += 1;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What goes with the next datagram into `room` bytes, among so many routers.
+    /// Takes the messages for the next datagram, up to `room` bytes, in a cluster of `routers` routers.
     pub fn take(&mut self, room: usize, routers: usize) -> Vec<Message> {
         let max_sends = (SENDS_PER_DECADE * (routers as f64 + 1.0).log10()).ceil().max(3.0) as u32;
         let (mut left, mut taken) = (room, Vec::new());
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,7 +1,8 @@
-//! Who the routers are, who of them has failed, how common that view is, and what is shared out among them. Decisions
-//! only: told what came and what time it is, [`Peers`] returns what to send. No socket, clock, log or chance of its own.
+//! Cluster membership of the routers, failure detection, gossip, and the allocation of shared resources. This
+//! crate decides only: given an event and the current time, [`Peers`] returns the actions to take. It has no
+//! socket, clock, log or source of randomness of its own.
 //!
-//! `docs/design/peers.md` tells what was weighed and what each state may do.
+//! `docs/design/peers.md` describes the alternatives that were weighed and what each state permits.
 
 pub mod allocation;
 pub mod consensus;
@@ -20,24 +21,26 @@
 pub use view::{Action, Counts, Event, Peers};
 pub use wire::{DecodeError, Generation, RouterIndex};
 
-/// What a router is told of its fellows at the start. Times in ms.
+/// Configuration of [`Peers`]. Times in ms.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    /// Name of the deployment; words of another one are dropped.
+    /// Name of the deployment; packets of other deployments are dropped.
     pub deployment: String,
-    /// Places that are configured, and the own one among them.
+    /// Number of configured routers, and the index of this one among them.
     pub router_count: usize,
     pub own: RouterIndex,
-    /// Time between two probes; every other time of detection is a ratio to it.
+    /// Probe interval; every other time of failure detection is a multiple of it.
     pub probe_ms: f64,
-    /// How long a share stays valid at its holder without being confirmed anew.
+    /// How long a share stays valid at its holder without being confirmed again.
     pub lease_ms: f64,
-    /// Part of each thing shared out that is split evenly over all places and never lent.
+    /// Fraction of each resource that is split evenly over all configured routers and never allocated by
+    /// need.
     pub floor: f64,
-    /// How long one that failed or left is remembered.
+    /// How long a router that failed or left is remembered.
     pub remember_ms: f64,
-    /// Things shared out that are split by need.
+    /// Number of shared resources, the slow-start permits (resource 0) included.
     pub resources: usize,
-    /// Pieces of the first thing, the right to send to fresh workers, that may be held at once.
+    /// Resource 0: how many permits to send to workers in slow start may be held at once in the whole
+    /// cluster.
     pub slow_start_permits: usize,
 }
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -1,4 +1,4 @@
-//! One router as another one knows it.
+//! One router as another router knows it.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -7,14 +7,14 @@
 
 use crate::wire::{Generation, RouterIndex, Row, StateUpdate};
 
-/// How a router stands in another's view; graver ones later.
+/// State of a router in another one's view, in order of severity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
     Alive,
-    /// Did not answer; has until its time runs out to say that it lives.
+    /// Did not answer a probe; has until the suspicion expires to refute it.
     Suspect,
     Failed,
-    /// By its own word.
+    /// Announced by the router itself.
     Left,
 }
 
@@ -28,24 +28,24 @@
         }
     }
 
-    /// Whether it counts as running.
+    /// Whether the router counts as running.
     pub fn is_running(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// What does not change within one life.
+/// What does not change within one generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterInfo {
     pub name: String,
-    /// For datagrams and for exchanges alike.
+    /// For datagrams as well as for TCP exchanges.
     pub address: SocketAddr,
     pub zone: u8,
     pub region: String,
     pub format: u8,
 }
 
-/// One change of a member's state: from what, to what, by whose word, at what time of our clock.
+/// One change of a member's state, at a time of the own clock. `reporter` is the router that observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     pub at_ms: f64,
@@ -56,18 +56,18 @@
     pub reporter: RouterIndex,
 }
 
-/// A suspicion that runs.
+/// A running suspicion.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Suspicion {
     pub since_ms: f64,
-    /// Who saw it first-hand, the first included.
+    /// Every router that observed it first-hand, the first one included.
     pub reporters: BTreeSet<RouterIndex>,
 }
 
-/// Changes that are kept of each member.
+/// Changes kept for each member.
 const HISTORY: usize = 12;
 
-/// Lives as long as the router is remembered.
+/// Kept as long as the router is remembered.
 #[derive(Clone, Debug)]
 pub struct Member {
     pub router: RouterIndex,
@@ -76,12 +76,12 @@
     pub state: State,
     pub info: RouterInfo,
     pub suspicion: Option<Suspicion>,
-    /// When the state last changed; when a letter of its own last came, none: never.
+    /// When the state last changed, and when a packet of the router itself last arrived (`None`: never).
     pub since_ms: f64,
     pub last_heard_ms: Option<f64>,
-    /// Until when its own word counts that it does not hear us.
+    /// Until when its report that it receives nothing from us is valid.
     pub cannot_hear_us_until_ms: f64,
-    /// Digest of its view and the page that it goes by, as it last said.
+    /// Digest of its view and number of its allocation, as it last reported.
     pub digest: u32,
     pub allocation: u64,
     pub router_count: u16,
@@ -111,8 +111,8 @@
         member
     }
 
-    /// Whether a word is newer than what is known. Of one life and incarnation the graver state wins; who left does
-    /// not come back within its life.
+    /// Whether a report is newer than what is known. Within one generation and incarnation the more severe
+    /// state wins; a router that left does not come back within its generation.
     pub fn is_superseded_by(&self, generation: Generation, incarnation: u32, state: State) -> bool {
         if generation != self.generation {
             return generation > self.generation;
@@ -131,7 +131,7 @@
         self.history.push_back(Change { at_ms: now_ms, generation, incarnation, from, to, reporter });
     }
 
-    /// The word that says what is known.
+    /// An update that reports this state.
     pub fn update(&self, reporter: RouterIndex, with_info: bool) -> StateUpdate {
         StateUpdate {
             router: self.router,
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Its part of the digest of a view. A suspicion is not yet a difference.
+    /// Contribution to the digest of a view. A suspected router counts as alive: a suspicion alone is not a
+    /// difference.
     pub fn digest(&self) -> u32 {
         let state = if self.state == State::Suspect { State::Alive } else { self.state };
         let mut bytes = [0; 11];
--- a/crates/peers/src/shares.rs
+++ b/crates/peers/src/shares.rs
@@ -1,36 +1,38 @@
-//! What is shared out: who needs how much, and how the next page splits it.
+//! Splits the shared resources among the routers by need.
 //!
-//! The first thing is the right to send to fresh workers. It is lent in whole pieces, since less than one dispatch
-//! is none, and has no floor. Each further thing is split by need beyond a floor that every configured place keeps.
+//! Resource 0 is the right to send to workers in slow start. It is allocated in whole permits, since a
+//! fraction of a dispatch is of no use, and has no floor. Each further resource is split by need beyond a
+//! floor that every configured router keeps.
 
 use std::collections::BTreeMap;
 
 use crate::allocation::{Allocation, AllocationEntry, TOTAL_PARTS};
 use crate::wire::{Generation, RouterIndex};
 
-/// What one router wants of each thing, in units a second that all routers count alike.
+/// One router's need for each resource, in units per second that all routers measure alike.
 pub type Needs = Vec<f64>;
 
 /// What a router may use now.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Granted {
-    /// Routers to reckon with, and the own rank among them.
+    /// Number of routers to assume, and this router's rank among them.
     pub routers: usize,
     pub rank: usize,
-    /// Of each thing, as a share of the whole, floor included.
+    /// By resource, as a fraction of the whole, floor included.
     pub shares: Vec<f64>,
-    /// Until when on the own clock that holds without another word; then the floor alone does.
+    /// Until when this holds on the own clock unless it is renewed; after that the floor alone applies.
     pub until_ms: f64,
     pub allocation: u64,
 }
 
-/// Part of the way to what need asks for that one page goes. Guards against shares that swing with every gust of
-/// traffic. Harm: who suddenly needs more waits for some pages.
+/// Fraction of the way from the previous share towards the share by need that one allocation moves. Keeps
+/// shares from oscillating with short bursts of traffic. Drawback: a router whose need rises suddenly waits
+/// for several allocations.
 const STEP_FRACTION: f64 = 0.5;
-/// Need that everyone is held to have, as a part of the mean: nobody is lent nothing.
+/// Least need assumed for every router, as a fraction of the mean, so that no router gets nothing.
 const MIN_NEED_FRACTION: f64 = 0.1;
 
-/// Splits all things among those seated.
+/// Splits all resources among the routers of the roster.
 pub fn split(
     number: u64,
     roster: &BTreeMap<RouterIndex, (Generation, Needs)>,
@@ -65,7 +67,8 @@
     Allocation { number, slow_start_permits: slow_start_permits as u16, entries, extra: Vec::new() }
 }
 
-/// Evenly as far as it goes; the rest to those who hold one already, then to those who need most.
+/// Splits evenly as far as possible; the remainder goes first to routers that hold an extra permit already,
+/// then to those with the greatest need.
 fn split_permits(
     entries: &[AllocationEntry],
     slow_start_permits: usize,
@@ -75,13 +78,13 @@
     let all = entries.len().max(1);
     let (each, rest) = (slow_start_permits / all, slow_start_permits % all);
     let mut order: Vec<usize> = (0..entries.len()).collect();
-    let holds = |row: &usize| usize::from(old(&entries[*row])) > each;
+    let holds = |index: &usize| usize::from(old(&entries[*index])) > each;
     order.sort_by(|a, b| {
         let by_need = need(&entries[*b]).total_cmp(&need(&entries[*a]));
         holds(b).cmp(&holds(a)).then(by_need).then(a.cmp(b))
     });
     let mut parts = vec![each as u16; entries.len()];
-    order.iter().take(rest).for_each(|row| parts[*row] += 1);
+    order.iter().take(rest).for_each(|index| parts[*index] += 1);
     parts
 }
 
@@ -92,16 +95,16 @@
     has_previous: bool,
 ) -> Vec<u16> {
     let mean = entries.iter().map(&need).sum::<f64>() / entries.len().max(1) as f64;
-    let wanted_needs: Vec<f64> =
+    let weights: Vec<f64> =
         entries.iter().map(|entry| need(entry).max(MIN_NEED_FRACTION * mean).max(1e-9)).collect();
-    let sum: f64 = wanted_needs.iter().sum();
+    let sum: f64 = weights.iter().sum();
     let held: f64 = entries.iter().map(|entry| f64::from(old(entry))).sum();
     let whole = f64::from(TOTAL_PARTS);
     let mut parts: Vec<f64> = entries
         .iter()
-        .zip(wanted_needs)
-        .map(|(entry, want)| {
-            let target = whole * want / sum;
+        .zip(weights)
+        .map(|(entry, weight)| {
+            let target = whole * weight / sum;
             let from = f64::from(old(entry));
             if has_previous {
                 from + STEP_FRACTION * (target - from)
@@ -110,7 +113,7 @@
             }
         })
         .collect();
-    // What those who are gone held goes to the others at once.
+    // The parts of routers that are gone go to the others at once.
     let now: f64 = parts.iter().sum();
     if held < whole && now > 0.0 {
         parts.iter_mut().for_each(|part| *part *= whole / now);
@@ -118,8 +121,8 @@
     parts.into_iter().map(|part| part.floor().clamp(0.0, whole) as u16).collect()
 }
 
-/// Whether another page is worth its while: somebody came, went or started anew, or a share is off by an eighth of
-/// an even one and more, or what it carries for others is another.
+/// Whether a new allocation is worth proposing: a router joined, left or restarted, a share differs by more
+/// than an eighth of an even share, or the extra data differs.
 pub fn is_worth_proposing(now: &Allocation, wanted: &Allocation) -> bool {
     let same =
         now.entries.len() == wanted.entries.len()
--- a/crates/peers/src/status.rs
+++ b/crates/peers/src/status.rs
@@ -1,21 +1,21 @@
-//! How a router stands among its fellows, with the reason, in one value.
+//! A router's status within the cluster, with the reason, in one value.
 
 use crate::wire::RouterIndex;
 
-/// How a router stands.
+/// Status of a router within the cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterStatus {
-    /// Has not heard enough yet to say.
+    /// Has not joined yet.
     Joining,
-    /// Hears a majority of the roster that was last agreed.
+    /// Hears a majority of the routers in the last allocation.
     Majority,
-    /// Hears some of it.
+    /// Hears some of them, but no majority.
     Minority,
-    /// Hears nobody.
+    /// Hears no other router.
     Isolated,
-    /// Another process runs under its place with a higher life; it has no part in the common view any more.
+    /// Another process runs under the same index with a higher generation; this one takes no part any more.
     Displaced,
-    /// Said that it goes.
+    /// Has announced that it leaves.
     Leaving,
 }
 
@@ -32,24 +32,27 @@
     }
 }
 
-/// How a router stands and how common its view is.
+/// Status of a router, and how many peers share its view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterReport {
     pub status: ClusterStatus,
     pub reason: String,
-    /// Of the roster last agreed, or of the places configured where none was: how many, and how many it hears.
+    /// Number of routers in the last allocation, or configured if there was none, and how many of them it
+    /// hears.
     pub roster: usize,
     pub heard: usize,
-    /// Of the fellows heard: how many have the same view, and the first few that differ.
+    /// Of the peers heard since the view last changed: how many have the same view, out of how many, and the
+    /// first few that differ.
     pub same_view: usize,
     pub compared: usize,
     pub differing: Vec<RouterIndex>,
-    /// Fellows that it can't hear though others do, and those that say so of it.
+    /// Peers that it receives nothing from although others do, and peers that report receiving nothing from
+    /// it.
     pub not_hearing: Vec<RouterIndex>,
     pub not_heard_by: Vec<RouterIndex>,
 }
 
-/// Says how a router stands that hears `hears` of `roster`, itself included.
+/// Status of a router that hears `heard` of `roster` routers, itself included.
 pub fn cluster_status(
     joined: bool,
     displaced: bool,
@@ -58,14 +61,18 @@
     roster: usize,
 ) -> (ClusterStatus, String) {
     let (status, reason) = match () {
-        () if displaced => (ClusterStatus::Displaced, "another process runs under this place".to_owned()),
-        () if leaving => (ClusterStatus::Leaving, "it was told to stop".to_owned()),
-        () if !joined && roster > 1 => (ClusterStatus::Joining, "no fellow has let it in yet".to_owned()),
+        () if displaced => {
+            (ClusterStatus::Displaced, "another process runs under this router's index".to_owned())
+        }
+        () if leaving => (ClusterStatus::Leaving, "shutting down".to_owned()),
+        () if !joined && roster > 1 => (ClusterStatus::Joining, "no peer has admitted it yet".to_owned()),
         () if 2 * heard > roster => {
-            (ClusterStatus::Majority, format!("hears {heard} of {roster}, a majority"))
+            (ClusterStatus::Majority, format!("hears {heard} of {roster} routers, a majority"))
+        }
+        () if heard > 1 => {
+            (ClusterStatus::Minority, format!("hears {heard} of {roster} routers, no majority"))
         }
-        () if heard > 1 => (ClusterStatus::Minority, format!("hears {heard} of {roster}, no majority")),
-        () => (ClusterStatus::Isolated, format!("hears none of the other {}", roster - 1)),
+        () => (ClusterStatus::Isolated, format!("hears none of the other {} routers", roster - 1)),
     };
     (status, reason)
 }
--- a/crates/peers/src/view/allocate.rs
+++ b/crates/peers/src/view/allocate.rs
@@ -1,4 +1,4 @@
-//! The page: asked after, proposed, gone by; what may be used.
+//! Allocations: renewal, votes and proposals; what may be used now.
 
 use super::*;
 
@@ -18,7 +18,7 @@
         }
     }
 
-    /// As keeper: what is published to a page that was put before it.
+    /// As voter: answers a proposal.
     pub(super) fn vote_on(&mut self, allocation: &Allocation) -> Message {
         let accepted = self.consensus.accept_proposal(self.now_ms, allocation);
         Message::Vote {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// As proposer: what a keeper published.
+    /// As proposer: handles a voter's answer.
     pub(super) fn handle_vote(
         &mut self,
         from: RouterIndex,
@@ -52,7 +52,8 @@
         }
     }
 
-    /// What this router wants goes to all; the lowest that is running and hears enough puts another page to the keepers.
+    /// Publishes this router's needs; if it is the running router with the lowest index and hears a majority,
+    /// it may propose another allocation.
     pub(super) fn update_needs(&mut self, needs: Needs) {
         if self.needs != needs || self.row_version == 0 {
             self.needs = needs;
@@ -61,7 +62,7 @@
         self.maybe_propose();
     }
 
-    /// What else the own row and the next page carry.
+    /// Sets the extra bytes of this router's row and of the next allocation.
     pub(super) fn set_extra(&mut self, row: Vec<u8>, allocation: Vec<u8>, after: u64) {
         if self.row_extra != row {
             self.row_extra = row;
@@ -70,7 +71,7 @@
         self.allocation_extra = (after, allocation);
     }
 
-    /// Needs first, then what is carried: who knows nothing of that reads the needs alone.
+    /// Needs first, then the extra bytes: a version that does not know the extra bytes reads the needs alone.
     fn publish_row(&mut self) {
         let needs: Vec<f32> = self.needs.iter().map(|need| *need as f32).collect();
         let mut bytes = postcard::to_stdvec(&needs).unwrap_or_default();
@@ -78,7 +79,7 @@
         self.queue_row(bytes);
     }
 
-    /// What the rows of those who are running carry beside their needs.
+    /// Extra bytes in the rows of all running peers.
     pub fn peer_extras(&self) -> impl Iterator<Item = (RouterIndex, &[u8])> {
         let running = self.members.values().filter(|m| m.state.is_running());
         running.filter_map(|m| {
@@ -115,7 +116,7 @@
         let mut allocation =
             split(number, &roster, self.consensus.allocation(), resources, slow_start_permits);
         allocation.extra = match &self.allocation_extra {
-            // Worked out from the page that stands; else what stands goes on.
+            // Use the extra bytes if they were computed for the current allocation; otherwise keep its own.
             (after, extra) if *after == self.consensus.number() => extra.clone(),
             _ => self.consensus.allocation().map(|allocation| allocation.extra.clone()).unwrap_or_default(),
         };
@@ -146,16 +147,16 @@
         self.granted_from(usable.as_deref(), until_ms)
     }
 
-    /// What the page carries for others, while a lease on it holds.
+    /// Number and extra bytes of the allocation, while a lease on it is valid.
     pub fn agreed_extra(&self, now_ms: f64) -> Option<(u64, &[u8])> {
-        let holds = !self.displaced && self.consensus.usable(now_ms, self.generation).is_some();
+        let lease_valid = !self.displaced && self.consensus.usable(now_ms, self.generation).is_some();
         self.consensus
             .allocation()
-            .filter(|_| holds)
+            .filter(|_| lease_valid)
             .map(|allocation| (allocation.number, allocation.extra.as_slice()))
     }
 
-    /// What is left once no lease holds.
+    /// What may be used without a valid lease.
     pub fn floor(&self) -> Granted {
         self.granted_from(None, f64::INFINITY)
     }
@@ -170,7 +171,7 @@
                 _ => floor / router_count as f64 + (1.0 - floor) * f64::from(part) / f64::from(TOTAL_PARTS),
             }
         };
-        // Those of the roster last agreed run as far as anyone knows, heard or not.
+        // Routers in the last allocation count as running until a new one is agreed, heard or not.
         let ranked = self
             .consensus
             .allocation()
--- a/crates/peers/src/view/exchange.rs
+++ b/crates/peers/src/view/exchange.rs
@@ -1,4 +1,4 @@
-//! Whole views and pages over TCP; joining and leaving.
+//! Exchange of full views and allocations over TCP; joining and leaving.
 
 use super::*;
 
@@ -19,7 +19,7 @@
         if self.free_to_call() {
             self.pending_call = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
             let above = self.consensus.number();
-            let packets = vec![self.packet(vec![Message::FetchAllocation { above }])];
+            let packets = vec![self.encode_packet(vec![Message::FetchAllocation { above }])];
             self.call(to, packets);
         }
     }
@@ -30,7 +30,7 @@
         self.actions.push(Action::Call { to, packets });
     }
 
-    /// All that is known, in pages.
+    /// Everything that is known, split into packets.
     pub(super) fn full_view(&mut self, request_reply: bool) -> Vec<Vec<u8>> {
         let mut messages: Vec<Message> = Vec::new();
         messages.extend(request_reply.then_some(Message::Exchange));
@@ -47,13 +47,13 @@
         for message in messages {
             let size = size(&message);
             if size > room && !batch.is_empty() {
-                packets.push(self.packet(std::mem::take(&mut batch)));
+                packets.push(self.encode_packet(std::mem::take(&mut batch)));
                 room = MAX_EXCHANGE_PACKET_BYTES - PACKET_OVERHEAD_BYTES;
             }
             room = room.saturating_sub(size);
             batch.push(message);
         }
-        packets.push(self.packet(batch));
+        packets.push(self.encode_packet(batch));
         packets
     }
 
@@ -72,12 +72,13 @@
                             .filter(|allocation| allocation.number > *above)
                             .cloned();
                         reply.extend(
-                            allocation.map(|allocation| self.packet(vec![Message::Chosen { allocation }])),
+                            allocation
+                                .map(|allocation| self.encode_packet(vec![Message::Chosen { allocation }])),
                         );
                     }
                     Message::Propose { allocation } => {
                         let message = self.vote_on(allocation);
-                        reply.push(self.packet(vec![message]));
+                        reply.push(self.encode_packet(vec![message]));
                     }
                     Message::Exchange => view_requested = true,
                     _ => {}
@@ -128,11 +129,11 @@
         self.next_seed_ms = self.now_ms + self.rules.probe_ms * CONTACT_SEED_EVERY_PROBES * self.rng.f64();
         let message = Message::Update(self.own_update(State::Alive, true));
         self.gossip.add(message.clone());
-        // A few hear it at once, so that the word does not hang on one.
+        // Several peers get it at once, so that it does not depend on a single one.
         let mut peers: Vec<_> =
             self.members.values().filter(|m| m.state.is_running()).map(|m| m.info.address).collect();
         self.rng.shuffle(&mut peers);
-        for to in peers.into_iter().take(INDIRECT_PROBE_HELPERS) {
+        for to in peers.into_iter().take(FANOUT) {
             let seq = self.next_sequence();
             self.send(to, vec![Message::Ping { seq, silent_to_sender: false }, message.clone()], false);
         }
@@ -144,7 +145,7 @@
         let mut peers: Vec<_> =
             self.members.values().filter(|m| m.state.is_running()).map(|m| m.info.address).collect();
         self.rng.shuffle(&mut peers);
-        for to in peers.into_iter().take(4 * INDIRECT_PROBE_HELPERS) {
+        for to in peers.into_iter().take(4 * FANOUT) {
             self.send(to, vec![message.clone()], false);
         }
     }
--- a/crates/peers/src/view/mod.rs
+++ b/crates/peers/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The machine: probes its fellows, passes words on, keeps the view, and says what may be used.
+//! The state machine: probes peers, gossips, keeps the view of the cluster, and computes what may be used.
 
 mod allocate;
 mod exchange;
@@ -21,43 +21,48 @@
 };
 use crate::Rules;
 
-/// Of the time between two probes: when fellows are asked to probe too.
-const INDIRECT_PROBE_AFTER: f64 = 0.4;
-/// Fellows asked for that, and witnesses who shorten a suspicion to its least.
-const INDIRECT_PROBE_HELPERS: usize = 3;
+/// Fraction of the probe interval after which other peers are asked to probe too.
+const INDIRECT_PROBE_FRACTION: f64 = 0.4;
+/// Peers asked for an indirect probe or notified of a join at once, and witnesses that shorten a suspicion to
+/// its minimum.
+const FANOUT: usize = 3;
 const MAX_WITNESSES: f64 = 3.0;
-/// Least time of a suspicion in probes, for each tenfold of routers; the most is so many times that.
+/// Shortest suspicion in probe intervals, for each factor of ten in the number of routers; the longest is
+/// this many times the shortest.
 const SUSPICION_MIN_PROBES: f64 = 2.0;
 const SUSPICION_MAX_FACTOR: f64 = 6.0;
-/// How far a router that misses its own deadlines stretches its probes.
+/// Highest health score. A router that misses its own deadlines raises its score, which stretches its probe
+/// interval.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// Probes between two asks of one that failed, between two looks at a seed, and between two comparisons of views.
+/// Probe intervals between two probes of a failed router, between two contacts to a seed, and between two
+/// comparisons of views.
 const PROBE_FAILED_EVERY_PROBES: f64 = 4.0;
 const CONTACT_SEED_EVERY_PROBES: f64 = 50.0;
 const COMPARE_VIEWS_EVERY_PROBES: f64 = 25.0;
-/// Probes after which a change of the view has gone round, and a digest that differs is worth an exchange.
+/// Probe intervals after which a change of the view has spread, so that a differing digest is worth an
+/// exchange.
 const VIEW_SETTLE_PROBES: f64 = 5.0;
-/// Direct probes in a row without an answer after which a fellow that others hear is called unheard.
+/// Consecutive direct probes without an ack after which a peer that others hear is reported as not heard.
 const NOT_HEARING_AFTER_PROBES: u32 = 2;
-/// Room that a letter's own fields need, in bytes.
+/// Reserve for the packet's own fields, in bytes.
 const PACKET_OVERHEAD_BYTES: usize = 48;
-/// Leases between two pages at least.
+/// Least time between two proposals, in leases.
 const MIN_PROPOSAL_LEASES: f64 = 1.5;
-/// Letters of one exchange at most.
+/// Most packets read of one exchange.
 const MAX_EXCHANGE_PACKETS: usize = 256;
 
-/// What the machine is told.
+/// Input of the state machine.
 #[derive(Debug)]
 pub enum Event<'a> {
     Datagram {
         from: SocketAddr,
         bytes: &'a [u8],
     },
-    /// Somebody called over TCP with these letters; answered by [`Action::Reply`].
+    /// A peer called over TCP with these packets; answered by [`Action::Reply`].
     CallReceived {
         packets: &'a [Vec<u8>],
     },
-    /// What the one that was called said.
+    /// Answer to an [`Action::Call`].
     CallAnswered {
         to: SocketAddr,
         packets: &'a [Vec<u8>],
@@ -65,18 +70,18 @@
     CallFailed {
         to: SocketAddr,
     },
-    /// It is [`Peers::next_ms`] or later.
+    /// [`Peers::next_ms`] has passed.
     Tick,
-    /// What this router wants of each thing.
+    /// This router's need for each resource.
     Need(Needs),
-    /// What the own row carries for others beside its needs, and what the page after that number is to carry if this
-    /// router puts it to the keepers.
+    /// Sets the extra bytes of this router's row, and those of the allocation that follows number `after` if
+    /// this router proposes it.
     SetExtra {
         row: Vec<u8>,
         allocation: Vec<u8>,
         after: u64,
     },
-    /// Settings count other places now.
+    /// The settings changed the number of configured routers.
     RouterCount(usize),
     Leave,
 }
@@ -87,7 +92,7 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// Letters over TCP; what comes back is told by [`Event::Answered`].
+    /// Sends packets over TCP; the answer comes back as [`Event::CallAnswered`].
     Call {
         to: SocketAddr,
         packets: Vec<Vec<u8>>,
@@ -100,21 +105,21 @@
         router: RouterIndex,
         change: Change,
     },
-    /// The own life was raised above what fellows remember.
+    /// This router raised its generation above the one that peers remember.
     GenerationRaised {
         generation: Generation,
     },
-    /// Another process holds this place.
+    /// Another process runs under this router's index.
     Displaced {
         by: SocketAddr,
     },
-    /// Another page is gone by.
+    /// A new allocation was adopted.
     AllocationAdopted {
         number: u64,
     },
 }
 
-/// Figures for operators.
+/// Counters for operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Counts {
     pub sent: u64,
@@ -132,7 +137,7 @@
     pub rejected: BTreeMap<DecodeError, u64>,
 }
 
-/// A probe that is out.
+/// The probe in flight.
 #[derive(Clone, Debug)]
 struct Probe {
     target: RouterIndex,
@@ -142,11 +147,11 @@
     indirect_requested: bool,
     direct_ack: bool,
     answered: bool,
-    /// Helpers that said that the target did not answer them either.
+    /// Helpers that reported that the target did not answer them either.
     failed_helpers: usize,
 }
 
-/// A probe made for a fellow.
+/// A probe made on behalf of a peer.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     requester: RouterIndex,
@@ -155,7 +160,7 @@
     end_ms: f64,
 }
 
-/// Lives as long as the router.
+/// Membership and allocation state of this router; kept as long as it runs.
 #[derive(Clone)]
 pub struct Peers {
     pub(crate) rules: Rules,
@@ -167,7 +172,7 @@
     generation: Generation,
     incarnation: u32,
     joined: bool,
-    /// Somebody was told that this life runs.
+    /// Some peer has been sent this generation.
     announced: bool,
     displaced: bool,
     leaving: bool,
@@ -181,13 +186,14 @@
     gossip: GossipQueue,
     consensus: Consensus,
     needs: Needs,
-    /// Bytes that the own row carries, and those for the page after that one.
+    /// Extra bytes of this router's row, and those of the allocation that follows the given number.
     row_extra: Vec<u8>,
     allocation_extra: (u64, Vec<u8>),
     row_version: u32,
     last_proposal_ms: f64,
     pending_call: Option<(SocketAddr, f64)>,
-    /// A process elsewhere that was said to hold this place, and until when it may answer.
+    /// A process at another address that is reported under this router's index, with its generation and the
+    /// time until which it may answer.
     duplicate: Option<(SocketAddr, Generation, f64)>,
     next_probe_ms: f64,
     next_failed_probe_ms: f64,
@@ -195,14 +201,14 @@
     next_compare_ms: f64,
     pub counts: Counts,
     actions: Vec<Action>,
-    /// Digest of the view as it last was; none where the view changed since.
+    /// Digest of the current view; `None` if the view has changed since it was computed.
     cached_digest: std::cell::Cell<Option<u32>>,
-    /// When it last changed: digests that were heard before say nothing of it.
+    /// When the view last changed: digests received before say nothing about it.
     view_changed_ms: f64,
 }
 
 impl Peers {
-    /// A router that starts now. `life` is one above the last that it knows of itself, from 1.
+    /// A router that starts now. `generation` is one above the last one known from its own record, from 1.
     pub fn new(
         now_ms: f64,
         rules: Rules,
@@ -254,7 +260,7 @@
         }
     }
 
-    /// Told what happened, at `now_ms` of the own monotonic clock; what to do follows in order.
+    /// Handles an event at `now_ms` of the own monotonic clock and returns the actions to take, in order.
     pub fn handle(&mut self, now_ms: f64, event: Event) -> Vec<Action> {
         self.now_ms = self.now_ms.max(now_ms);
         if self.displaced {
@@ -265,7 +271,7 @@
                 self.counts.received += 1;
                 self.counts.received_bytes += bytes.len() as u64;
                 if let Some(packet) = self.read(bytes, MAX_DATAGRAM_BYTES) {
-                    self.datagram(from, packet);
+                    self.handle_datagram(from, packet);
                 }
             }
             Event::CallReceived { packets } => self.handle_call(packets),
@@ -301,10 +307,10 @@
                 .filter(|probe| !probe.indirect_requested && !probe.answered)
                 .map(|probe| probe.indirect_ms),
         );
-        let doubted = || self.members.values().filter(|member| member.suspicion.is_some());
-        if doubted().next().is_some() {
+        let suspected = || self.members.values().filter(|member| member.suspicion.is_some());
+        if suspected().next().is_some() {
             let running = self.running_routers();
-            times.extend(doubted().filter_map(|member| self.suspicion_ends_ms(member, running)));
+            times.extend(suspected().filter_map(|member| self.suspicion_ends_ms(member, running)));
         }
         times.extend(self.duplicate.map(|(_, _, until)| until));
         if self.joined && self.consensus.allocation().is_some() {
--- a/crates/peers/src/view/probe.rs
+++ b/crates/peers/src/view/probe.rs
@@ -1,4 +1,4 @@
-//! What is due: probes, suspicions that run out, those thought gone, comparisons of views.
+//! Periodic work: probes, expired suspicions, contact to failed routers and seeds, comparison of views.
 
 use super::*;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// This router did not run when it should have: what it thinks that others missed, it may have missed itself.
+    /// This router did not run when it was due: the acks that it believes missing may have arrived meanwhile.
     pub(super) fn handle_late_tick(&mut self, late_ms: f64) {
         self.counts.late_ticks += 1;
         let steps = (late_ms / self.rules.probe_ms).min(f64::from(MAX_HEALTH_SCORE)) as u32;
@@ -68,10 +68,11 @@
         let suspicion = member.suspicion.as_ref()?;
         let min_ms = SUSPICION_MIN_PROBES * self.rules.probe_ms * (running as f64).log10().max(1.0);
         let others = (suspicion.reporters.len() as f64 - 1.0).clamp(0.0, MAX_WITNESSES);
-        // Who misses its own deadlines gives others more time before it blames them.
+        // A router that misses its own deadlines gives others more time before it declares them failed.
         let max_ms = SUSPICION_MAX_FACTOR * min_ms * (1.0 + f64::from(self.health) / 2.0);
         let share = (1.0 + others).ln() / (1.0 + MAX_WITNESSES).ln();
-        // Where too few others are there to confirm, the least time is as good as all their words.
+        // With too few routers to confirm a suspicion, the minimum is as reliable as their confirmations
+        // would be; the mean of the minimum and the maximum is taken.
         let too_few = (running as f64) < MAX_WITNESSES + 2.0;
         let duration_ms = if too_few { (min_ms + max_ms) / 2.0 } else { max_ms - (max_ms - min_ms) * share };
         Some(suspicion.since_ms + duration_ms)
@@ -112,7 +113,7 @@
         let Some(target) = target else { return };
         let Some(address) = self.members.get(&target).map(|member| member.info.address) else { return };
         let seq = self.next_sequence();
-        let indirect_ms = self.now_ms + INDIRECT_PROBE_AFTER * (end_ms - self.now_ms);
+        let indirect_ms = self.now_ms + INDIRECT_PROBE_FRACTION * (end_ms - self.now_ms);
         self.probe = Some(Probe {
             target,
             seq,
@@ -144,7 +145,7 @@
         let eligible = |m: &&Member| m.state == State::Alive && m.router != target;
         let mut helpers: Vec<_> = self.members.values().filter(eligible).map(|m| m.info.address).collect();
         self.rng.shuffle(&mut helpers);
-        for to in helpers.into_iter().take(INDIRECT_PROBE_HELPERS) {
+        for to in helpers.into_iter().take(FANOUT) {
             self.send(to, vec![Message::PingRequest { seq, target }], false);
         }
     }
@@ -168,7 +169,7 @@
             self.health = self.health.saturating_sub(1);
             return;
         }
-        // One that was cut short by a more urgent one proves nothing.
+        // A probe that was cut short by a more urgent one proves nothing.
         if early {
             return;
         }
@@ -179,7 +180,7 @@
         }
         self.counts.unanswered += 1;
         if probe.indirect_requested && probe.failed_helpers == 0 && self.running_routers() > 2 {
-            // Not even the helpers were heard: the fault may be ours.
+            // Not even the helpers answered: the fault may be on this side.
             self.health = (self.health + 1).min(MAX_HEALTH_SCORE);
         }
         let Some(member) = self.members.get(&probe.target).filter(|member| member.state.is_running()) else {
@@ -187,7 +188,7 @@
         };
         let update = StateUpdate { state: State::Suspect, ..member.update(self.rules.own, false) };
         self.apply_update(&update);
-        // It hears so itself, and may answer.
+        // The suspected router is notified as well, so that it can refute the suspicion.
         let (to, message) = (member_address(&self.members, probe.target), Message::Update(update));
         if let Some(to) = to {
             self.send(to, vec![message], false);
@@ -214,7 +215,7 @@
         self.send(to, vec![message], false);
     }
 
-    /// Asks one that is thought gone whether it is: a cut that has healed is found by both its sides.
+    /// Pings a router that is held to be failed, so that both sides notice when a partition has healed.
     pub(super) fn probe_failed(&mut self) {
         self.next_failed_probe_ms =
             self.now_ms + self.rules.probe_ms * PROBE_FAILED_EVERY_PROBES * (0.5 + self.rng.f64());
@@ -243,8 +244,8 @@
         let heard_since_change = |m: &&Member| m.last_heard_ms.is_some_and(|at| at >= settled_ms);
         let differs = |m: &&Member| m.state == State::Alive && heard_since_change(m) && m.digest != own;
         let has_newer = |m: &&Member| m.state == State::Alive && m.allocation > allocation;
-        let pick = |rng: &mut fastrand::Rng, rows: Vec<SocketAddr>| {
-            (!rows.is_empty()).then(|| rows[rng.usize(..rows.len())])
+        let pick = |rng: &mut fastrand::Rng, addresses: Vec<SocketAddr>| {
+            (!addresses.is_empty()).then(|| addresses[rng.usize(..addresses.len())])
         };
         let differing: Vec<_> = self.members.values().filter(differs).map(|m| m.info.address).collect();
         let ahead: Vec<_> = self.members.values().filter(has_newer).map(|m| m.info.address).collect();
--- a/crates/peers/src/view/receive.rs
+++ b/crates/peers/src/view/receive.rs
@@ -1,12 +1,12 @@
-//! What letters say, and what that makes of the view.
+//! Incoming packets and their effect on the view.
 
 use std::collections::BTreeSet;
 
 use super::*;
 
 impl Peers {
-    pub(super) fn read(&mut self, bytes: &[u8], most: usize) -> Option<Packet> {
-        match decode(self.deployment, bytes, most) {
+    pub(super) fn read(&mut self, bytes: &[u8], max_bytes: usize) -> Option<Packet> {
+        match decode(self.deployment, bytes, max_bytes) {
             Ok(packet) => Some(packet),
             Err(error) => {
                 *self.counts.rejected.entry(error).or_default() += 1;
@@ -15,7 +15,7 @@
         }
     }
 
-    pub(super) fn datagram(&mut self, from: SocketAddr, packet: Packet) {
+    pub(super) fn handle_datagram(&mut self, from: SocketAddr, packet: Packet) {
         if packet.from == self.rules.own {
             self.resolve_duplicate_index(from, packet.generation);
             return;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The head of a letter is its sender's own word that it lives. Whether the sender is a member that we know.
+    /// The header of a packet shows that its sender is alive. Returns whether the sender is a known member.
     pub(super) fn observe_sender(&mut self, packet: &Packet) -> bool {
         if packet.generation == Generation(0)
             || usize::from(packet.from.0) >= self.rules.router_count.max(1) * 4
@@ -41,8 +41,8 @@
         if member.is_superseded_by(packet.generation, packet.incarnation, State::Alive)
             && packet.generation == member.generation
         {
-            // Passed on, as any word that was news: a refutation that each hears for itself alone comes too late for
-            // those whom the suspicion reached first.
+            // Passed on like any new update: if each router learned of the refutation from the sender alone,
+            // it would come too late for those that the suspicion reached first.
             self.apply_update(&StateUpdate {
                 router: packet.from,
                 generation: packet.generation,
@@ -64,7 +64,8 @@
         true
     }
 
-    /// A letter from another process under our place: the higher life stays, at equal lives the higher address.
+    /// Handles a packet from another process under this router's index: the higher generation stays, at equal
+    /// generations the higher address.
     pub(super) fn resolve_duplicate_index(&mut self, from: SocketAddr, generation: Generation) {
         if from == self.info.address || generation == Generation(0) {
             return;
@@ -99,7 +100,7 @@
                 messages.extend(self.correction(packet));
                 self.send(from, messages, true);
                 if !known && packet.generation != Generation(0) {
-                    // A member that nobody told us of: its whole view tells more than its name.
+                    // An unknown member: an exchange of full views gives more than its name alone.
                     self.exchange(from);
                 }
             }
@@ -118,7 +119,7 @@
                     requester: packet.from,
                     requester_seq: seq,
                     target,
-                    end_ms: self.now_ms + self.rules.probe_ms * (1.0 - INDIRECT_PROBE_AFTER) / 2.0,
+                    end_ms: self.now_ms + self.rules.probe_ms * (1.0 - INDIRECT_PROBE_FRACTION) / 2.0,
                 };
                 let own = self.next_sequence();
                 if self.relayed_probes.len() < 64 {
@@ -177,7 +178,7 @@
                 }
             }
             Message::Chosen { allocation } => self.adopt(allocation),
-            // Whole views go over calls alone.
+            // Full views are exchanged over TCP only.
             Message::Exchange => {}
         }
     }
@@ -197,7 +198,7 @@
         }
     }
 
-    /// What its sender should hear of itself: that it is suspected, or thought gone.
+    /// What the sender of a packet should learn about itself: that it is suspected or held to be failed.
     pub(super) fn correction(&self, packet: &Packet) -> Option<Message> {
         let member = self.members.get(&packet.from)?;
         let outdated = member.generation > packet.generation
@@ -227,15 +228,17 @@
         }
     }
 
-    /// Only the router itself refutes, by a higher incarnation; one that was remembered from before, by a higher life.
+    /// Handles a report about this router. Only the router itself refutes it: by a higher incarnation, or by
+    /// a higher generation if peers remember an earlier process.
     pub(super) fn handle_update_about_self(&mut self, update: &StateUpdate) {
-        // Before anyone let this life in, one that is remembered as high was another's; and nobody comes back who left.
-        let before = !self.joined && !self.announced || update.state == State::Left && !self.leaving;
-        if update.generation > self.generation || before && update.generation == self.generation {
+        // Before any peer knows this generation, an equal one that peers remember belonged to an earlier
+        // process. A router that left cannot come back in the same generation.
+        let earlier_process = !self.joined && !self.announced || update.state == State::Left && !self.leaving;
+        if update.generation > self.generation || earlier_process && update.generation == self.generation {
             let other_address =
                 update.info.as_ref().map(|info| info.address).filter(|at| *at != self.info.address);
             match other_address.filter(|_| update.state.is_running() && self.joined) {
-                // Somebody may really be there: it is asked, and the higher life stays.
+                // Another process may really run there: ping it, and let the higher generation stay.
                 Some(address) => {
                     if self.duplicate.is_none() {
                         let until = self.now_ms + self.rules.probe_ms * 3.0;
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Takes a word into the view; whether it was news.
+    /// Merges an update into the view. Returns whether it was new.
     pub(super) fn merge_update(&mut self, update: &StateUpdate) -> bool {
         let now_ms = self.now_ms;
         if let Some(member) = self.members.get_mut(&update.router) {
@@ -280,7 +283,7 @@
             self.view_changed_ms = now_ms;
             let from = member.state;
             if update.generation > member.generation {
-                // A new life without its address can't be reached: the next exchange brings it.
+                // A new generation is unreachable without its address, which the next exchange brings.
                 let Some(info) = update.info.clone() else { return false };
                 let history = std::mem::take(&mut member.history);
                 *member = Member { history, ..Member::new(now_ms, update, info) };
@@ -313,19 +316,21 @@
         true
     }
 
-    /// Another one saw it first-hand too; the suspicion runs out sooner, and that is passed on.
+    /// Another router observed the same failure first-hand: the suspicion expires sooner, and this is passed
+    /// on.
     pub(super) fn add_witness(&mut self, update: &StateUpdate) {
         let Some(member) = self.members.get_mut(&update.router) else { return };
-        let same = member.generation == update.generation && member.incarnation == update.incarnation;
-        let Some(suspicion) = member.suspicion.as_mut().filter(|_| same) else { return };
+        let same_incarnation =
+            member.generation == update.generation && member.incarnation == update.incarnation;
+        let Some(suspicion) = member.suspicion.as_mut().filter(|_| same_incarnation) else { return };
         if (suspicion.reporters.len() as f64) <= MAX_WITNESSES && suspicion.reporters.insert(update.reporter)
         {
             self.gossip.add(Message::Update(update.clone()));
         }
     }
 
-    /// Some routers, by a hash that all of them know, look for themselves when another is suspected: one that is gone is
-    /// confirmed at once, and one that is not hears of the suspicion.
+    /// When a router becomes suspect, some routers, selected by a hash that all can compute, probe it
+    /// themselves: a failure is confirmed at once, and a running router learns of the suspicion.
     pub(super) fn probe_suspect(&mut self, update: &StateUpdate) {
         let mut bytes = [0; 8];
         bytes[..2].copy_from_slice(&self.rules.own.0.to_le_bytes());
@@ -336,11 +341,11 @@
             draw * self.running_routers() as f64 <= 2.0 * MAX_WITNESSES && update.reporter != self.rules.own;
         let already_probed = self.probe.as_ref().is_some_and(|probe| probe.target == update.router);
         if chosen && !already_probed {
-            // The next to be probed, and soon.
+            // Make it the next target, and soon.
             self.probe_order.push(update.router);
             self.next_probe_ms = self
                 .next_probe_ms
-                .min(self.now_ms + self.rules.probe_ms * INDIRECT_PROBE_AFTER * self.rng.f64());
+                .min(self.now_ms + self.rules.probe_ms * INDIRECT_PROBE_FRACTION * self.rng.f64());
         }
     }
 
--- a/crates/peers/src/view/send.rs
+++ b/crates/peers/src/view/send.rs
@@ -1,4 +1,4 @@
-//! Letters out, and what operators may ask.
+//! Outgoing packets, and queries for operators.
 
 use super::*;
 
@@ -14,7 +14,7 @@
         }
     }
 
-    pub(super) fn packet(&self, messages: Vec<Message>) -> Vec<u8> {
+    pub(super) fn encode_packet(&self, messages: Vec<Message>) -> Vec<u8> {
         let packet = Packet {
             from: self.rules.own,
             generation: if self.joined { self.generation } else { Generation(0) },
@@ -27,37 +27,37 @@
         encode(self.deployment, &packet)
     }
 
-    /// A datagram with these words, and where `more`, with what there is to pass on.
+    /// Sends a datagram with these messages; `with_gossip` fills it up from the gossip queue.
     pub(super) fn send(&mut self, to: SocketAddr, mut messages: Vec<Message>, with_gossip: bool) {
         if with_gossip && self.joined {
             let used: usize = messages.iter().map(size).sum::<usize>() + PACKET_OVERHEAD_BYTES;
             let routers = self.running_routers();
             messages.extend(self.gossip.take(MAX_DATAGRAM_BYTES.saturating_sub(used), routers));
         }
-        let bytes = self.packet(messages);
+        let bytes = self.encode_packet(messages);
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         self.actions.push(Action::Send { to, bytes });
     }
 
-    /// By datagram where it fits, else over TCP.
+    /// Sends by datagram if the message fits, over TCP otherwise.
     pub(super) fn send_large(&mut self, to: SocketAddr, message: Message) {
         if size(&message) + PACKET_OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES {
             self.send(to, vec![message], false);
         } else {
-            let packets = vec![self.packet(vec![message])];
+            let packets = vec![self.encode_packet(vec![message])];
             self.call(to, packets);
         }
     }
 
-    // What can be asked of it.
+    // Queries.
 
     pub(super) fn view_changed(&mut self) {
         self.cached_digest.set(None);
         self.view_changed_ms = self.now_ms;
     }
 
-    /// Fingerprint of the view: equal views have equal ones, in whatever order they came about.
+    /// Hash of the view: equal views have equal digests, whatever the order of events.
     pub fn digest(&self) -> u32 {
         if let Some(known) = self.cached_digest.get() {
             return known;
@@ -69,7 +69,7 @@
         digest
     }
 
-    /// How it stands among its fellows.
+    /// Status of this router within the cluster.
     pub fn cluster_report(&self) -> ClusterReport {
         let agreed = self
             .consensus
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,5 +1,6 @@
-//! What routers say to each other, and how it stands on the wire: a head of ten bytes (mark, version of the format,
-//! deployment, checksum), then the words by `postcard`. `docs/operators/peers.md` describes it for other readers.
+//! Messages between routers and their encoding: a header of ten bytes (magic byte, format version,
+//! deployment, checksum), then the packet encoded with `postcard`. `docs/operators/peers.md` describes it for
+//! other readers.
 
 use std::net::SocketAddr;
 
@@ -8,39 +9,41 @@
 use crate::allocation::Allocation;
 use crate::member::{RouterInfo, State};
 
-/// Number of a router among those configured, from 0.
+/// Index of a router among those configured, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterIndex(pub u16);
 
-/// Which start of a router: higher with each.
+/// Counts the starts of a router: higher with each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Generation(pub u64);
 
-/// Longest datagram, in bytes: fits one frame of every link that is met, with room for heads on the way.
+/// Longest datagram, in bytes: fits one frame of every common link, with room for headers added on the way.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// Longest page of a view that goes over TCP, in bytes.
+/// Longest packet of an exchange over TCP, in bytes.
 pub const MAX_EXCHANGE_PACKET_BYTES: usize = 16 << 10;
 
 const MAGIC: u8 = 0xb7;
-/// The format written; the one before is read too.
+/// The format version that is written; the previous one is read too.
 pub const FORMAT_VERSION: u8 = 2;
 const OLDEST_READABLE_VERSION: u8 = 1;
 const HEADER_BYTES: usize = 10;
 
-/// One router's word on one router. Newer wins: life, then incarnation, then the graver state.
+/// One router's report of another router's state. The newer one wins: by generation, then by incarnation,
+/// then by the more severe state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
     pub router: RouterIndex,
     pub generation: Generation,
     pub incarnation: u32,
     pub state: State,
-    /// Who saw it first-hand.
+    /// The router that observed it first-hand.
     pub reporter: RouterIndex,
-    /// Told once for each life; a later word of the same life leaves it out.
+    /// Sent once for each generation; later updates of the same generation leave it out.
     pub info: Option<RouterInfo>,
 }
 
-/// What a router says of itself, as bytes that others only carry: newest life and version win.
+/// What a router publishes about itself, as bytes that others only pass on. The highest generation and
+/// version win.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub router: RouterIndex,
@@ -51,7 +54,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// `deaf`: the sender has not heard the one asked for a while.
+    /// `silent_to_sender`: the sender has not received an ack from the receiver for a while.
     Ping {
         seq: u32,
         silent_to_sender: bool,
@@ -59,53 +62,53 @@
     Ack {
         seq: u32,
     },
-    /// Ask that one for me.
+    /// Asks the receiver to ping the target on behalf of the sender.
     PingRequest {
         seq: u32,
         target: RouterIndex,
     },
-    /// What came of it.
+    /// Result of a [`Message::PingRequest`].
     PingResult {
         seq: u32,
         target: RouterIndex,
         answered: bool,
     },
-    /// A starting router asks to be let in; the answer is an `Ack` and an exchange of views.
+    /// A starting router asks to join; the answer is an `Ack` and an exchange of views.
     Join {
         seq: u32,
     },
     Update(StateUpdate),
     Row(Row),
-    /// A holder asks a keeper to confirm the page that it goes by; `sent` comes back as it was.
+    /// A holder asks a voter to confirm the allocation that it uses; `request` is returned unchanged.
     Renew {
         number: u64,
         fingerprint: u32,
         request: u32,
     },
-    /// The keeper does, or says which one it keeps.
+    /// The voter's answer: whether it confirms, and the number of the allocation that it has accepted.
     Renewed {
         number: u64,
         request: u32,
         accepted_number: u64,
         confirmed: bool,
     },
-    /// A page is put before a keeper.
+    /// Puts an allocation before a voter.
     Propose {
         allocation: Allocation,
     },
-    /// The keeper's yes, or the number that it keeps instead.
+    /// The voter's answer to a proposal, with the number of the allocation that it has accepted.
     Vote {
         number: u64,
         accepted: bool,
         accepted_number: u64,
     },
-    /// Send me all that you know; what I know comes with it.
+    /// Asks for the receiver's full view; the sender's view comes with it.
     Exchange,
-    /// Send me the page that you keep or go by.
+    /// Asks for the receiver's allocation if its number is above this one.
     FetchAllocation {
         above: u64,
     },
-    /// A page that a majority of the keepers has taken.
+    /// An allocation that a quorum of the voters has accepted.
     Chosen {
         allocation: Allocation,
     },
@@ -127,37 +130,37 @@
     }
 }
 
-/// One datagram or one page of an exchange.
+/// One datagram, or one part of an exchange over TCP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
     pub from: RouterIndex,
     pub generation: Generation,
     pub incarnation: u32,
-    /// Places in the sender's settings.
+    /// Number of routers in the sender's settings.
     pub router_count: u16,
-    /// Of the sender's view; equal views have equal digests.
+    /// Digest of the sender's view; equal views have equal digests.
     pub digest: u32,
-    /// Number of the page that the sender goes by.
+    /// Number of the allocation that the sender uses.
     pub allocation: u64,
     pub messages: Vec<Message>,
 }
 
-/// Why bytes are no letter for us.
+/// Why bytes are not a valid packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DecodeError {
-    #[error("too short or too long for a packet")]
+    #[error("invalid packet length")]
     Size,
-    #[error("not a packet of routers")]
+    #[error("not a router packet")]
     Mark,
-    #[error("a format that this version does not read")]
+    #[error("unsupported format version")]
     Format,
-    #[error("another deployment's")]
+    #[error("packet of another deployment")]
     Deployment,
-    #[error("checksum does not fit")]
+    #[error("checksum mismatch")]
     Checksum,
-    #[error("messages that can't be read")]
+    #[error("messages cannot be decoded")]
     Words,
-    #[error("a router, address or figure out of bounds")]
+    #[error("router entry, address or number out of bounds")]
     Bounds,
 }
 
@@ -173,17 +176,17 @@
     ];
 }
 
-/// Fingerprint of a deployment's name.
+/// Hash of a deployment's name.
 pub fn deployment(name: &str) -> u32 {
     crc32fast::hash(name.as_bytes())
 }
 
-/// The bytes of a letter.
+/// Encodes a packet.
 pub fn encode(deployment: u32, packet: &Packet) -> Vec<u8> {
     let mut bytes = vec![MAGIC, FORMAT_VERSION];
     bytes.extend(deployment.to_le_bytes());
     bytes.extend([0; 4]);
-    // Writing plain values to memory can't fail; an empty letter would be refused by its reader.
+    // Writing plain values to memory can't fail; its reader would refuse an empty packet.
     let mut bytes = postcard::to_extend(packet, bytes).unwrap_or_default();
     let extras: Vec<&Vec<u8>> =
         packet.messages.iter().filter_map(Message::allocation).map(|allocation| &allocation.extra).collect();
@@ -204,10 +207,10 @@
     sum.finalize()
 }
 
-/// Reads a letter of at most `most` bytes; everything in it is inside its bounds.
+/// Decodes a packet of at most `max_bytes` bytes and checks that every value in it is within its bounds.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Why the bytes are not a valid packet.
 pub fn decode(deployment: u32, bytes: &[u8], max_bytes: usize) -> Result<Packet, DecodeError> {
     if bytes.len() <= HEADER_BYTES || bytes.len() > max_bytes {
         return Err(DecodeError::Size);
@@ -226,10 +229,11 @@
     if u32_at(2) != deployment {
         return Err(DecodeError::Deployment);
     }
-    // What a newer version may add stands behind the words that this one knows, and is passed over.
+    // Fields added by a newer version follow the messages that this version knows, and are ignored.
     let (mut packet, rest): (Packet, _) =
         postcard::take_from_bytes(&bytes[HEADER_BYTES..]).map_err(|_| DecodeError::Words)?;
-    // Before what a newer version may add, and only beside pages.
+    // The allocations' extra bytes come before anything that a newer version adds, and only if the packet
+    // contains allocations.
     if let Ok((extras, _)) = postcard::take_from_bytes::<Vec<Vec<u8>>>(rest) {
         let allocations = packet.messages.iter_mut().filter_map(Message::allocation_mut);
         allocations.zip(extras).for_each(|(allocation, extra)| allocation.extra = extra);
@@ -250,12 +254,12 @@
     }
 }
 
-/// Addresses stay on the loopback range, as everywhere in our settings.
+/// Addresses are limited to the loopback range, as everywhere in the settings.
 fn is_loopback_address(address: SocketAddr) -> bool {
     address.ip().is_loopback() && address.port() != 0
 }
 
-/// Bytes of one word on the wire.
+/// Encoded size of a message, in bytes.
 pub fn size(message: &Message) -> usize {
     let extra = message.allocation().map_or(0, |allocation| allocation.extra.len() + 4);
     postcard::experimental::serialized_size(message).map_or(usize::MAX, |size| size + extra)
--- a/crates/peers/tests/packets.rs
+++ b/crates/peers/tests/packets.rs
@@ -1,4 +1,4 @@
-//! Letters of routers: what is written is read, and nothing else is.
+//! Packets between routers: decoding returns what was encoded and rejects everything else.
 
 use std::net::SocketAddr;
 
@@ -47,61 +47,65 @@
 }
 
 #[test]
-fn a_letter_is_read_as_written_and_any_flipped_bit_is_found() {
-    let ours = deployment("paris");
-    let bytes = encode(ours, &packet());
-    assert_eq!(decode(ours, &bytes, MAX_DATAGRAM_BYTES), Ok(packet()));
+fn packets_round_trip_and_any_flipped_bit_or_truncation_is_rejected() {
+    let own = deployment("paris");
+    let bytes = encode(own, &packet());
+    assert_eq!(decode(own, &bytes, MAX_DATAGRAM_BYTES), Ok(packet()));
     for bit in 0..bytes.len() * 8 {
-        let mut spoilt = bytes.clone();
-        spoilt[bit / 8] ^= 1 << (bit % 8);
-        assert!(decode(ours, &spoilt, MAX_DATAGRAM_BYTES).is_err(), "bit {bit}");
+        let mut corrupted = bytes.clone();
+        corrupted[bit / 8] ^= 1 << (bit % 8);
+        assert!(decode(own, &corrupted, MAX_DATAGRAM_BYTES).is_err(), "bit {bit}");
     }
     for cut in 0..bytes.len() {
-        assert!(decode(ours, &bytes[..cut], MAX_DATAGRAM_BYTES).is_err(), "cut at {cut}");
+        assert!(decode(own, &bytes[..cut], MAX_DATAGRAM_BYTES).is_err(), "cut at {cut}");
     }
     assert_eq!(decode(deployment("lyon"), &bytes, MAX_DATAGRAM_BYTES), Err(DecodeError::Deployment));
 }
 
 #[test]
-fn formats_have_a_version_and_bounds_are_kept() {
-    let ours = deployment("paris");
-    let resum = |mut bytes: Vec<u8>| {
+fn format_versions_and_bounds_are_checked() {
+    let own = deployment("paris");
+    let with_checksum = |mut bytes: Vec<u8>| {
         let mut sum = crc32fast::Hasher::new();
         sum.update(&bytes[..6]);
         sum.update(&bytes[10..]);
         bytes[6..10].copy_from_slice(&sum.finalize().to_le_bytes());
         bytes
     };
-    let mut older = encode(ours, &packet());
+    let mut older = encode(own, &packet());
     older[1] = 1;
-    assert_eq!(decode(ours, &resum(older), MAX_DATAGRAM_BYTES), Ok(packet()), "the format before is read");
-    let mut newer = encode(ours, &packet());
+    assert_eq!(
+        decode(own, &with_checksum(older), MAX_DATAGRAM_BYTES),
+        Ok(packet()),
+        "the previous format is read"
+    );
+    let mut newer = encode(own, &packet());
     newer[1] = 3;
-    assert_eq!(decode(ours, &resum(newer), MAX_DATAGRAM_BYTES), Err(DecodeError::Format));
-    let mut longer = encode(ours, &packet());
+    assert_eq!(decode(own, &with_checksum(newer), MAX_DATAGRAM_BYTES), Err(DecodeError::Format));
+    let mut longer = encode(own, &packet());
     longer.extend([1, 2, 3]);
     assert_eq!(
-        decode(ours, &resum(longer), MAX_DATAGRAM_BYTES),
+        decode(own, &with_checksum(longer), MAX_DATAGRAM_BYTES),
         Ok(packet()),
-        "what a newer one adds is passed over"
+        "fields added by a newer version are ignored"
     );
-    let mut far = packet();
-    if let Message::Update(update) = &mut far.messages[1] {
+    let mut remote = packet();
+    if let Message::Update(update) = &mut remote.messages[1] {
         update.info.as_mut().unwrap().address = "8.8.8.8:1".parse().unwrap();
     }
-    assert_eq!(decode(ours, &encode(ours, &far), MAX_DATAGRAM_BYTES), Err(DecodeError::Bounds));
-    let mut much = packet();
-    if let Message::Chosen { allocation } = &mut much.messages[2] {
+    assert_eq!(decode(own, &encode(own, &remote), MAX_DATAGRAM_BYTES), Err(DecodeError::Bounds));
+    let mut oversized = packet();
+    if let Message::Chosen { allocation } = &mut oversized.messages[2] {
         allocation.entries[0].parts[1] = 60_000;
     }
     assert_eq!(
-        decode(ours, &encode(ours, &much), MAX_DATAGRAM_BYTES),
+        decode(own, &encode(own, &oversized), MAX_DATAGRAM_BYTES),
         Err(DecodeError::Bounds),
-        "more than the whole"
+        "parts add up to more than the whole"
     );
 }
 
-fn machine() -> Peers {
+fn new_peers() -> Peers {
     let rules = Rules {
         deployment: "paris".into(),
         router_count: 3,
@@ -117,10 +121,10 @@
 }
 
 proptest! {
-    /// Random bytes are counted and dropped; nothing is sent for them and no member comes of them.
+    /// Random bytes are counted and dropped: nothing is sent in response and no member is added.
     #[test]
-    fn random_bytes_do_nothing(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
-        let mut peers = machine();
+    fn random_bytes_have_no_effect(bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
+        let mut peers = new_peers();
         let from = SocketAddr::from(([127, 0, 0, 1], 7002));
         let actions = peers.handle(1.0, Event::Datagram { from, bytes: &bytes });
         prop_assert_eq!(actions, Vec::<Action>::new());
@@ -128,22 +132,40 @@
         prop_assert_eq!(peers.counts.rejected.values().sum::<u64>(), 1);
     }
 
-    /// Well-formed letters of any content never make it send a datagram that is too long, nor hold more members than
-    /// places allow.
+    /// Well-formed packets with arbitrary content never cause a datagram above the size limit, nor more
+    /// members than the number of configured routers allows.
     #[test]
-    fn letters_of_any_content_stay_bounded(
-        rows in proptest::collection::vec((any::<u16>(), any::<u64>(), any::<u32>(), 0..4u8, any::<u16>()), 1..20),
+    fn arbitrary_packets_stay_within_limits(
+        updates in proptest::collection::vec(
+            (any::<u16>(), any::<u64>(), any::<u32>(), 0..4u8, any::<u16>()),
+            1..20,
+        ),
         ticks in 1..50u32,
     ) {
-        let mut peers = machine();
+        let mut peers = new_peers();
         let from = SocketAddr::from(([127, 0, 0, 1], 7002));
         let mut sent = Vec::new();
-        for (router, generation, incarnation, state, port) in rows {
+        for (router, generation, incarnation, state, port) in updates {
             let state = [State::Alive, State::Suspect, State::Failed, State::Left][usize::from(state)];
             let info = Some(info(port.max(1)));
-            let update = StateUpdate { router: RouterIndex(router), generation: Generation(generation), incarnation, state, reporter: RouterIndex(1), info };
+            let update = StateUpdate {
+                router: RouterIndex(router),
+                generation: Generation(generation),
+                incarnation,
+                state,
+                reporter: RouterIndex(1),
+                info,
+            };
             let messages = vec![Message::Update(update), Message::Ping { seq: 1, silent_to_sender: false }];
-            let packet = Packet { from: RouterIndex(1), generation: Generation(generation), incarnation, router_count: 3, digest: 0, allocation: generation, messages };
+            let packet = Packet {
+                from: RouterIndex(1),
+                generation: Generation(generation),
+                incarnation,
+                router_count: 3,
+                digest: 0,
+                allocation: generation,
+                messages,
+            };
             let bytes = encode(deployment("paris"), &packet);
             sent.extend(peers.handle(1.0, Event::Datagram { from, bytes: &bytes }));
         }
--- a/fuzz/fuzz_targets/peer_packets.rs
+++ b/fuzz/fuzz_targets/peer_packets.rs
@@ -1,4 +1,5 @@
-//! Datagrams and calls of other routers: whatever the bytes, nothing panics, nothing grows past its bound.
+//! Datagrams and calls from other routers: whatever the bytes, nothing panics and nothing grows past its
+//! limit.
 #![no_main]
 
 use std::net::SocketAddr;
@@ -28,7 +29,7 @@
         format: FORMAT_VERSION,
     };
     let mut peers = Peers::new(0.0, rules, info, vec![address(7001)], Generation(1), 1);
-    // With a head that fits, so that the words behind it are reached.
+    // A valid header, so that the fuzzer reaches the decoding of the messages behind it.
     let mut packet = vec![0xb7, FORMAT_VERSION];
     packet.extend(deployment("fuzz").to_le_bytes());
     packet.extend([0; 4]);
