--- a/crates/peers/src/status.rs
+++ b/crates/peers/src/status.rs
@@ -52,7 +52,8 @@
     pub not_heard_by: Vec<RouterIndex>,
 }
 
-/// Status of a router that hears `heard` of `roster` routers, itself included.
+/// Status of a router that hears `heard` of `roster` routers, itself included. The reasons are part of the status
+/// documents for operators, so their wording is kept (`place`: router index, `fellow`: peer).
 pub fn cluster_status(
     joined: bool,
     displaced: bool,
@@ -61,18 +62,14 @@
     roster: usize,
 ) -> (ClusterStatus, String) {
     let (status, reason) = match () {
-        () if displaced => {
-            (ClusterStatus::Displaced, "another process runs under this router's index".to_owned())
-        }
-        () if leaving => (ClusterStatus::Leaving, "shutting down".to_owned()),
-        () if !joined && roster > 1 => (ClusterStatus::Joining, "no peer has admitted it yet".to_owned()),
+        () if displaced => (ClusterStatus::Displaced, "another process runs under this place".to_owned()),
+        () if leaving => (ClusterStatus::Leaving, "it was told to stop".to_owned()),
+        () if !joined && roster > 1 => (ClusterStatus::Joining, "no fellow has let it in yet".to_owned()),
         () if 2 * heard > roster => {
-            (ClusterStatus::Majority, format!("hears {heard} of {roster} routers, a majority"))
-        }
-        () if heard > 1 => {
-            (ClusterStatus::Minority, format!("hears {heard} of {roster} routers, no majority"))
+            (ClusterStatus::Majority, format!("hears {heard} of {roster}, a majority"))
         }
-        () => (ClusterStatus::Isolated, format!("hears none of the other {} routers", roster - 1)),
+        () if heard > 1 => (ClusterStatus::Minority, format!("hears {heard} of {roster}, no majority")),
+        () => (ClusterStatus::Isolated, format!("hears none of the other {}", roster - 1)),
     };
     (status, reason)
 }
