--- a/crates/peers/src/allocation.rs
+++ b/crates/peers/src/allocation.rs
@@ -17,8 +17,8 @@
 /// The most that all entries' parts of a resource may add up to.
 pub const TOTAL_PARTS: u16 = 60_000;
 /// Most routers and resources in an allocation.
-pub const ROUTERS_MAX: usize = 4096;
-pub const RESOURCES_MAX: usize = 32;
+pub const MAX_ROUTERS: usize = 4096;
+pub const MAX_RESOURCES: usize = 32;
 /// Most extra bytes in an allocation.
 pub const MAX_EXTRA_BYTES: usize = 4096;
 
@@ -55,9 +55,9 @@
             |resource: usize| self.entries.iter().map(|entry| u64::from(entry.parts[resource])).sum::<u64>();
         let most =
             |resource: usize| u64::from(if resource == 0 { self.slow_start_permits } else { TOTAL_PARTS });
-        self.entries.len() <= ROUTERS_MAX
+        self.entries.len() <= MAX_ROUTERS
             && self.extra.len() <= MAX_EXTRA_BYTES
-            && resources <= RESOURCES_MAX
+            && resources <= MAX_RESOURCES
             && ordered
             && alike
             && (0..resources).all(|resource| sum(resource) <= most(resource))
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -89,7 +89,7 @@
 pub fn first(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
     let places = decisions.routers;
-    let things = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::RESOURCES_MAX - 1);
+    let things = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::MAX_RESOURCES - 1);
     let rules = Rules {
         deployment: peers.deployment.clone(),
         router_count: places,
