--- a/crates/peers/src/status.rs
+++ b/crates/peers/src/status.rs
@@ -52,8 +52,8 @@
     pub not_heard_by: Vec<RouterIndex>,
 }
 
-/// Status of a router that hears `heard` of `roster` routers, itself included. The reasons are part of the status
-/// documents for operators, so their wording is kept (`place`: router index, `fellow`: peer).
+/// Status of a router that hears `heard` of `roster` routers, itself included. The reasons are part of the
+/// status documents for operators, so their wording is kept (`place`: router index, `fellow`: peer).
 pub fn cluster_status(
     joined: bool,
     displaced: bool,
