--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -13,7 +13,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use crate::limits::{DRAIN_MS, PIECES, SILENT_MS};
+use crate::limits::{REJECTION_BODY_TIMEOUT_MS, STREAM_IDLE_TIMEOUT_MS, STREAM_QUEUE_PARTS};
 use crate::messages::{AttemptCommand, AttemptEnd, ClientRequest, CoreEvent, CoreSender, StreamPart};
 use crate::pool::{Connection, Pool};
 use crate::servers::ServerDirectory;
@@ -48,7 +48,7 @@
         // The core outlives its attempts; if it does not, nobody is left to be told.
         let _ = self.core.send(CoreEvent::Ended { completion, seq, took_ms, end }).await;
         if let Some((mut connection, framing)) = rest {
-            let read = timeout(duration(DRAIN_MS), connection.body(framing)).await;
+            let read = timeout(duration(REJECTION_BODY_TIMEOUT_MS), connection.body(framing)).await;
             if matches!(read, Ok(Ok(_))) {
                 self.pool.keep(connection);
             }
@@ -163,7 +163,7 @@
             let first = stream.is_none();
             if first && events.events > 0 {
                 let granted = self.begin(sent).await?;
-                stream = Some((granted, Pace::new(self.clock.now_ms(), SILENT_MS)));
+                stream = Some((granted, Pace::new(self.clock.now_ms(), STREAM_IDLE_TIMEOUT_MS)));
             }
             if let Some((pieces, pace)) = stream.as_mut().filter(|_| !whole.is_empty()) {
                 // What the client takes its time for is not the worker's silence.
@@ -222,7 +222,7 @@
 
 /// Where a granted stream goes, and where its client takes it from.
 pub fn pieces() -> (mpsc::Sender<StreamPart>, mpsc::Receiver<StreamPart>) {
-    mpsc::channel(PIECES)
+    mpsc::channel(STREAM_QUEUE_PARTS)
 }
 
 /// The head of an attempt; `left_ms` is how long we shall still wait.
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -17,7 +17,10 @@
 use crate::endings::{ConnectionEnd, OpenRequest, RequestEnd};
 use crate::frontend::{reached, Activity, ConnectionSlot, Lifecycle};
 use crate::inbound::Inbound;
-use crate::limits::{AHEAD_BYTES, CLIENT_IDLE, GIVEN_UP_LINGER_MS, LINGER_MS, REQUEST_MS, SLOW_CLIENT_MS};
+use crate::limits::{
+    CLIENT_IDLE_FACTOR, CLIENT_WRITE_TIMEOUT_MS, EVICTED_LINGER_MS, LINGER_MS, MAX_READ_AHEAD_BYTES,
+    REQUEST_READ_TIMEOUT_MS,
+};
 use crate::messages::{BodyBytes, ClientPresence, ClientRequest, CoreEvent, Reply, StreamPart};
 
 /// Why a connection ends, and how.
@@ -91,7 +94,7 @@
             rest.clear();
         }
     };
-    let linger_ms = if slot.given_up() { GIVEN_UP_LINGER_MS } else { LINGER_MS };
+    let linger_ms = if slot.given_up() { EVICTED_LINGER_MS } else { LINGER_MS };
     tokio::select! {
         _ = timeout(duration(linger_ms), linger) => {}
         () = slot.close.notified() => {}
@@ -103,7 +106,7 @@
     async fn serve_request(&self, stream: &mut Stream, inbound: &mut Inbound) -> Result<(), ConnectionOver> {
         let first = self.since(Activity::NoRequest);
         self.wait_for_request(stream, inbound, first).await?;
-        let by = first.unwrap_or_else(Instant::now) + duration(REQUEST_MS);
+        let by = first.unwrap_or_else(Instant::now) + duration(REQUEST_READ_TIMEOUT_MS);
         let mut life = self.frontend.life.clone();
         let taken = tokio::select! {
             biased;
@@ -203,8 +206,9 @@
         if !inbound.is_empty() {
             return Ok(());
         }
-        let idle_ms = self.frontend.provision.borrow().idle_ms * CLIENT_IDLE;
-        let until = first.map_or(Instant::now() + duration(idle_ms), |since| since + duration(REQUEST_MS));
+        let idle_ms = self.frontend.provision.borrow().idle_ms * CLIENT_IDLE_FACTOR;
+        let until = first
+            .map_or(Instant::now() + duration(idle_ms), |since| since + duration(REQUEST_READ_TIMEOUT_MS));
         let mut life = self.frontend.life.clone();
         let over = tokio::select! {
             biased;
@@ -420,7 +424,7 @@
     }
 
     async fn write(&self, stream: &mut Stream, bytes: &[u8]) -> Result<(), ConnectionOver> {
-        match timeout(duration(SLOW_CLIENT_MS), stream.write_all(bytes)).await {
+        match timeout(duration(CLIENT_WRITE_TIMEOUT_MS), stream.write_all(bytes)).await {
             Ok(Ok(())) => Ok(()),
             _ => Err(ConnectionOver::CLIENT_LEFT),
         }
@@ -430,7 +434,7 @@
 /// Returns when the client has closed. What it sends ahead is kept up to a bound and past that not read, but the end of
 /// its connection shows all the same.
 async fn client_closed(stream: &Stream, inbound: &mut Inbound) {
-    while inbound.len() < AHEAD_BYTES {
+    while inbound.len() < MAX_READ_AHEAD_BYTES {
         if !inbound.read(stream).await.is_ok_and(|more| more > 0) {
             return;
         }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -15,7 +15,7 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::{info, warn};
 
-use crate::limits::ASK_AGAIN_MS;
+use crate::limits::DISCOVERY_RETRY_MS;
 use crate::messages::{CoreEvent, CoreSender};
 use crate::pool::{read_body, read_head};
 use crate::progress::{Progress, Worth};
@@ -158,7 +158,7 @@
                     Worth::News => {}
                     // One that answers a watch at once, with nothing, is not asked in a loop.
                     Worth::Nothing => sleep(duration(PACE_MS)).await,
-                    Worth::Unusable => sleep(duration(ASK_AGAIN_MS)).await,
+                    Worth::Unusable => sleep(duration(DISCOVERY_RETRY_MS)).await,
                 }
                 if worth != Worth::Unusable {
                     let _ = first.take().map(|first| first.send(()));
@@ -168,7 +168,7 @@
                 if !std::mem::replace(&mut failing, true) {
                     warn!(%address, why, "discovery does not answer; the last list stays");
                 }
-                sleep(duration(ASK_AGAIN_MS)).await;
+                sleep(duration(DISCOVERY_RETRY_MS)).await;
             }
         }
     }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -22,39 +22,39 @@
 const LISTS: f64 = 1.0 / 16.0;
 
 /// A client has so long, in ms, to send a whole request from when it connected or began one, of the platform's 3 s.
-pub const REQUEST_MS: f64 = 2000.0;
+pub const REQUEST_READ_TIMEOUT_MS: f64 = 2000.0;
 /// A connection without a request may stay for so many times the workers' idle time.
-pub const CLIENT_IDLE: f64 = 0.5;
+pub const CLIENT_IDLE_FACTOR: f64 = 0.5;
 /// A client that takes nothing for so long, in ms, is cut.
-pub const SLOW_CLIENT_MS: f64 = 5000.0;
+pub const CLIENT_WRITE_TIMEOUT_MS: f64 = 5000.0;
 /// How long what a client still sends is read and thrown away after an error, in ms, so that it can read the error.
 pub const LINGER_MS: f64 = 500.0;
 /// The same where the connection's descriptor is wanted elsewhere.
-pub const GIVEN_UP_LINGER_MS: f64 = 50.0;
+pub const EVICTED_LINGER_MS: f64 = 50.0;
 /// Bytes that are read ahead of the answer to the request before them.
-pub const AHEAD_BYTES: usize = 16 * 1024;
+pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 /// A stream whose worker has said nothing for so long, in ms, is cut: the platform allows 5 s, and what the router
 /// sends on in the meantime is not lost.
-pub const SILENT_MS: f64 = 4000.0;
+pub const STREAM_IDLE_TIMEOUT_MS: f64 = 4000.0;
 /// Events of one stream that may wait for its client.
-pub const PIECES: usize = 8;
+pub const STREAM_QUEUE_PARTS: usize = 8;
 /// A connection to a worker is closed after this part of the time after which the worker would.
-pub const WORKER_IDLE: f64 = 0.6;
+pub const WORKER_IDLE_FACTOR: f64 = 0.6;
 /// A connection rests so long, in ms, before it is used again: what comes behind an answer shows in that time.
-pub const REST_MS: f64 = 2.0;
+pub const MIN_IDLE_BEFORE_REUSE_MS: f64 = 2.0;
 /// How long what follows a refusal's head is waited for, in ms, so that its connection can be used again.
-pub const DRAIN_MS: f64 = 1000.0;
+pub const REJECTION_BODY_TIMEOUT_MS: f64 = 1000.0;
 /// How long a watch waits at discovery, in ms, and how long after a call that was silent.
-pub const WATCH_MS: f64 = 2000.0;
-pub const WATCH_AFTER_SILENCE_MS: f64 = 100.0;
+pub const WATCH_HOLD_MS: f64 = 2000.0;
+pub const WATCH_HOLD_AFTER_TIMEOUT_MS: f64 = 100.0;
 /// How much longer its answer may take, in ms, where discovery is quick and where it is slow. A change counts as told 6 s
 /// after discovery can be reached: the most, the pause after a failure and an answer as slow have room in that.
-pub const WATCH_SLACK_MS: f64 = 1000.0;
-pub const WATCH_SLACK_MOST_MS: f64 = 2800.0;
+pub const WATCH_MIN_SLACK_MS: f64 = 1000.0;
+pub const WATCH_MAX_SLACK_MS: f64 = 2800.0;
 /// After a call that failed discovery is asked again after this, in ms: a watch goes on if it comes within 200 ms.
-pub const ASK_AGAIN_MS: f64 = 100.0;
+pub const DISCOVERY_RETRY_MS: f64 = 100.0;
 /// Words that may wait for the core.
-pub const CORE_QUEUE: usize = 1024;
+pub const CORE_QUEUE_EVENTS: usize = 1024;
 
 /// The platform kills a router no earlier after SIGTERM than this, in ms, and the longest client timeout, which counts
 /// as the second at most. What came before the first may be unanswered then.
--- a/crates/gateway/src/limits/tests.rs
+++ b/crates/gateway/src/limits/tests.rs
@@ -8,7 +8,13 @@
     let kills = [300.0, 1000.0, 10_000.0].map(|longest_ms| grace_period(longest_ms).kill_after_ms);
     assert_eq!(kills, [1000.0, 1700.0, 3700.0]);
     // Time for a watch's gap, and an error with its lingering.
-    const { assert!(ASK_AGAIN_MS < 200.0 && REQUEST_MS + LINGER_MS < 3000.0 && SILENT_MS < 5000.0) };
+    const {
+        assert!(
+            DISCOVERY_RETRY_MS < 200.0
+                && REQUEST_READ_TIMEOUT_MS + LINGER_MS < 3000.0
+                && STREAM_IDLE_TIMEOUT_MS < 5000.0
+        )
+    };
 }
 
 #[test]
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -15,7 +15,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout, Instant};
 
-use crate::limits::{REST_MS, WORKER_IDLE};
+use crate::limits::{MIN_IDLE_BEFORE_REUSE_MS, WORKER_IDLE_FACTOR};
 
 struct Idle {
     stream: Stream,
@@ -183,7 +183,7 @@
         let kept = idle.get_mut(&address)?;
         let now = Instant::now();
         let oldest = now.checked_sub(duration(may_rest_ms));
-        let rested = now.checked_sub(duration(REST_MS));
+        let rested = now.checked_sub(duration(MIN_IDLE_BEFORE_REUSE_MS));
         let mut row = kept.len();
         while row > 0 {
             row -= 1;
@@ -202,7 +202,7 @@
 
     /// For how long a connection to a worker may rest and be used again, in ms.
     fn may_rest_ms(&self, address: SocketAddr) -> f64 {
-        let usual_ms = self.idle_ms.get() * WORKER_IDLE;
+        let usual_ms = self.idle_ms.get() * WORKER_IDLE_FACTOR;
         self.short.borrow().get(&address).map_or(usual_ms, |(short_ms, _)| short_ms.min(usual_ms))
     }
 
@@ -215,7 +215,9 @@
     pub async fn head(&self, connection: &mut Connection) -> Result<AnswerHead, SocketEnd> {
         let head = connection.head().await;
         if let (Err(SocketEnd::BrokeBeforeAnswer), Some(rested_ms)) = (&head, connection.rested_ms) {
-            let short_ms = (self.may_rest_ms(connection.address) / 2.0).min(rested_ms / 2.0).max(REST_MS);
+            let short_ms = (self.may_rest_ms(connection.address) / 2.0)
+                .min(rested_ms / 2.0)
+                .max(MIN_IDLE_BEFORE_REUSE_MS);
             self.short.borrow_mut().insert(connection.address, (short_ms, Instant::now()));
         }
         head
@@ -296,7 +298,7 @@
     pub fn sweep(&self) {
         let lasts = duration(self.idle_ms.get());
         self.short.borrow_mut().retain(|_, (_, since)| since.elapsed() < lasts);
-        let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE));
+        let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE_FACTOR));
         self.idle.borrow_mut().retain(|_, kept| {
             kept.retain(|idle| idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest));
             !kept.is_empty()
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/pool/tests.rs
@@ -16,7 +16,7 @@
     let connection = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
     let (server, _) = listener.accept().unwrap();
     pool.keep(connection);
-    tokio::time::sleep(duration(2.0 * REST_MS)).await;
+    tokio::time::sleep(duration(2.0 * MIN_IDLE_BEFORE_REUSE_MS)).await;
     (pool, address, listener, server)
 }
 
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -2,7 +2,7 @@
 
 use paddleproxy_platform::List;
 
-use crate::limits::{WATCH_AFTER_SILENCE_MS, WATCH_MS, WATCH_SLACK_MOST_MS, WATCH_SLACK_MS};
+use crate::limits::{WATCH_HOLD_AFTER_TIMEOUT_MS, WATCH_HOLD_MS, WATCH_MAX_SLACK_MS, WATCH_MIN_SLACK_MS};
 
 /// What a list that was read is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -26,20 +26,20 @@
 
 impl Default for Patience {
     fn default() -> Self {
-        Patience { slack_ms: WATCH_SLACK_MS, silent: false }
+        Patience { slack_ms: WATCH_MIN_SLACK_MS, silent: false }
     }
 }
 
 impl Patience {
     fn timed_out(&mut self) {
         self.silent = true;
-        self.slack_ms = (2.0 * self.slack_ms).min(WATCH_SLACK_MOST_MS);
+        self.slack_ms = (2.0 * self.slack_ms).min(WATCH_MAX_SLACK_MS);
     }
 
     /// An answer came so long after it was due.
     fn answered(&mut self, late_ms: f64) {
         self.silent = false;
-        self.slack_ms = (2.0 * late_ms).clamp(WATCH_SLACK_MS, WATCH_SLACK_MOST_MS);
+        self.slack_ms = (2.0 * late_ms).clamp(WATCH_MIN_SLACK_MS, WATCH_MAX_SLACK_MS);
     }
 }
 
@@ -73,8 +73,8 @@
     fn hold_ms(&self) -> f64 {
         match self.watched() {
             None => 0.0,
-            Some(_) if self.patience.silent => WATCH_AFTER_SILENCE_MS,
-            Some(_) => WATCH_MS,
+            Some(_) if self.patience.silent => WATCH_HOLD_AFTER_TIMEOUT_MS,
+            Some(_) => WATCH_HOLD_MS,
         }
     }
 
--- a/crates/gateway/src/progress/tests.rs
+++ b/crates/gateway/src/progress/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module `progress`: every order of what may come on a watch.
 
 use super::*;
-use crate::limits::ASK_AGAIN_MS;
+use crate::limits::DISCOVERY_RETRY_MS;
 use paddleproxy::interface::{CellId, KindId, Listing, Readiness, WorkerId, ZoneId};
 use paddleproxy_platform::list::Row;
 
@@ -116,20 +116,20 @@
     let mut progress = Progress::default();
     let asked_whole_ms = progress.within_ms();
     progress.take(&list(1, true, 1));
-    let silent_ms = progress.within_ms() + ASK_AGAIN_MS;
-    assert!(silent_ms + ASK_AGAIN_MS + asked_whole_ms < 6000.0, "{silent_ms} and {asked_whole_ms}");
+    let silent_ms = progress.within_ms() + DISCOVERY_RETRY_MS;
+    assert!(silent_ms + DISCOVERY_RETRY_MS + asked_whole_ms < 6000.0, "{silent_ms} and {asked_whole_ms}");
     // A call that may wait: 2 s after its wait is over.
-    assert!(silent_ms < WATCH_MS + 2000.0);
+    assert!(silent_ms < WATCH_HOLD_MS + 2000.0);
 }
 
 #[test]
 fn a_slow_discovery_is_waited_for_and_a_silent_one_asked_at_once() {
     let mut progress = Progress::default();
-    assert_eq!(progress.within_ms(), WATCH_SLACK_MS);
+    assert_eq!(progress.within_ms(), WATCH_MIN_SLACK_MS);
     progress.timed_out();
     progress.timed_out();
     progress.timed_out();
-    assert_eq!(progress.within_ms(), WATCH_SLACK_MOST_MS, "it grows, but not without end");
+    assert_eq!(progress.within_ms(), WATCH_MAX_SLACK_MS, "it grows, but not without end");
     progress.answered(1600.0);
     assert!(progress.within_ms() > 1600.0, "an answer as slow comes in time");
     progress.begin_anew();
@@ -140,5 +140,5 @@
     progress.timed_out();
     assert!(progress.path().ends_with("from=7&hold_ms=100"), "what was missed: {}", progress.path());
     progress.answered(130.0);
-    assert_eq!(progress.within_ms(), WATCH_MS + WATCH_SLACK_MS);
+    assert_eq!(progress.within_ms(), WATCH_HOLD_MS + WATCH_MIN_SLACK_MS);
 }
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -18,7 +18,7 @@
 use crate::core::Core;
 use crate::discovery::{self, Source, Starts};
 use crate::frontend::{Frontend, Lifecycle};
-use crate::limits::{grace_period, Shares, CORE_QUEUE};
+use crate::limits::{grace_period, Shares, CORE_QUEUE_EVENTS};
 use crate::messages::{CoreEvent, CoreSender};
 use crate::pool::Pool;
 use crate::Signal;
@@ -53,7 +53,7 @@
         info!(name, %listen, %discovery, ?limits, ?shares, known = known.rows.len(), "starting");
 
         let pool = Rc::new(Pool::new(shares.workers, provision.connect_ms, provision.idle_ms));
-        let (core, told) = mpsc::channel(CORE_QUEUE);
+        let (core, told) = mpsc::channel(CORE_QUEUE_EVENTS);
         let (lists, asked) = mpsc::channel(2);
         let provision = Rc::new(provision);
         let mut state = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -10,7 +10,7 @@
 use tokio::time::{timeout, Instant};
 
 async fn worker() -> Rc<Worker> {
-    Worker::start("w-1", "combined", |_, _| vec![Step::Say(good())]).await
+    Worker::start("w-1", "combined", |_, _| vec![Step::Send(full_answer())]).await
 }
 
 #[test]
@@ -51,7 +51,7 @@
         ("a head past the bound", format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)), 431),
         ("an old version", "GET /_health HTTP/1.0\r\n\r\n".into(), 505),
     ];
-    local(async {
+    run_local(async {
         let worker = worker().await;
         let platform = Platform::start(&[&worker]).await;
         for (name, request, status) in &cases {
@@ -64,8 +64,8 @@
             assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {answer}");
             assert!(began.elapsed() < ms(2900), "{name}");
         }
-        assert_eq!(worker.asked().len(), 0);
-        assert!(body(&platform.ask("c1").await).1, "the usual client is served");
+        assert_eq!(worker.completion_requests().len(), 0);
+        assert!(body(&platform.complete("c1").await).1, "the usual client is served");
     });
 }
 
@@ -74,7 +74,7 @@
     let request = completion("b1", "", "{}");
     let half = &request[..request.len() - 1];
     for (name, text) in [("nothing", ""), ("half a head", &request[..40]), ("half a body", half)] {
-        local(async {
+        run_local(async {
             let worker = worker().await;
             let platform = Platform::start(&[&worker]).await;
             let began = Instant::now();
@@ -83,14 +83,14 @@
             let mut answer = Vec::new();
             let _ = timeout(ms(2900), client.read_to_end(&mut answer)).await.expect(name);
             assert!(began.elapsed() > ms(1500), "{name}: a slow client has some time");
-            assert_eq!(worker.asked().len(), 0, "{name}");
+            assert_eq!(worker.completion_requests().len(), 0, "{name}");
         });
     }
 }
 
 #[test]
 fn one_byte_at_a_time_is_read_and_a_chunked_body_goes_on_whole() {
-    local(async {
+    run_local(async {
         let worker = worker().await;
         let platform = Platform::start(&[&worker]).await;
         let text = completion("b1", "Connection: close\r\n", "{}").replace(
@@ -106,34 +106,35 @@
         let mut answer = Vec::new();
         client.read_to_end(&mut answer).await.unwrap();
         assert!(body(&String::from_utf8(answer).unwrap()).1);
-        assert_eq!(worker.asked()[0].body, b"{}");
-        assert!(!worker.asked()[0].head.to_lowercase().contains("transfer-encoding"));
+        assert_eq!(worker.completion_requests()[0].body, b"{}");
+        assert!(!worker.completion_requests()[0].head.to_lowercase().contains("transfer-encoding"));
     });
 }
 
 #[test]
 fn an_id_that_is_open_is_refused_and_its_owner_is_served() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Wait(150), Step::Say(good())]).await;
+    run_local(async {
+        let worker =
+            Worker::start("w-1", "combined", |_, _| vec![Step::Wait(150), Step::Send(full_answer())]).await;
         let platform = Platform::start(&[&worker]).await;
         let mut first = TcpStream::connect(platform.clients).await.unwrap();
         first.write_all(completion("a1", "Connection: close\r\n", "{}").as_bytes()).await.unwrap();
-        wait_while(|| worker.asked().is_empty()).await;
-        let second = platform.ask("a1").await;
+        wait_while(|| worker.completion_requests().is_empty()).await;
+        let second = platform.complete("a1").await;
         assert!(second.starts_with("HTTP/1.1 400 "), "{second}");
         let mut answer = Vec::new();
         first.read_to_end(&mut answer).await.unwrap();
         assert!(body(&String::from_utf8(answer).unwrap()).1);
-        assert_eq!(worker.asked().len(), 1);
+        assert_eq!(worker.completion_requests().len(), 1);
     });
 }
 
 #[test]
 fn requests_sent_ahead_are_answered_in_order() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |seen, _| {
             let wait = if seen.id == "a1" { 60 } else { 1 };
-            vec![Step::Wait(wait), Step::Say(good().replace("oqvh", &seen.id.repeat(2)))]
+            vec![Step::Wait(wait), Step::Send(full_answer().replace("oqvh", &seen.id.repeat(2)))]
         })
         .await;
         let platform = Platform::start(&[&worker]).await;
@@ -149,7 +150,7 @@
 
 #[test]
 fn a_body_of_sixty_megabytes_ends_early_whatever_its_client_does() {
-    local(async {
+    run_local(async {
         let worker = worker().await;
         let platform = Platform::start(&[&worker]).await;
         let mut client = TcpStream::connect(platform.clients).await.unwrap();
@@ -159,13 +160,13 @@
         let part = vec![b'a'; 65536];
         let pushed = timeout(ms(2900), async { while client.write_all(&part).await.is_ok() {} });
         pushed.await.expect("the connection closes although its client goes on");
-        assert!(body(&platform.ask("c1").await).1);
+        assert!(body(&platform.complete("c1").await).1);
     });
 }
 
 #[test]
 fn descriptors_that_run_short_are_taken_back_from_who_says_nothing() {
-    local(async {
+    run_local(async {
         let worker = worker().await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["sockets"] = 64.into()).await;
         let mut silent = Vec::new();
@@ -173,7 +174,7 @@
             silent.push(TcpStream::connect(platform.clients).await.unwrap());
         }
         for round in 0..20 {
-            assert!(body(&platform.ask(&format!("c{round}")).await).1);
+            assert!(body(&platform.complete(&format!("c{round}")).await).1);
         }
         let mut closed = 0;
         for client in &mut silent {
@@ -185,7 +186,7 @@
 
 #[test]
 fn bytes_of_open_bodies_are_bounded_together() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["memory_mb"] = 2.into()).await;
         // A fifth of 2 MB is less than two of the largest bodies, and two always fit.
@@ -196,11 +197,11 @@
             client.write_all(completion(id, "", &large).as_bytes()).await.unwrap();
             open.push(client);
         }
-        wait_while(|| worker.asked().len() < 2).await;
+        wait_while(|| worker.completion_requests().len() < 2).await;
         let answer = raw(platform.clients, completion("a3", "", &large).as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 503 "), "{:.200}", answer);
         drop(open);
-        worker.now(|_, _| vec![Step::Say(good())]);
-        platform.until(&completion("a4", "Connection: close\r\n", &large), " 200 ").await;
+        worker.set_script(|_, _| vec![Step::Send(full_answer())]);
+        platform.wait_for_answer(&completion("a4", "Connection: close\r\n", &large), " 200 ").await;
     });
 }
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Runs a test's body on one thread with local tasks; a test that hangs fails after a minute.
-pub fn local(work: impl Future<Output = ()>) {
+pub fn run_local(work: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let bounded = async { timeout(Duration::from_secs(60), work).await.expect("it hangs") };
     tokio::task::LocalSet::new().block_on(&runtime, bounded);
@@ -47,7 +47,7 @@
 }
 
 /// A whole good answer.
-pub fn good() -> String {
+pub fn full_answer() -> String {
     format!("{HEAD}{}{}0\r\n\r\n", chunk(FIRST), chunk(LAST))
 }
 
@@ -56,16 +56,16 @@
 }
 
 /// Something that a stand-in does without a turn of the router in between.
-pub type Act = Rc<dyn Fn()>;
+pub type Action = Rc<dyn Fn()>;
 
 /// What a worker does about one request.
 #[derive(Clone)]
 pub enum Step {
-    Say(String),
+    Send(String),
     Bytes(Vec<u8>),
     Wait(u64),
     /// Does this at once, before the router runs again.
-    Do(Act),
+    Run(Action),
     /// Sends this again and again until nobody takes it.
     Flood(Vec<u8>),
     Close,
@@ -75,7 +75,7 @@
 
 /// One request as a worker saw it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Seen {
+pub struct RecordedRequest {
     pub connection: usize,
     pub method: String,
     pub target: String,
@@ -85,27 +85,27 @@
     pub body: Vec<u8>,
 }
 
-type Script = Rc<dyn Fn(&Seen, usize) -> Vec<Step>>;
+type Script = Rc<dyn Fn(&RecordedRequest, usize) -> Vec<Step>>;
 
 pub struct Worker {
     pub name: String,
     pub kind: &'static str,
     pub address: SocketAddr,
-    pub seen: Rc<RefCell<Vec<Seen>>>,
+    pub seen: Rc<RefCell<Vec<RecordedRequest>>>,
     pub connections: Rc<Cell<usize>>,
     /// Connections that the router closed.
     pub closed: Rc<Cell<usize>>,
     /// Takes calls on what is held and says nothing.
-    pub deaf: Cell<bool>,
+    pub ignores_calls: Cell<bool>,
     /// What it does the moment a connection comes.
-    pub on_connect: RefCell<Option<Act>>,
+    pub on_connect: RefCell<Option<Action>>,
     /// What it does when it is asked for its load, before or after it answers.
-    pub on_probe: RefCell<Option<(bool, Act)>>,
+    pub on_probe: RefCell<Option<(bool, Action)>>,
     script: Rc<RefCell<Script>>,
 }
 
 /// Reads one request; None at the end of the connection.
-async fn request(stream: &mut TcpStream, bytes: &mut Vec<u8>, connection: usize) -> Option<Seen> {
+async fn request(stream: &mut TcpStream, bytes: &mut Vec<u8>, connection: usize) -> Option<RecordedRequest> {
     loop {
         if let Some(end) = bytes.windows(4).position(|part| part == b"\r\n\r\n") {
             let head = String::from_utf8(bytes[..end].to_vec()).unwrap();
@@ -118,7 +118,7 @@
                 let mut first = head.lines().next().unwrap().split(' ');
                 let body = bytes[end + 4..end + 4 + length].to_vec();
                 bytes.drain(..end + 4 + length);
-                return Some(Seen {
+                return Some(RecordedRequest {
                     connection,
                     method: first.next().unwrap().to_owned(),
                     target: first.next().unwrap().to_owned(),
@@ -141,7 +141,7 @@
     pub async fn start(
         name: &str,
         kind: &'static str,
-        script: impl Fn(&Seen, usize) -> Vec<Step> + 'static,
+        script: impl Fn(&RecordedRequest, usize) -> Vec<Step> + 'static,
     ) -> Rc<Worker> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let worker = Rc::new(Worker {
@@ -151,7 +151,7 @@
             seen: Rc::default(),
             connections: Rc::default(),
             closed: Rc::default(),
-            deaf: Cell::new(false),
+            ignores_calls: Cell::new(false),
             on_connect: RefCell::default(),
             on_probe: RefCell::default(),
             script: Rc::new(RefCell::new(Rc::new(script))),
@@ -171,12 +171,12 @@
     }
 
     /// Answers differently from now on.
-    pub fn now(&self, script: impl Fn(&Seen, usize) -> Vec<Step> + 'static) {
+    pub fn set_script(&self, script: impl Fn(&RecordedRequest, usize) -> Vec<Step> + 'static) {
         *self.script.borrow_mut() = Rc::new(script);
     }
 
     /// Requests for completions that it saw.
-    pub fn asked(&self) -> Vec<Seen> {
+    pub fn completion_requests(&self) -> Vec<RecordedRequest> {
         self.seen.borrow().iter().filter(|seen| seen.target.starts_with("/v1/")).cloned().collect()
     }
 
@@ -187,11 +187,11 @@
     }
 
     fn probed(&self) -> Vec<Step> {
-        let said = Step::Say(plain("200 OK", "", "TEXT inflight=1, queue=0, util=0.1"));
+        let said = Step::Send(plain("200 OK", "", "TEXT inflight=1, queue=0, util=0.1"));
         match self.on_probe.borrow().clone() {
             None => vec![said],
-            Some((true, act)) => vec![Step::Do(act), said],
-            Some((false, act)) => vec![said, Step::Do(act)],
+            Some((true, act)) => vec![Step::Run(act), said],
+            Some((false, act)) => vec![said, Step::Run(act)],
         }
     }
 
@@ -200,26 +200,26 @@
         while let Some(seen) = request(&mut stream, &mut bytes, number).await {
             let steps = if seen.target.starts_with("/v1/") {
                 let script = self.script.borrow().clone();
-                let asked = self.asked().len();
+                let asked = self.completion_requests().len();
                 self.seen.borrow_mut().push(seen.clone());
                 script(&seen, asked)
             } else {
                 self.seen.borrow_mut().push(seen.clone());
                 match seen.method.as_str() {
                     "GET" => self.probed(),
-                    _ if self.deaf.get() => vec![Step::Hang],
-                    _ => vec![Step::Say(plain("204 No Content", "", ""))],
+                    _ if self.ignores_calls.get() => vec![Step::Hang],
+                    _ => vec![Step::Send(plain("204 No Content", "", ""))],
                 }
             };
             for step in steps {
                 let said = match step {
-                    Step::Say(text) => stream.write_all(text.as_bytes()).await,
+                    Step::Send(text) => stream.write_all(text.as_bytes()).await,
                     Step::Bytes(bytes) => stream.write_all(&bytes).await,
                     Step::Wait(wait) => {
                         sleep(ms(wait)).await;
                         Ok(())
                     }
-                    Step::Do(act) => {
+                    Step::Run(act) => {
                         act();
                         Ok(())
                     }
@@ -249,9 +249,9 @@
 pub struct Discovery {
     pub address: SocketAddr,
     /// Answers to calls; the last is said again and again. A watch waits until it differs from what was said.
-    pub says: Rc<RefCell<String>>,
+    pub answer: Rc<RefCell<String>>,
     /// Rises with each change of `says`.
-    pub turn: Rc<Cell<u64>>,
+    pub revision: Rc<Cell<u64>>,
     pub calls: Rc<RefCell<Vec<String>>>,
     pub silent: Rc<Cell<bool>>,
     /// How long each answer takes beyond its wait, in ms.
@@ -263,15 +263,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
-            says: Rc::new(RefCell::new(says)),
-            turn: Rc::new(Cell::new(1)),
+            answer: Rc::new(RefCell::new(says)),
+            revision: Rc::new(Cell::new(1)),
             calls: Rc::default(),
             silent: Rc::default(),
             slow_ms: Rc::default(),
         };
         let (says, turn, calls, silent, slow_ms) = (
-            discovery.says.clone(),
-            discovery.turn.clone(),
+            discovery.answer.clone(),
+            discovery.revision.clone(),
             discovery.calls.clone(),
             discovery.silent.clone(),
             discovery.slow_ms.clone(),
@@ -305,9 +305,9 @@
         discovery
     }
 
-    pub fn say(&self, says: String) {
-        *self.says.borrow_mut() = says;
-        self.turn.set(self.turn.get() + 1);
+    pub fn publish(&self, says: String) {
+        *self.answer.borrow_mut() = says;
+        self.revision.set(self.revision.get() + 1);
     }
 }
 
@@ -378,12 +378,14 @@
         });
         let clients = ready.await.unwrap();
         let platform = Platform { clients, discovery, signals, router, file, config, _dir: dir };
-        platform.until("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 ").await;
+        platform
+            .wait_for_answer("GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n", " 200 ")
+            .await;
         platform
     }
 
     /// Asks until the answer says so.
-    pub async fn until(&self, request: &str, said: &str) {
+    pub async fn wait_for_answer(&self, request: &str, said: &str) {
         loop {
             let answer = raw(self.clients, request.as_bytes()).await;
             if answer.contains(said) {
@@ -393,7 +395,7 @@
         }
     }
 
-    pub async fn ask(&self, id: &str) -> String {
+    pub async fn complete(&self, id: &str) -> String {
         raw(self.clients, completion(id, "Connection: close\r\n", "{}").as_bytes()).await
     }
 }
--- a/crates/gateway/tests/final_answers.rs
+++ b/crates/gateway/tests/final_answers.rs
@@ -41,11 +41,11 @@
 #[test]
 fn with_all_servers_of_a_role_hung_each_request_gets_its_answer() {
     for hung in ["prefill", "combined"] {
-        local(async {
+        run_local(async {
             let script = move |kind: &'static str| {
-                move |_: &Seen, _: usize| match kind == hung {
+                move |_: &RecordedRequest, _: usize| match kind == hung {
                     true => vec![Step::Hang],
-                    false => vec![Step::Say(plain("202 Read", "", "{\"cached_tokens\":0}"))],
+                    false => vec![Step::Send(plain("202 Read", "", "{\"cached_tokens\":0}"))],
                 }
             };
             let reader = Worker::start("r-1", "prefill", script("prefill")).await;
@@ -62,7 +62,7 @@
 /// Hundreds of clients say nothing, others send what can't be read, and no server answers.
 #[test]
 fn beside_clients_that_flood_it_a_router_answers_the_usual_ones() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["sockets"] = 96.into()).await;
         platform.discovery.silent.set(true);
@@ -88,9 +88,9 @@
 /// Nothing can take the request: its answer does not wait for the deadline.
 #[test]
 fn what_is_given_up_on_is_answered_at_once() {
-    local(async {
+    run_local(async {
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
-        let worker = Worker::start("w-1", "combined", move |_, _| vec![Step::Say(full.clone())]).await;
+        let worker = Worker::start("w-1", "combined", move |_, _| vec![Step::Send(full.clone())]).await;
         let platform = Platform::start(&[&worker]).await;
         let wait_ms = 8000;
         for (answer, took_ms) in asked(&platform, 3, 100, wait_ms).await {
--- a/crates/gateway/tests/large.rs
+++ b/crates/gateway/tests/large.rs
@@ -28,8 +28,8 @@
 
 #[test]
 fn a_thousand_workers_and_routers_are_taken_and_served() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Say(good())]).await;
+    run_local(async {
+        let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Send(full_answer())]).await;
         let list = whole(&worker);
         let text = indented(&list);
         assert!(text.len() > 1024 * 1024, "{}", text.len());
@@ -43,10 +43,10 @@
             config["limits"]["memory_mb"] = 32.into();
         })
         .await;
-        assert!(platform.ask("a0").await.starts_with("HTTP/1.1 429 "), "nobody is listed yet");
-        platform.discovery.say(text);
+        assert!(platform.complete("a0").await.starts_with("HTTP/1.1 429 "), "nobody is listed yet");
+        platform.discovery.publish(text);
         platform
-            .until(
+            .wait_for_answer(
                 "POST /v1/chat/completions HTTP/1.1\r\nHost: b\r\nReq-Id: b1\r\nReq-Kind: chat\r\n\
             Req-Owner: acme\r\nReq-Key: 7f3a\r\nReq-Deadline: 8.000\r\nReq-Extra: prompt_len=9,max_out=8\r\n\
             Connection: close\r\nContent-Length: 2\r\n\r\n{}",
@@ -56,8 +56,8 @@
         // A list beyond the bound changes nothing.
         let long = json!({ "seq": 2, "whole": true, "hosts": [], "pad": "x".repeat(5 << 20) });
         let calls = platform.discovery.calls.borrow().len();
-        platform.discovery.say(long.to_string());
+        platform.discovery.publish(long.to_string());
         wait_while(|| platform.discovery.calls.borrow().len() < calls + 2).await;
-        assert!(body(&platform.ask("a2").await).1, "the last good list stays");
+        assert!(body(&platform.complete("a2").await).1, "the last good list stays");
     });
 }
--- a/crates/gateway/tests/life.rs
+++ b/crates/gateway/tests/life.rs
@@ -10,23 +10,27 @@
 use tokio::time::{sleep, timeout, Instant};
 
 fn served() -> Vec<Step> {
-    vec![Step::Say(good())]
+    vec![Step::Send(full_answer())]
 }
 
 #[test]
 fn a_drain_that_is_told_is_kept_and_the_list_outlives_a_silent_discovery() {
-    local(async {
+    run_local(async {
         let one = Worker::start("w-1", "combined", |_, _| served()).await;
         let two = Worker::start("w-2", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&one, &two]).await;
-        let home = if body(&platform.ask("a1").await).1 && one.asked().len() == 1 { &one } else { &two };
+        let home = if body(&platform.complete("a1").await).1 && one.completion_requests().len() == 1 {
+            &one
+        } else {
+            &two
+        };
         let other = if home.name == one.name { &two } else { &one };
         let change = json!({ "seq": 2, "whole": false, "hosts": [host(home, "draining")] });
-        platform.discovery.say(change.to_string());
+        platform.discovery.publish(change.to_string());
         wait_while(|| platform.discovery.calls.borrow().last().is_none_or(|call| !call.contains("from=2")))
             .await;
-        assert!(body(&platform.ask("a2").await).1);
-        assert_eq!((home.asked().len(), other.asked().len()), (1, 1));
+        assert!(body(&platform.complete("a2").await).1);
+        assert_eq!((home.completion_requests().len(), other.completion_requests().len()), (1, 1));
         // An older version, what is no list, half an answer, silence: none of them changes anything.
         let old = list(1, &[home]).to_string();
         for lie in [
@@ -35,20 +39,20 @@
             "raw:HTTP/1.1 200 OK\r\nContent-Length: 999\r\n\r\n{",
             "raw:nonsense\r\n\r\n",
         ] {
-            platform.discovery.say(lie.into());
+            platform.discovery.publish(lie.into());
             sleep(ms(150)).await;
-            assert!(body(&platform.ask("a3").await).1, "{lie}");
-            assert_eq!(home.asked().len(), 1, "{lie}");
+            assert!(body(&platform.complete("a3").await).1, "{lie}");
+            assert_eq!(home.completion_requests().len(), 1, "{lie}");
         }
         platform.discovery.silent.set(true);
-        assert!(body(&platform.ask("a4").await).1);
+        assert!(body(&platform.complete("a4").await).1);
         platform
             .discovery
-            .say(json!({ "seq": 3, "whole": false, "hosts": [host(home, "ready")] }).to_string());
+            .publish(json!({ "seq": 3, "whole": false, "hosts": [host(home, "ready")] }).to_string());
         platform.discovery.silent.set(false);
         for _ in 0..1000 {
-            assert!(body(&platform.ask("a5").await).1);
-            if home.asked().len() > 1 {
+            assert!(body(&platform.complete("a5").await).1);
+            if home.completion_requests().len() > 1 {
                 return;
             }
             sleep(ms(5)).await;
@@ -61,7 +65,7 @@
 #[test]
 fn a_router_is_ready_in_time_while_discovery_is_silent_or_gone() {
     for silent in [true, false] {
-        local(async {
+        run_local(async {
             let worker = Worker::start("w-1", "combined", |_, _| served()).await;
             let discovery = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let address = discovery.local_addr().unwrap().to_string();
@@ -70,7 +74,7 @@
             let platform =
                 Platform::with(&[&worker], |config| config["discovery"] = address.clone().into()).await;
             assert!(began.elapsed() < ms(10_000), "{:?}", began.elapsed());
-            assert!(body(&platform.ask("a1").await).1, "silent: {silent}");
+            assert!(body(&platform.complete("a1").await).1, "silent: {silent}");
         });
     }
 }
@@ -78,34 +82,43 @@
 /// A discovery that is crowded answers late, each time. What it tells counts all the same.
 #[test]
 fn a_drain_is_heard_from_a_discovery_that_takes_its_time() {
-    local(async {
+    run_local(async {
         let one = Worker::start("w-1", "combined", |_, _| served()).await;
         let two = Worker::start("w-2", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&one, &two]).await;
-        let home = if body(&platform.ask("a1").await).1 && one.asked().len() == 1 { &one } else { &two };
+        let home = if body(&platform.complete("a1").await).1 && one.completion_requests().len() == 1 {
+            &one
+        } else {
+            &two
+        };
         platform.discovery.slow_ms.set(1600);
         // A new configuration asks for the whole list anew.
         platform.signals.send(Signal::Reload).await.unwrap();
         let other = if home.name == one.name { &two } else { &one };
         let hosts = [host(home, "draining"), host(other, "ready")];
-        platform.discovery.say(json!({ "seq": 2, "whole": true, "hosts": hosts }).to_string());
+        platform.discovery.publish(json!({ "seq": 2, "whole": true, "hosts": hosts }).to_string());
         // A change counts as told 6 s after discovery had it and could be reached.
         sleep(ms(6000)).await;
-        let before = home.asked().len();
+        let before = home.completion_requests().len();
         for id in ["b1", "b2", "b3"] {
-            assert!(body(&platform.ask(id).await).1);
+            assert!(body(&platform.complete(id).await).1);
         }
-        assert_eq!(home.asked().len(), before, "calls: {:?}", platform.discovery.calls.borrow());
+        assert_eq!(
+            home.completion_requests().len(),
+            before,
+            "calls: {:?}",
+            platform.discovery.calls.borrow()
+        );
     });
 }
 
 #[test]
 fn watches_follow_each_other_without_a_gap() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&worker]).await;
         for version in 2..12 {
-            platform.discovery.say(list(version, &[&worker]).to_string());
+            platform.discovery.publish(list(version, &[&worker]).to_string());
             let waits = format!("from={version}&");
             let called = async {
                 while !platform.discovery.calls.borrow().iter().any(|call| call.contains(&waits)) {
@@ -126,33 +139,37 @@
 /// A watch's answer that can't be read has taken its changes with it: the next call asks for the whole list.
 #[test]
 fn a_drain_in_an_answer_that_can_not_be_read_is_in_the_whole_list() {
-    local(async {
+    run_local(async {
         let one = Worker::start("w-1", "combined", |_, _| served()).await;
         let two = Worker::start("w-2", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&one, &two]).await;
-        let home = if body(&platform.ask("a1").await).1 && one.asked().len() == 1 { &one } else { &two };
+        let home = if body(&platform.complete("a1").await).1 && one.completion_requests().len() == 1 {
+            &one
+        } else {
+            &two
+        };
         let calls = platform.discovery.calls.borrow().len();
-        platform.discovery.say("{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":".into());
+        platform.discovery.publish("{\"seq\":2,\"whole\":false,\"hosts\":[{\"host\":".into());
         wait_while(|| platform.discovery.calls.borrow().len() == calls).await;
         assert_eq!(platform.discovery.calls.borrow()[calls], "/catalog/members");
         let whole = json!({ "seq": 2, "whole": true, "hosts": [host(home, "draining"),
                             host(if home.name == one.name { &two } else { &one }, "ready")] });
-        platform.discovery.say(whole.to_string());
+        platform.discovery.publish(whole.to_string());
         wait_while(|| platform.discovery.calls.borrow().last().is_none_or(|call| !call.contains("from=2")))
             .await;
-        let before = home.asked().len();
-        assert!(body(&platform.ask("a2").await).1);
-        assert_eq!(home.asked().len(), before, "the drain is kept");
+        let before = home.completion_requests().len();
+        assert!(body(&platform.complete("a2").await).1);
+        assert_eq!(home.completion_requests().len(), before, "the drain is kept");
     });
 }
 
 #[test]
 fn a_new_configuration_moves_discovery_and_a_torn_one_changes_nothing() {
-    local(async {
+    run_local(async {
         let one = Worker::start("w-1", "combined", |_, _| served()).await;
         let two = Worker::start("w-2", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&one]).await;
-        platform.discovery.say(list(900, &[&one]).to_string());
+        platform.discovery.publish(list(900, &[&one]).to_string());
         sleep(ms(30)).await;
         let text = platform.config.to_string();
         let wrong = text.replace("\"discovery\"", "\"discover\"");
@@ -160,7 +177,7 @@
             std::fs::write(&platform.file, torn).unwrap();
             platform.signals.send(Signal::Reload).await.unwrap();
             sleep(ms(30)).await;
-            assert!(body(&platform.ask("a1").await).1, "{torn:.40}");
+            assert!(body(&platform.complete("a1").await).1, "{torn:.40}");
         }
         // The other address counts from the beginning: its lower version is the newer word.
         let moved = Discovery::start(list(3, &[&two]).to_string()).await;
@@ -170,26 +187,26 @@
         platform.signals.send(Signal::Reload).await.unwrap();
         wait_while(|| moved.calls.borrow().len() < 2).await;
         assert_eq!(moved.calls.borrow()[0], "/catalog/members");
-        let before = one.asked().len();
-        assert!(body(&platform.ask("a2").await).1);
-        assert_eq!((one.asked().len(), two.asked().len()), (before, 1));
+        let before = one.completion_requests().len();
+        assert!(body(&platform.complete("a2").await).1);
+        assert_eq!((one.completion_requests().len(), two.completion_requests().len()), (before, 1));
         // The old address says nothing to anybody any more.
         let calls = platform.discovery.calls.borrow().len();
-        platform.discovery.say(list(901, &[&one]).to_string());
+        platform.discovery.publish(list(901, &[&one]).to_string());
         sleep(ms(50)).await;
         assert!(platform.discovery.calls.borrow().len() <= calls + 1);
-        assert!(body(&platform.ask("a3").await).1);
-        assert_eq!(two.asked().len(), 2);
+        assert!(body(&platform.complete("a3").await).1);
+        assert_eq!(two.completion_requests().len(), 2);
     });
 }
 
 #[test]
 fn after_sigterm_what_comes_is_answered_and_streams_run_to_their_end() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
-            let mut steps = vec![Step::Say(format!("{HEAD}{}", chunk(FIRST)))];
-            steps.extend((0..10).flat_map(|_| [Step::Wait(150), Step::Say(chunk(FIRST))]));
-            steps.extend([Step::Say(chunk(LAST)), Step::Say("0\r\n\r\n".into())]);
+            let mut steps = vec![Step::Send(format!("{HEAD}{}", chunk(FIRST)))];
+            steps.extend((0..10).flat_map(|_| [Step::Wait(150), Step::Send(chunk(FIRST))]));
+            steps.extend([Step::Send(chunk(LAST)), Step::Send("0\r\n\r\n".into())]);
             steps
         })
         .await;
@@ -203,8 +220,8 @@
         let began = Instant::now();
         platform.signals.send(Signal::Stop).await.unwrap();
         sleep(ms(200)).await;
-        worker.now(|_, _| served());
-        assert!(body(&platform.ask("a2").await).1, "who comes late is answered");
+        worker.set_script(|_, _| served());
+        assert!(body(&platform.complete("a2").await).1, "who comes late is answered");
         let mut answer = Vec::new();
         open.read_to_end(&mut answer).await.unwrap();
         assert!(String::from_utf8(answer).unwrap().ends_with("\r\n0\r\n\r\n"), "the stream ran to its end");
@@ -220,7 +237,7 @@
 
 #[test]
 fn what_is_unanswered_late_after_sigterm_gets_its_final_answer() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| {
             config["settings"]["services"][0]["slo_s"] = 19.0.into();
@@ -228,7 +245,7 @@
         .await;
         let mut open = TcpStream::connect(platform.clients).await.unwrap();
         open.write_all(completion("a1", "", "{}").as_bytes()).await.unwrap();
-        wait_while(|| worker.asked().is_empty()).await;
+        wait_while(|| worker.completion_requests().is_empty()).await;
         let began = Instant::now();
         platform.signals.send(Signal::Stop).await.unwrap();
         let mut answer = Vec::new();
@@ -254,7 +271,7 @@
 
 #[test]
 fn a_configuration_that_can_not_be_is_named_by_its_field() {
-    local(async {
+    run_local(async {
         for (field, wrong, said) in [
             ("discovery", json!("nowhere"), "discovery"),
             ("listen", json!(7), "listen"),
@@ -285,7 +302,7 @@
     fn descriptors() -> usize {
         std::fs::read_dir("/proc/self/fd").unwrap().count()
     }
-    local(async {
+    run_local(async {
         let one = Worker::start("w-1", "combined", |_, _| served()).await;
         let platform = Platform::start(&[&one]).await;
         let mut at = Vec::new();
@@ -298,7 +315,7 @@
                 let seq = 10 + round * 150 + step;
                 let mut listed = list(seq, &[&one]);
                 listed["hosts"][0]["host"] = format!("w-{seq}").into();
-                platform.discovery.say(listed.to_string());
+                platform.discovery.publish(listed.to_string());
             }
             sleep(ms(60)).await;
             at.push(descriptors());
@@ -310,7 +327,7 @@
 /// Configurations that can't be read are tried again; the word to stop does not wait for them.
 #[test]
 fn the_word_to_stop_does_not_wait_behind_configurations_that_can_not_be_read() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| {
             config["settings"]["services"][0]["slo_s"] = 19.0.into();
@@ -318,7 +335,7 @@
         .await;
         let mut open = TcpStream::connect(platform.clients).await.unwrap();
         open.write_all(completion("a1", "", "{}").as_bytes()).await.unwrap();
-        wait_while(|| worker.asked().is_empty()).await;
+        wait_while(|| worker.completion_requests().is_empty()).await;
         std::fs::write(&platform.file, "{").unwrap();
         let began = Instant::now();
         for signal in [Signal::Reload, Signal::Reload, Signal::Reload, Signal::Stop] {
@@ -337,7 +354,7 @@
 /// time that is left to the kill.
 #[test]
 fn a_router_told_to_stop_before_it_listens_never_does() {
-    local(async {
+    run_local(async {
         let holder = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut settings = config("127.0.0.1:9");
         settings["listen"] = holder.local_addr().unwrap().to_string().into();
@@ -361,8 +378,9 @@
 /// it no router that takes more.
 #[test]
 fn a_router_that_is_told_to_stop_while_it_starts_ends() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Wait(1900), Step::Say(good())]).await;
+    run_local(async {
+        let worker =
+            Worker::start("w-1", "combined", |_, _| vec![Step::Wait(1900), Step::Send(full_answer())]).await;
         let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut settings = config(&silent.local_addr().unwrap().to_string());
         settings["known"] = list(1, &[&worker]);
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 fn say(text: impl Into<String>) -> Vec<Step> {
-    vec![Step::Say(text.into())]
+    vec![Step::Send(text.into())]
 }
 
 /// A client that closes when it is told to, without a turn of the router in between.
@@ -48,17 +48,17 @@
 
 /// Asks for another completion with its own conversation and waits for the answer: whatever was to happen has happened.
 async fn passes(platform: &Platform, id: &str) {
-    assert!(body(&platform.ask(id).await).1);
+    assert!(body(&platform.complete(id).await).1);
 }
 
 fn ids(worker: &Worker) -> Vec<String> {
-    worker.asked().into_iter().map(|seen| seen.id).collect()
+    worker.completion_requests().into_iter().map(|seen| seen.id).collect()
 }
 
 #[test]
 fn a_client_that_closes_right_behind_its_request_is_not_served() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+    run_local(async {
+        let worker = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
         let platform = Platform::with(&[&worker], no_cancels).await;
         let client = Client::default();
         client.send(&platform, &completion("gone", "", "{}"));
@@ -70,8 +70,8 @@
 
 #[test]
 fn a_client_that_closes_as_the_connection_comes_up_is_not_served() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+    run_local(async {
+        let worker = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
         let platform = Platform::with(&[&worker], no_cancels).await;
         let client = Client::default();
         *worker.on_connect.borrow_mut() = Some(client.closes());
@@ -87,8 +87,8 @@
 #[test]
 fn a_client_that_closes_with_the_answer_to_a_probe_is_not_served() {
     for closes_first in [true, false] {
-        local(async {
-            let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+        run_local(async {
+            let worker = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
             let platform = Platform::with(&[&worker], |config| {
                 no_cancels(config);
                 config["settings"]["caps"]["probes"] = true.into();
@@ -108,14 +108,14 @@
 #[test]
 fn a_client_that_closes_with_the_failure_of_an_attempt_is_not_tried_again() {
     for closes_first in [true, false] {
-        local(async {
+        run_local(async {
             let client = Client::default();
-            let error = Step::Say(plain("500 Oh", "", "{}"));
-            let closes = Step::Do(client.closes());
+            let error = Step::Send(plain("500 Oh", "", "{}"));
+            let closes = Step::Run(client.closes());
             let steps = if closes_first { vec![closes, error] } else { vec![error, closes] };
-            let script = move |seen: &Seen, _: usize| match seen.id.as_str() {
+            let script = move |seen: &RecordedRequest, _: usize| match seen.id.as_str() {
                 "gone" => steps.clone(),
-                _ => say(good()),
+                _ => say(full_answer()),
             };
             let one = Worker::start("w-1", "combined", script.clone()).await;
             let two = Worker::start("w-2", "combined", script).await;
@@ -133,13 +133,13 @@
 #[test]
 fn a_client_that_closes_between_read_and_write_is_not_written_for() {
     for closes_first in [true, false] {
-        local(async {
+        run_local(async {
             let client = Client::default();
-            let read = Step::Say(plain("202 Read", "", "{\"cached_tokens\":4096}"));
-            let closes = Step::Do(client.closes());
+            let read = Step::Send(plain("202 Read", "", "{\"cached_tokens\":4096}"));
+            let closes = Step::Run(client.closes());
             let steps = if closes_first { vec![closes, read] } else { vec![read, closes] };
             let reader = Worker::start("r-1", "prefill", move |_, _| steps.clone()).await;
-            let home = Worker::start("w-1", "combined", |_, _| say(good())).await;
+            let home = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
             let platform = Platform::with(&[&reader, &home], no_cancels).await;
             client.send(&platform, &prompt("gone", 9000, "", "{}"));
             wait_while(|| client.open()).await;
@@ -154,18 +154,18 @@
 /// is more.
 #[test]
 fn a_request_sent_ahead_has_only_the_time_that_its_client_has() {
-    local(async {
+    run_local(async {
         let since = Rc::new(RefCell::new(None::<Instant>));
         let answered_ms = Rc::new(RefCell::new(0.0));
         let (from, done) = (since.clone(), answered_ms.clone());
         let worker = Worker::start("w-1", "combined", move |seen, _| {
             let (from, done) = (from.clone(), done.clone());
-            let answered = Step::Do(Rc::new(move || {
+            let answered = Step::Run(Rc::new(move || {
                 *done.borrow_mut() = from.borrow().unwrap().elapsed().as_secs_f64() * 1e3;
             }));
             match seen.id.as_str() {
-                "a1" => vec![Step::Wait(300), answered, Step::Say(good())],
-                _ => say(good()),
+                "a1" => vec![Step::Wait(300), answered, Step::Send(full_answer())],
+                _ => say(full_answer()),
             }
         })
         .await;
@@ -178,7 +178,7 @@
         client.write_all(ahead.as_bytes()).await.unwrap();
         client.read_to_end(&mut Vec::new()).await.unwrap();
         let told = |id: &str| {
-            let asked = worker.asked();
+            let asked = worker.completion_requests();
             let seen = asked.iter().find(|seen| seen.id == id).unwrap_or_else(|| panic!("{id} never came"));
             seen.deadline.parse::<f64>().unwrap() * 1e3
         };
@@ -192,9 +192,9 @@
 /// A stream that its server breaks off ends with all that was passed on before, not with a reset that takes it away.
 #[test]
 fn a_stream_that_breaks_off_keeps_what_was_passed_on() {
-    local(async {
+    run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
-            vec![Step::Say(format!("{HEAD}{}", chunk(FIRST))), Step::Wait(20), Step::Close]
+            vec![Step::Send(format!("{HEAD}{}", chunk(FIRST))), Step::Wait(20), Step::Close]
         })
         .await;
         let platform = Platform::start(&[&worker]).await;
@@ -211,13 +211,14 @@
 /// A second word to stop, and a new configuration behind the first, change nothing: what is open gets its answer.
 #[test]
 fn further_signals_after_the_first_word_to_stop_lose_nothing() {
-    local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Wait(900), Step::Say(good())]).await;
+    run_local(async {
+        let worker =
+            Worker::start("w-1", "combined", |_, _| vec![Step::Wait(900), Step::Send(full_answer())]).await;
         let slow = |config: &mut Value| config["settings"]["services"][0]["slo_s"] = 9.0.into();
         let platform = Platform::with(&[&worker], slow).await;
         let mut client = TcpStream::connect(platform.clients).await.unwrap();
         client.write_all(completion("a1", "Connection: close\r\n", "{}").as_bytes()).await.unwrap();
-        wait_while(|| worker.asked().is_empty()).await;
+        wait_while(|| worker.completion_requests().is_empty()).await;
         for signal in [Signal::Stop, Signal::Stop, Signal::Reload, Signal::Stop] {
             // Nobody may be there to take the later ones.
             let _ = platform.signals.try_send(signal);
@@ -233,16 +234,17 @@
 #[test]
 fn a_new_configuration_together_with_the_word_to_stop_loses_nothing() {
     for signals in [[Signal::Reload, Signal::Stop], [Signal::Stop, Signal::Reload]] {
-        local(async {
+        run_local(async {
             let worker =
-                Worker::start("w-1", "combined", |_, _| vec![Step::Wait(100), Step::Say(good())]).await;
+                Worker::start("w-1", "combined", |_, _| vec![Step::Wait(100), Step::Send(full_answer())])
+                    .await;
             let platform = Platform::start(&[&worker]).await;
             let mut client = TcpStream::connect(platform.clients).await.unwrap();
             client.write_all(completion("a1", "", "{}").as_bytes()).await.unwrap();
             for signal in signals {
                 platform.signals.try_send(signal).unwrap();
             }
-            let late = platform.ask("a2").await;
+            let late = platform.complete("a2").await;
             assert!(body(&late).1, "{late}");
             let mut answer = Vec::new();
             client.read_to_end(&mut answer).await.unwrap();
@@ -275,18 +277,18 @@
 /// the first in what comes after.
 #[test]
 fn nothing_of_one_customers_settings_is_left_after_another_s() {
-    local(async {
+    run_local(async {
         let error = plain("500 Oh", "", "{}");
         let answer = error.clone();
         let worker = Worker::start("w-1", "combined", move |seen, _| match seen.id.as_str() {
-            "open" => vec![Step::Wait(400), Step::Say(answer.clone())],
-            _ => say(good()),
+            "open" => vec![Step::Wait(400), Step::Send(answer.clone())],
+            _ => say(full_answer()),
         })
         .await;
         let platform = Platform::start(&[&worker]).await;
         let mut open = TcpStream::connect(platform.clients).await.unwrap();
         open.write_all(completion("open", "Connection: close\r\n", "{}").as_bytes()).await.unwrap();
-        wait_while(|| worker.asked().is_empty()).await;
+        wait_while(|| worker.completion_requests().is_empty()).await;
         let mut config = platform.config.clone();
         config["settings"] = other_settings();
         std::fs::write(&platform.file, config.to_string()).unwrap();
@@ -294,7 +296,7 @@
         let mut theirs = list(1, &[&worker]);
         theirs["hosts"][0]["class"] = "whole".into();
         theirs["hosts"][0]["site"] = "north".into();
-        *platform.discovery.says.borrow_mut() = theirs.to_string();
+        *platform.discovery.answer.borrow_mut() = theirs.to_string();
         let calls = platform.discovery.calls.borrow().len();
         platform.signals.send(Signal::Reload).await.unwrap();
         wait_while(|| platform.discovery.calls.borrow().len() < calls + 2).await;
@@ -305,7 +307,7 @@
         let answered = String::from_utf8(answered).unwrap();
         assert!(answered.starts_with("HTTP/1.1 429 "), "repeatable work may be tried again: {answered}");
         // Names of the first are no names any more, and those of the second are.
-        let old = platform.ask("a1").await;
+        let old = platform.complete("a1").await;
         assert!(old.starts_with("HTTP/1.1 400 ") && old.contains("Req-Kind"), "{old}");
         let named = |id: &str, owner: &str| {
             completion(id, "Connection: close\r\n", "{}")
@@ -317,15 +319,15 @@
         assert!(owner.starts_with("HTTP/1.1 400 ") && owner.contains("Req-Owner"), "{owner}");
         let served = raw(platform.clients, theirs("b1").as_bytes()).await;
         assert!(body(&served).1, "{served}");
-        let asked = worker.asked();
+        let asked = worker.completion_requests();
         let deadline: f64 = asked.last().unwrap().deadline.parse().unwrap();
         assert!(deadline <= 3.0, "its class's own deadline binds: {deadline}");
         // What may run once is not sent again, and no time to come back is named where that is not allowed.
-        worker.now(move |_, _| say(error.clone()));
+        worker.set_script(move |_, _| say(error.clone()));
         let failed = raw(platform.clients, theirs("b2").as_bytes()).await;
         assert!(failed.starts_with("HTTP/1.1 502 "), "{failed}");
-        assert_eq!(worker.asked().iter().filter(|seen| seen.id == "b2").count(), 1);
-        worker.now(|_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", "")));
+        assert_eq!(worker.completion_requests().iter().filter(|seen| seen.id == "b2").count(), 1);
+        worker.set_script(|_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", "")));
         let refused = raw(platform.clients, theirs("b3").as_bytes()).await;
         assert!(refused.starts_with("HTTP/1.1 429 ") && !refused.contains("Retry-After"), "{refused}");
     });
--- a/crates/gateway/tests/releases.rs
+++ b/crates/gateway/tests/releases.rs
@@ -11,7 +11,7 @@
 const ROOM: &str = "/bootstrap/rooms/a1";
 
 fn say(text: impl Into<String>) -> Vec<Step> {
-    vec![Step::Say(text.into())]
+    vec![Step::Send(text.into())]
 }
 
 fn read() -> Vec<Step> {
@@ -32,7 +32,7 @@
     let mut all = Vec::new();
     for name in names {
         let worker = Worker::start(name, "decode", |_, _| vec![Step::Hang]).await;
-        worker.deaf.set(true);
+        worker.ignores_calls.set(true);
         all.push(worker);
     }
     all
@@ -42,12 +42,12 @@
 /// the workers that come first by name. One other hears.
 #[test]
 fn a_state_whose_write_went_into_silence_is_let_go_by_who_hears() {
-    local(async {
+    run_local(async {
         let quiet = silent(&["a-1", "a-2", "a-3", "a-4", "a-5", "a-6", "a-7", "a-8"]).await;
         let reader = Worker::start("b-reader", "prefill", |_, _| read()).await;
-        reader.deaf.set(true);
+        reader.ignores_calls.set(true);
         let home = Worker::start("c-home", "combined", |_, _| vec![Step::Hang]).await;
-        home.deaf.set(true);
+        home.ignores_calls.set(true);
         let hears = Worker::start("z-hears", "prefill", |_, _| vec![Step::Hang]).await;
         let mut workers: Vec<_> = quiet.iter().map(|worker| &**worker).collect();
         workers.extend([&*reader, &*home, &*hears]);
@@ -58,10 +58,10 @@
         tokio::pin!(asked);
         tokio::select! {
             answer = &mut asked => panic!("answered early: {answer}"),
-            () = wait_while(|| home.asked().is_empty()) => {}
+            () = wait_while(|| home.completion_requests().is_empty()) => {}
         }
         let began = Instant::now();
-        platform.discovery.say(list(2, &workers).to_string());
+        platform.discovery.publish(list(2, &workers).to_string());
         tokio::select! {
             answer = &mut asked => panic!("answered early: {answer}"),
             () = wait_while(|| hears.calls("DELETE").is_empty()) => {}
@@ -76,10 +76,11 @@
 /// A writer that can't reach the holder says that the state is gone. It waits on.
 #[test]
 fn a_state_that_a_writer_calls_gone_is_let_go() {
-    local(async {
+    run_local(async {
         // One read is all that it takes: nothing else is held, and nothing else lets go.
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
-        let once = move |_: &Seen, asked: usize| if asked == 0 { read() } else { say(full.clone()) };
+        let once =
+            move |_: &RecordedRequest, asked: usize| if asked == 0 { read() } else { say(full.clone()) };
         let reader = Worker::start("r-1", "prefill", once).await;
         let gone = plain("410 Gone", "Srv-Declined: 1\r\n", "{}");
         let home = Worker::start("w-1", "combined", move |_, _| say(gone.clone())).await;
@@ -94,12 +95,12 @@
 /// Beside silence and refusals, one worker in twenty hears, the last by name.
 #[test]
 fn silence_and_refusals_do_not_hold_a_release_up() {
-    local(async {
+    run_local(async {
         let names: Vec<_> = (0..18).map(|number| format!("a-{number:02}")).collect();
         let quiet = silent(&names.iter().map(String::as_str).collect::<Vec<_>>()).await;
         // A read that breaks may have finished: what it left is let go of, and its worker is gone with it.
         let reader = Worker::start("b-reader", "prefill", |_, _| vec![Step::Wait(20), Step::Close]).await;
-        reader.deaf.set(true);
+        reader.ignores_calls.set(true);
         let hears = Worker::start("z-hears", "decode", |_, _| vec![Step::Hang]).await;
         let mut workers: Vec<_> = quiet.iter().map(|worker| &**worker).collect();
         workers.extend([&*reader, &*hears]);
@@ -124,18 +125,18 @@
 /// Where nobody hears, it is told again until somebody can.
 #[test]
 fn a_release_is_told_again_until_somebody_hears() {
-    local(async {
+    run_local(async {
         let reader = Worker::start("r-1", "prefill", |_, _| vec![Step::Wait(20), Step::Close]).await;
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
         let home = Worker::start("w-1", "combined", move |_, _| say(full.clone())).await;
         let both = [reader.clone(), home.clone()];
-        both.iter().for_each(|worker| worker.deaf.set(true));
+        both.iter().for_each(|worker| worker.ignores_calls.set(true));
         let platform = Platform::start(&[&reader, &home]).await;
         let answer = raw(platform.clients, long().as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 429 "), "{answer}");
         let told = || both.iter().map(|worker| worker.calls("DELETE").len()).sum::<usize>();
         wait_while(|| told() < 4).await;
-        both.iter().for_each(|worker| worker.deaf.set(false));
+        both.iter().for_each(|worker| worker.ignores_calls.set(false));
         let before = told();
         wait_while(|| told() < before + 1).await;
         // Once it is heard there is silence; what crossed with that may still come.
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -79,14 +79,14 @@
         config["settings"]["services"][0]["slo_s"] = 9.0.into();
     })
     .await;
-    platform.discovery.say(hosts.to_string());
+    platform.discovery.publish(hosts.to_string());
     wait_while(|| platform.discovery.calls.borrow().last().is_none_or(|call| !call.contains("from=2"))).await;
     platform
 }
 
 #[test]
 fn each_event_is_passed_on_before_the_next_one_comes() {
-    local(async {
+    run_local(async {
         let (go, next) = mpsc::channel(1);
         let platform = platform_of(lock_step(next).await).await;
         taken_one_by_one(&platform, go, |_| {}).await;
@@ -96,7 +96,7 @@
 /// Between two events discovery tells a list of 1,024 servers, again and again.
 #[test]
 fn large_lists_hold_no_event_back() {
-    local(async {
+    run_local(async {
         let (go, next) = mpsc::channel(1);
         let address = lock_step(next).await;
         let platform = platform_of(address).await;
@@ -108,7 +108,7 @@
         }
         taken_one_by_one(&platform, go, |event| {
             let list = json!({ "seq": 2 + event, "whole": true, "hosts": all.clone() });
-            platform.discovery.say(serde_json::to_string_pretty(&list).unwrap());
+            platform.discovery.publish(serde_json::to_string_pretty(&list).unwrap());
         })
         .await;
     });
@@ -117,11 +117,11 @@
 /// Another client sends a body of the largest size in pieces, a third takes nothing of a stream that does not end.
 #[test]
 fn a_large_body_and_a_client_that_reads_nothing_hold_no_event_back() {
-    local(async {
+    run_local(async {
         let (go, next) = mpsc::channel(1);
         let address = lock_step(next).await;
         let floods = Worker::start("w-2", "combined", |_, _| {
-            vec![Step::Say(HEAD.into()), Step::Flood(chunk(FIRST).repeat(50).into_bytes())]
+            vec![Step::Send(HEAD.into()), Step::Flood(chunk(FIRST).repeat(50).into_bytes())]
         })
         .await;
         let platform = platform_of(address).await;
@@ -137,7 +137,7 @@
                 let list = json!({ "seq": 3, "whole": false, "hosts": [host(&floods, "ready"),
                     { "host": "w-1", "dial": address.to_string(), "site": "a", "class": "combined", "block": 0,
                       "health": "draining" }] });
-                platform.discovery.say(list.to_string());
+                platform.discovery.publish(list.to_string());
             }
             if event == 3 {
                 let mut client = std::net::TcpStream::connect(clients).unwrap();
