--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,5 @@
-//! Clients' connections: each request is read whole and checked, answered once, and its connection kept or closed.
+//! Client connections: each request is read completely, validated and answered exactly once; then its
+//! connection is kept open or closed.
 
 use std::rc::Rc;
 
@@ -15,7 +16,7 @@
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
 use crate::endings::{ConnectionEnd, OpenRequest, RequestEnd};
-use crate::frontend::{reached, Activity, ConnectionSlot, Lifecycle};
+use crate::frontend::{stage_reached, Activity, ConnectionSlot, Lifecycle};
 use crate::inbound::Inbound;
 use crate::limits::{
     CLIENT_IDLE_FACTOR, CLIENT_WRITE_TIMEOUT_MS, EVICTED_LINGER_MS, LINGER_MS, MAX_READ_AHEAD_BYTES,
@@ -23,24 +24,25 @@
 };
 use crate::messages::{BodyBytes, ClientPresence, ClientRequest, CoreEvent, Reply, StreamPart};
 
-/// Why a connection ends, and how.
+/// Why a connection is closed, and how.
 #[derive(Clone, Copy, Debug)]
-enum ConnectionOver {
-    /// Nothing more to say on it.
-    Close(ConnectionEnd),
-    /// Nobody is there any more, or its descriptor is wanted elsewhere: there is nothing to wait for.
-    Left(ConnectionEnd),
+enum ConnectionClose {
+    /// Shuts down the sending side first and reads what still arrives, so that the client can read its
+    /// answer.
+    Graceful(ConnectionEnd),
+    /// Closes without lingering: the client has gone, or the descriptor is needed for another connection.
+    Immediate(ConnectionEnd),
 }
 
-impl ConnectionOver {
-    const CLIENT_LEFT: ConnectionOver = ConnectionOver::Left(ConnectionEnd::ClientLeft);
+impl ConnectionClose {
+    const CLIENT_LEFT: ConnectionClose = ConnectionClose::Immediate(ConnectionEnd::ClientLeft);
 
     fn end(self) -> ConnectionEnd {
-        let (ConnectionOver::Close(end) | ConnectionOver::Left(end)) = self;
+        let (ConnectionClose::Graceful(end) | ConnectionClose::Immediate(end)) = self;
         end
     }
 
-    /// How the request ended during which the connection did.
+    /// How the request ended that was open when the connection closed.
     fn request_end(self) -> RequestEnd {
         match self.end() {
             ConnectionEnd::StreamBroke => RequestEnd::Broken,
@@ -49,44 +51,44 @@
     }
 }
 
-/// A request that was read to its last byte.
-struct WholeRequest {
+/// A request that was received completely.
+struct ReceivedRequest {
     head: RequestHead,
     body: Bytes,
-    held: BodyBytes,
-    /// When its last byte came.
+    body_quota: BodyBytes,
+    /// When its last byte arrived.
     received_ms: f64,
 }
 
-/// Between two looks for the end of a connection that has something else to say, in ms.
-const LOOK_AGAIN_MS: f64 = 50.0;
+/// Interval in ms at which a connection is checked for its close while unread bytes are pending on it.
+const CLOSE_POLL_MS: f64 = 50.0;
 
 const OVERLOADED: Fault = Fault::new(503, "more bytes are open than memory allows; come again");
 
-/// The rest of the request may be on its way, so that it gets an answer.
-const GIVES_WAY: Fault = Fault::new(503, "the connection is wanted elsewhere; come again");
+/// Sent for an incomplete request too: the rest of it may already be in transit and needs an answer.
+const EVICTED: Fault = Fault::new(503, "the connection is wanted elsewhere; come again");
 
-const STOPS: Fault = Fault::new(503, "the router stops");
+const SHUTTING_DOWN: Fault = Fault::new(503, "the router stops");
 
 /// Serves one connection until it closes.
 pub async fn serve(slot: ConnectionSlot, mut stream: Stream) {
     let mut inbound = Inbound::new(slot.frontend.clock);
-    let over = loop {
+    let ended = loop {
         match slot.serve_request(&mut stream, &mut inbound).await {
             Ok(()) => {
-                // An idle connection holds no buffer.
-                inbound.rest();
+                // An idle connection keeps no buffer.
+                inbound.release_if_empty();
                 slot.set_activity(Activity::Idle);
             }
-            Err(over) => break over,
+            Err(ended) => break ended,
         }
     };
-    slot.frontend.endings.connection(slot.number, slot.requests.get(), over.end());
-    if matches!(over, ConnectionOver::Left(_)) {
+    slot.frontend.endings.connection(slot.number, slot.requests.get(), ended.end());
+    if matches!(ended, ConnectionClose::Immediate(_)) {
         return;
     }
     slot.set_activity(Activity::NoRequest);
-    // Unread bytes would turn the close into a reset, and the client might never read its answer.
+    // Closing with unread bytes would send a reset, and the client might never read its answer.
     let _ = stream.shutdown().await;
     let linger = async {
         let mut rest = BytesMut::new();
@@ -94,105 +96,108 @@
             rest.clear();
         }
     };
-    let linger_ms = if slot.given_up() { EVICTED_LINGER_MS } else { LINGER_MS };
+    let linger_ms = if slot.is_evicted() { EVICTED_LINGER_MS } else { LINGER_MS };
     tokio::select! {
         _ = timeout(duration(linger_ms), linger) => {}
-        () = slot.close.notified() => {}
+        () = slot.eviction.notified() => {}
     }
 }
 
 impl ConnectionSlot {
-    /// One request and its answer.
-    async fn serve_request(&self, stream: &mut Stream, inbound: &mut Inbound) -> Result<(), ConnectionOver> {
-        let first = self.since(Activity::NoRequest);
-        self.wait_for_request(stream, inbound, first).await?;
-        let by = first.unwrap_or_else(Instant::now) + duration(REQUEST_READ_TIMEOUT_MS);
-        let mut life = self.frontend.life.clone();
-        let taken = tokio::select! {
+    /// Reads one request and answers it.
+    async fn serve_request(&self, stream: &mut Stream, inbound: &mut Inbound) -> Result<(), ConnectionClose> {
+        let connected = self.since(Activity::NoRequest);
+        self.wait_for_request(stream, inbound, connected).await?;
+        let deadline = connected.unwrap_or_else(Instant::now) + duration(REQUEST_READ_TIMEOUT_MS);
+        let mut lifecycle = self.frontend.lifecycle.clone();
+        let received = tokio::select! {
             biased;
-            taken = self.read_request(stream, inbound) => taken?,
-            // Whole later, it might have no answer when the process is killed.
-            () = reached(&mut life, Lifecycle::Refusing) => Err(STOPS),
-            () = sleep_until(by) => Err(Fault::new(408, "the request did not come whole in time")),
-            () = self.close.notified() => Err(GIVES_WAY),
+            received = self.read_request(stream, inbound) => received?,
+            // Completed later, it might still be unanswered when the process is killed.
+            () = stage_reached(&mut lifecycle, Lifecycle::Refusing) => Err(SHUTTING_DOWN),
+            () = sleep_until(deadline) => Err(Fault::new(408, "the request did not come whole in time")),
+            () = self.eviction.notified() => Err(EVICTED),
         };
-        let whole = match taken {
-            Ok(whole) => whole,
+        let received = match received {
+            Ok(received) => received,
             Err(fault) => {
-                self.frontend.endings.refused_unread(fault.status);
-                self.refuse(stream, fault, true).await?;
-                return Err(ConnectionOver::Close(ConnectionEnd::BadRequest));
+                self.frontend.endings.rejected_unread(fault.status);
+                self.reject(stream, fault, true).await?;
+                return Err(ConnectionClose::Graceful(ConnectionEnd::BadRequest));
             }
         };
         self.set_activity(Activity::Busy);
-        let close = whole.head.close;
-        let request = self.opened(&whole.head);
-        let answered = self.answer_whole(stream, inbound, &request, whole).await;
-        self.over(&request, answered.unwrap_or_else(ConnectionOver::request_end));
+        let close = received.head.close;
+        let request = self.register_request(&received.head);
+        let answered = self.answer_received(stream, inbound, &request, received).await;
+        self.finish_request(&request, answered.unwrap_or_else(ConnectionClose::request_end));
         answered?;
         if close {
-            return Err(ConnectionOver::Close(ConnectionEnd::ClientRequestedClose));
+            return Err(ConnectionClose::Graceful(ConnectionEnd::ClientRequestedClose));
         }
-        if self.closes(stream, inbound) {
-            let stops = self.frontend.life() >= Lifecycle::Draining;
-            let end = if stops { ConnectionEnd::AnsweredAtShutdown } else { ConnectionEnd::Evicted };
-            return Err(ConnectionOver::Close(end));
+        if self.should_close(stream, inbound) {
+            let stopping = self.frontend.lifecycle() >= Lifecycle::Draining;
+            let end = if stopping { ConnectionEnd::AnsweredAtShutdown } else { ConnectionEnd::Evicted };
+            return Err(ConnectionClose::Graceful(end));
         }
         Ok(())
     }
 
-    /// The answer to a request that was read whole.
-    async fn answer_whole(
+    /// Answers a request that was received completely.
+    async fn answer_received(
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
         request: &OpenRequest,
-        whole: WholeRequest,
-    ) -> Result<RequestEnd, ConnectionOver> {
-        let close = whole.head.close;
-        let answered = match (whole.head.method.as_str(), path(&whole.head.target)) {
-            ("GET", "/_health") => match self.frontend.life() {
+        received: ReceivedRequest,
+    ) -> Result<RequestEnd, ConnectionClose> {
+        let close = received.head.close;
+        let answered = match (received.head.method.as_str(), path(&received.head.target)) {
+            ("GET", "/_health") => match self.frontend.lifecycle() {
                 Lifecycle::Starting => Err(Fault::new(503, "not ready yet")),
                 _ => {
-                    let closes = close || self.closes(stream, inbound);
-                    self.answer(stream, 200, "OK", "", "{\"ready\":true}", closes).await?;
+                    let close = close || self.should_close(stream, inbound);
+                    self.answer(stream, 200, "OK", "", "{\"ready\":true}", close).await?;
                     Ok(RequestEnd::Answered)
                 }
             },
-            ("POST", "/v1/chat/completions") => self.answer_request(stream, inbound, request, whole).await?,
+            ("POST", "/v1/chat/completions") => {
+                self.answer_completion(stream, inbound, request, received).await?
+            }
             (_, "/_health" | "/v1/chat/completions") => Err(Fault::new(405, "not with this method")),
             _ => Err(Fault::new(404, "nothing is served here")),
         };
         match answered {
             Ok(end) => Ok(end),
             Err(fault) => {
-                self.refuse(stream, fault, close || self.closes(stream, inbound)).await?;
-                let stops = fault == STOPS;
-                Ok(if stops { RequestEnd::RefusedShutdown } else { RequestEnd::Refused(fault.status) })
+                self.reject(stream, fault, close || self.should_close(stream, inbound)).await?;
+                let stopping = fault == SHUTTING_DOWN;
+                Ok(if stopping { RequestEnd::RefusedShutdown } else { RequestEnd::Refused(fault.status) })
             }
         }
     }
 
-    /// One more request is open on this connection.
-    fn opened(&self, head: &RequestHead) -> Rc<OpenRequest> {
+    /// Registers the next open request of this connection.
+    fn register_request(&self, head: &RequestHead) -> Rc<OpenRequest> {
         self.requests.set(self.requests.get() + 1);
         let id = head.fields.id.as_deref().unwrap_or_default().into();
         let request = Rc::new(OpenRequest::new(id, self.number, self.requests.get()));
-        self.set_open(Some(request.clone()));
+        self.set_open_request(Some(request.clone()));
         request
     }
 
-    fn over(&self, request: &OpenRequest, end: RequestEnd) {
-        self.set_open(None);
+    fn finish_request(&self, request: &OpenRequest, end: RequestEnd) {
+        self.set_open_request(None);
         self.frontend.endings.request(request, end);
     }
 
-    /// Whether the connection closes after an answer. What has come on it already is answered first: a request that
-    /// was read must not go without an answer. Once that is said it stays so.
-    fn closes(&self, stream: &Stream, inbound: &Inbound) -> bool {
-        let wanted = self.frontend.life() >= Lifecycle::Draining || self.given_up();
-        let closes = self.closing.get() || wanted && inbound.is_empty() && !stream.bytes_wait();
-        self.closing.set(closes);
+    /// Whether the connection closes after the next answer. Requests that have already arrived on it are
+    /// answered first, because a request that was read must not remain unanswered. Once a close was
+    /// announced, it is final.
+    fn should_close(&self, stream: &Stream, inbound: &Inbound) -> bool {
+        let closable = self.frontend.lifecycle() >= Lifecycle::Draining || self.is_evicted();
+        let closes = self.close_announced.get() || closable && inbound.is_empty() && !stream.bytes_wait();
+        self.close_announced.set(closes);
         closes
     }
 
@@ -201,55 +206,57 @@
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
-        first: Option<Instant>,
-    ) -> Result<(), ConnectionOver> {
+        connected: Option<Instant>,
+    ) -> Result<(), ConnectionClose> {
         if !inbound.is_empty() {
             return Ok(());
         }
         let idle_ms = self.frontend.provision.borrow().idle_ms * CLIENT_IDLE_FACTOR;
-        let until = first
+        let until = connected
             .map_or(Instant::now() + duration(idle_ms), |since| since + duration(REQUEST_READ_TIMEOUT_MS));
-        let mut life = self.frontend.life.clone();
-        let over = tokio::select! {
+        let mut lifecycle = self.frontend.lifecycle.clone();
+        let ended = tokio::select! {
             biased;
-            more = inbound.read(stream) => return match more {
-                Ok(more) if more > 0 => Ok(()),
-                _ => Err(ConnectionOver::CLIENT_LEFT),
+            read = inbound.read(stream) => return match read {
+                Ok(read) if read > 0 => Ok(()),
+                _ => Err(ConnectionClose::CLIENT_LEFT),
             },
-            () = sleep_until(until) => ConnectionOver::Close(ConnectionEnd::Idle),
-            () = self.close.notified() => ConnectionOver::Left(ConnectionEnd::Evicted),
-            () = reached(&mut life, Lifecycle::Draining) => ConnectionOver::Close(ConnectionEnd::IdleAtShutdown),
+            () = sleep_until(until) => ConnectionClose::Graceful(ConnectionEnd::Idle),
+            () = self.eviction.notified() => ConnectionClose::Immediate(ConnectionEnd::Evicted),
+            () = stage_reached(&mut lifecycle, Lifecycle::Draining) => {
+                ConnectionClose::Graceful(ConnectionEnd::IdleAtShutdown)
+            }
         };
-        // A request that has come in this very moment is answered rather than closed upon.
+        // A request that has just arrived is answered instead of meeting a closed connection.
         if stream.bytes_wait() {
             return Ok(());
         }
-        Err(over)
+        Err(ended)
     }
 
-    /// Reads one whole request.
+    /// Reads one complete request.
     async fn read_request(
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
-    ) -> Result<Result<WholeRequest, Fault>, ConnectionOver> {
+    ) -> Result<Result<ReceivedRequest, Fault>, ConnectionClose> {
         let head = loop {
             match head::request(inbound) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(fault) => return Ok(Err(fault)),
             }
-            if !inbound.read(stream).await.is_ok_and(|more| more > 0) {
-                return Err(ConnectionOver::CLIENT_LEFT);
+            if !inbound.read(stream).await.is_ok_and(|read| read > 0) {
+                return Err(ConnectionClose::CLIENT_LEFT);
             }
         };
         inbound.advance(head.bytes);
-        let room = match head.framing {
+        let reserved_bytes = match head.framing {
             Framing::Length(length) => length,
             _ => BODY_BYTES,
         };
-        let Some(mut held) =
-            BodyBytes::take(&self.frontend.body_bytes, room, self.frontend.shares.get().body_bytes)
+        let Some(mut body_quota) =
+            BodyBytes::take(&self.frontend.body_bytes, reserved_bytes, self.frontend.shares.get().body_bytes)
         else {
             return Ok(Err(OVERLOADED));
         };
@@ -260,10 +267,15 @@
         loop {
             match head.framing {
                 Framing::Length(length) if inbound.len() >= length => {
-                    // A copy of its own size: the buffer may be much larger, and stays with the connection.
+                    // Copied to its exact size: the buffer may be much larger, and stays with the connection.
                     let body = Bytes::copy_from_slice(&inbound[..length]);
                     inbound.advance(length);
-                    return Ok(Ok(WholeRequest { head, body, held, received_ms: inbound.taken_came_ms() }));
+                    return Ok(Ok(ReceivedRequest {
+                        head,
+                        body,
+                        body_quota,
+                        received_ms: inbound.consumed_arrival_ms(),
+                    }));
                 }
                 Framing::Length(_) => {}
                 _ => match chunks.take(inbound, &mut body) {
@@ -271,38 +283,40 @@
                         return Ok(Err(Fault::new(413, "the body is too long")))
                     }
                     Ok(true) => {
-                        held.shrink(body.len());
-                        let (body, received_ms) = (Bytes::copy_from_slice(&body), inbound.taken_came_ms());
-                        return Ok(Ok(WholeRequest { head, body, held, received_ms }));
+                        body_quota.shrink(body.len());
+                        let (body, received_ms) =
+                            (Bytes::copy_from_slice(&body), inbound.consumed_arrival_ms());
+                        return Ok(Ok(ReceivedRequest { head, body, body_quota, received_ms }));
                     }
                     Ok(false) => {}
                     Err(_) => return Ok(Err(Fault::new(400, "the body's chunks can't be read"))),
                 },
             }
-            if !inbound.read(stream).await.is_ok_and(|more| more > 0) {
-                return Err(ConnectionOver::CLIENT_LEFT);
+            if !inbound.read(stream).await.is_ok_and(|read| read > 0) {
+                return Err(ConnectionClose::CLIENT_LEFT);
             }
         }
     }
 
-    async fn answer_request(
+    /// Passes a completion request to the core and forwards its reply.
+    async fn answer_completion(
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
         open: &OpenRequest,
-        whole: WholeRequest,
-    ) -> Result<Result<RequestEnd, Fault>, ConnectionOver> {
+        received: ReceivedRequest,
+    ) -> Result<Result<RequestEnd, Fault>, ConnectionClose> {
         let frontend = &self.frontend;
         if !frontend.accepts_requests() {
-            return Ok(Err(STOPS));
+            return Ok(Err(SHUTTING_DOWN));
         }
-        let WholeRequest { head, body, held, received_ms } = whole;
+        let ReceivedRequest { head, body, body_quota, received_ms } = received;
         let close = head.close;
         let id: Rc<str> = match request::id(&head.fields) {
             Ok(id) => id.into(),
             Err(fault) => return Ok(Err(fault)),
         };
-        let completion = CompletionId(frontend.next.get());
+        let completion = CompletionId(frontend.next_completion.get());
         let provision = frontend.provision.borrow().clone();
         let arrival = match request::arrival(&provision, &head.fields, &body, completion, received_ms) {
             Ok(arrival) => arrival,
@@ -311,16 +325,23 @@
         let Some(_open) = frontend.open_id(&id) else {
             return Ok(Err(Fault::new(400, "Req-Id is that of a request that is open")));
         };
-        frontend.next.set(completion.0.wrapping_add(1));
+        frontend.next_completion.set(completion.0.wrapping_add(1));
         let (duty, mut reply) = Duty::new(frontend.dropped.clone());
         let client = Rc::new(ClientPresence::default());
         let RequestHead { method, target, fields, .. } = head;
         let idempotency_key = fields.idempotency_key;
-        let request =
-            ClientRequest { id, method, target, idempotency_key, body, client: client.clone(), _held: held };
+        let request = ClientRequest {
+            id,
+            method,
+            target,
+            idempotency_key,
+            body,
+            client: client.clone(),
+            _held: body_quota,
+        };
         if frontend.core.send(CoreEvent::Arrived { arrival, request: Rc::new(request), duty }).await.is_err()
         {
-            return Ok(Err(STOPS));
+            return Ok(Err(SHUTTING_DOWN));
         }
         let reply = tokio::select! {
             biased;
@@ -328,32 +349,39 @@
             () = client_closed(stream, inbound) => {
                 client.leave();
                 let _ = frontend.core.send(CoreEvent::Left { completion }).await;
-                return Err(ConnectionOver::CLIENT_LEFT);
+                return Err(ConnectionClose::CLIENT_LEFT);
             }
         };
         match reply {
             Reply::RateLimited { retry_after_ms } => {
-                let after = retry_after(retry_after_ms);
-                let body = error("no worker can take this now; trying again is harmless");
+                let retry_after = retry_after_header(retry_after_ms);
+                let body = error_body("no worker can take this now; trying again is harmless");
                 self.answer(
                     stream,
                     429,
                     "Too Many Requests",
-                    &after,
+                    &retry_after,
                     &body,
-                    close || self.closes(stream, inbound),
+                    close || self.should_close(stream, inbound),
                 )
                 .await?;
                 Ok(Ok(RequestEnd::RateLimited))
             }
             Reply::Aborted => {
-                let body = error("the answer was lost; it may have run");
-                self.answer(stream, 502, "Bad Gateway", "", &body, close || self.closes(stream, inbound))
-                    .await?;
+                let body = error_body("the answer was lost; it may have run");
+                self.answer(
+                    stream,
+                    502,
+                    "Bad Gateway",
+                    "",
+                    &body,
+                    close || self.should_close(stream, inbound),
+                )
+                .await?;
                 Ok(Ok(RequestEnd::Aborted))
             }
-            Reply::Stream(pieces) => {
-                let streamed = self.stream(stream, inbound, open, pieces).await;
+            Reply::Stream(parts) => {
+                let streamed = self.forward_stream(stream, inbound, open, parts).await;
                 if streamed.is_err() {
                     let _ = frontend.core.send(CoreEvent::Left { completion }).await;
                 }
@@ -362,24 +390,25 @@
         }
     }
 
-    async fn stream(
+    /// Forwards the parts of a stream to the client.
+    async fn forward_stream(
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
         open: &OpenRequest,
-        mut pieces: mpsc::Receiver<StreamPart>,
-    ) -> Result<(), ConnectionOver> {
+        mut parts: mpsc::Receiver<StreamPart>,
+    ) -> Result<(), ConnectionClose> {
         let mut out = BytesMut::from(
             &b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\
                Transfer-Encoding: chunked\r\n\r\n"[..],
         );
         loop {
-            let piece = tokio::select! {
+            let part = tokio::select! {
                 biased;
-                piece = pieces.recv() => piece,
-                () = client_closed(stream, inbound) => return Err(ConnectionOver::CLIENT_LEFT),
+                part = parts.recv() => part,
+                () = client_closed(stream, inbound) => return Err(ConnectionClose::CLIENT_LEFT),
             };
-            match piece {
+            match part {
                 Some(StreamPart::Events(events)) => {
                     out.extend_from_slice(format!("{:x}\r\n", events.len()).as_bytes());
                     out.extend_from_slice(&events);
@@ -389,21 +418,25 @@
                     out.clear();
                 }
                 Some(StreamPart::End) => return self.write(stream, b"0\r\n\r\n").await,
-                // Broken off: the connection ends without the last chunk, and with all that was written before.
-                None => return Err(ConnectionOver::Close(ConnectionEnd::StreamBroke)),
+                // The stream broke: everything before was written, and the connection closes without the last
+                // chunk.
+                None => return Err(ConnectionClose::Graceful(ConnectionEnd::StreamBroke)),
             }
         }
     }
 
-    async fn refuse(&self, stream: &mut Stream, fault: Fault, close: bool) -> Result<(), ConnectionOver> {
-        let after = if fault == STOPS { self.come_back() } else { String::new() };
-        self.answer(stream, fault.status, "Refused", &after, &error(fault.why), close).await
+    async fn reject(&self, stream: &mut Stream, fault: Fault, close: bool) -> Result<(), ConnectionClose> {
+        let retry_after = if fault == SHUTTING_DOWN { self.retry_after_field() } else { String::new() };
+        self.answer(stream, fault.status, "Refused", &retry_after, &error_body(fault.why), close).await
     }
 
-    /// When a client that is refused because the router stops may come again, as a field.
-    fn come_back(&self) -> String {
+    /// The `Retry-After` field for a client that is rejected because the router shuts down.
+    fn retry_after_field(&self) -> String {
         let provision = self.frontend.provision.borrow();
-        retry_after(retry_after_ms(provision.settings.retry_after, provision.settings.max_retry_after_ms))
+        retry_after_header(retry_after_ms(
+            provision.settings.retry_after,
+            provision.settings.max_retry_after_ms,
+        ))
     }
 
     async fn answer(
@@ -414,34 +447,35 @@
         fields: &str,
         body: &str,
         close: bool,
-    ) -> Result<(), ConnectionOver> {
+    ) -> Result<(), ConnectionClose> {
         let close = if close { "Connection: close\r\n" } else { "" };
         let length = body.len();
         let answer = format!(
-            "HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\nContent-Length: {length}\r\n{fields}{close}\r\n{body}"
+            "HTTP/1.1 {status} {reason}\r\nContent-Type: application/json\r\n\
+             Content-Length: {length}\r\n{fields}{close}\r\n{body}"
         );
         self.write(stream, answer.as_bytes()).await
     }
 
-    async fn write(&self, stream: &mut Stream, bytes: &[u8]) -> Result<(), ConnectionOver> {
+    async fn write(&self, stream: &mut Stream, bytes: &[u8]) -> Result<(), ConnectionClose> {
         match timeout(duration(CLIENT_WRITE_TIMEOUT_MS), stream.write_all(bytes)).await {
             Ok(Ok(())) => Ok(()),
-            _ => Err(ConnectionOver::CLIENT_LEFT),
+            _ => Err(ConnectionClose::CLIENT_LEFT),
         }
     }
 }
 
-/// Returns when the client has closed. What it sends ahead is kept up to a bound and past that not read, but the end of
-/// its connection shows all the same.
+/// Returns when the client has closed. Pipelined bytes are buffered up to [`MAX_READ_AHEAD_BYTES`] and not
+/// read beyond that; a close is detected nevertheless.
 async fn client_closed(stream: &Stream, inbound: &mut Inbound) {
     while inbound.len() < MAX_READ_AHEAD_BYTES {
-        if !inbound.read(stream).await.is_ok_and(|more| more > 0) {
+        if !inbound.read(stream).await.is_ok_and(|read| read > 0) {
             return;
         }
     }
-    // Ready for this are the end of the connection and urgent data, which is not asked for here.
+    // Priority readiness reports the close of the connection and urgent data, which is ignored here.
     while stream.ready(Interest::PRIORITY).await.is_ok_and(|ready| !ready.is_read_closed()) {
-        sleep(duration(LOOK_AGAIN_MS)).await;
+        sleep(duration(CLOSE_POLL_MS)).await;
     }
 }
 
@@ -449,8 +483,8 @@
     target.split('?').next().unwrap_or_default()
 }
 
-/// The field that names a time to come back; nothing for 0.
-fn retry_after(ms: f64) -> String {
+/// The `Retry-After` field for this delay; empty for 0.
+fn retry_after_header(ms: f64) -> String {
     if ms > 0.0 {
         format!("Retry-After: {:.3}\r\n", ms / 1e3)
     } else {
@@ -458,6 +492,6 @@
     }
 }
 
-fn error(why: &str) -> String {
+fn error_body(why: &str) -> String {
     format!("{{\"error\":{{\"message\":\"{why}\"}}}}")
 }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,4 +1,5 @@
-//! The configuration file of a router: read at its start and with SIGHUP, again where it can't be read for a moment.
+//! The configuration file of a router: read at start and on SIGHUP, with retries where a read fails
+//! temporarily.
 
 use std::path::Path;
 
@@ -16,51 +17,55 @@
     starts.read(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
 }
 
-/// For how long a configuration that can't be read is read again, in ms: at a start, where nothing goes on without it, and
-/// with SIGHUP, where it may be half written and other signals wait. And the pause between two tries, in ms.
-const START_READS_MS: f64 = 8000.0;
-const RELOAD_READS_MS: f64 = 300.0;
-const READ_AGAIN_MS: f64 = 30.0;
+/// How long reading the configuration is retried at start, in ms: nothing can run without it.
+const START_RETRY_LIMIT_MS: f64 = 8000.0;
+/// How long reading the configuration is retried on SIGHUP, in ms: the file may be partly written, but other
+/// signals wait.
+const RELOAD_RETRY_LIMIT_MS: f64 = 300.0;
+/// Delay between two attempts, in ms.
+const RETRY_DELAY_MS: f64 = 30.0;
 
-/// Whether the file was not there to be read for a moment: the machine is short of something.
-fn may_pass(cause: &anyhow::Error) -> bool {
+/// Whether reading failed because the system lacked a resource, which may pass.
+fn is_transient(cause: &anyhow::Error) -> bool {
     cause.downcast_ref::<std::io::Error>().is_some_and(|cause| Shortage::of(cause).is_some())
 }
 
-/// Reads a configuration again while it can't be read for a reason that may pass.
+/// Reads a configuration, retrying for a limited time while it fails with a cause that may pass.
 ///
 /// # Errors
-/// As of the last try.
-async fn read_again(
+/// The error of the last attempt.
+async fn read_with_retries(
     path: &Path,
     starts: &Starts,
     within_ms: f64,
-    may_pass: impl Fn(&anyhow::Error) -> bool,
+    is_transient: impl Fn(&anyhow::Error) -> bool,
 ) -> Result<Config> {
     let until = Instant::now() + duration(within_ms);
     loop {
         match read(path, starts) {
-            Err(cause) if may_pass(&cause) && Instant::now() < until => sleep(duration(READ_AGAIN_MS)).await,
+            Err(cause) if is_transient(&cause) && Instant::now() < until => {
+                sleep(duration(RETRY_DELAY_MS)).await
+            }
             done => return done,
         }
     }
 }
 
-/// Reads the configuration of a start and listens on its address.
+/// Reads the configuration at start and listens on its address.
 ///
 /// # Errors
-/// A configuration that can't be read or lacks something, or an address that can't be listened on.
+/// A configuration that can't be read or is incomplete, or an address that can't be bound.
 pub async fn listen(path: &Path, starts: &Starts) -> Result<(Config, TcpListener)> {
-    let config = read_again(path, starts, START_READS_MS, may_pass).await?;
+    let config = read_with_retries(path, starts, START_RETRY_LIMIT_MS, is_transient).await?;
     let listen = config.listen;
     let listener = bind(listen).await.with_context(|| format!("listening on {listen}"))?;
     Ok((config, listener))
 }
 
-/// Reads the configuration for a reload, which may be half written, whatever is wrong with it at first.
+/// Reads the configuration for a reload. Any error is retried, because the file may still be partly written.
 ///
 /// # Errors
-/// As of the last try.
+/// The error of the last attempt.
 pub async fn reload(path: &Path, starts: &Starts) -> Result<Config> {
-    read_again(path, starts, RELOAD_READS_MS, |_| true).await
+    read_with_retries(path, starts, RELOAD_RETRY_LIMIT_MS, |_| true).await
 }
--- a/crates/gateway/src/endings.rs
+++ b/crates/gateway/src/endings.rs
@@ -1,5 +1,5 @@
-//! How requests and client connections end: typed reasons, counted, with one log line each. The lines have level `debug`, and
-//! `info` during a shutdown.
+//! How requests and client connections end: typed reasons, which are counted and logged with one line each.
+//! The lines have level `debug`, and `info` during a shutdown.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,22 +7,22 @@
 
 use tokio::time::Instant;
 
-/// How the exchange about one request ended for its client.
+/// How one request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestEnd {
-    /// Answered by the router itself, `/_health`.
+    /// Answered by the router itself (`/_health`).
     Answered,
     /// The whole stream was forwarded.
     Served,
-    /// Rate-limited by the decisions: a retry is harmless.
+    /// Rate-limited by the decision modules: it has not run, so a retry is harmless.
     RateLimited,
-    /// Given up; it may have run.
+    /// Abandoned; it may have run.
     Aborted,
     /// The stream broke after its first event.
     Broken,
     /// The client closed, or did not read its answer.
     ClientLeft,
-    /// Rejected with this status; the decisions never saw it.
+    /// Rejected with this status before it reached the decision modules.
     Refused(u16),
     /// Rejected because the router shuts down.
     RefusedShutdown,
@@ -41,48 +41,49 @@
     IdleAtShutdown,
     /// Answered during a shutdown.
     AnsweredAtShutdown,
-    /// A request that is malformed or incomplete.
+    /// A malformed or incomplete request.
     BadRequest,
-    /// A stream broke: the close tells its client.
+    /// A stream broke; the close is how its client learns of it.
     StreamBroke,
     /// Its descriptor was needed for another connection.
     Evicted,
 }
 
-/// A request that was read to its end and has no whole answer yet.
+/// A request that was received completely and whose answer is not complete yet.
 #[derive(Debug)]
 pub struct OpenRequest {
-    /// Its `Req-Id`; empty where it has none.
+    /// Its `Req-Id`; empty if it has none.
     pub id: Rc<str>,
-    /// Number of its connection.
+    /// The number of its connection.
     pub connection: u64,
-    /// Its own number on that connection, from 1.
+    /// Its position among the requests of that connection, from 1.
     pub nth: u32,
-    read: Instant,
-    /// Parts of its stream that were forwarded, and when the last was.
+    received: Instant,
+    /// Number of forwarded parts of its stream.
     parts: Cell<u64>,
+    /// When the last part was forwarded.
     last_part: Cell<Option<Instant>>,
 }
 
 impl OpenRequest {
     pub fn new(id: Rc<str>, connection: u64, nth: u32) -> Self {
-        let read = Instant::now();
-        OpenRequest { id, connection, nth, read, parts: Cell::new(0), last_part: Cell::new(None) }
+        let received = Instant::now();
+        OpenRequest { id, connection, nth, received, parts: Cell::new(0), last_part: Cell::new(None) }
     }
 
-    /// Notes a forwarded part of its stream.
+    /// Records that a part of its stream was forwarded.
     pub fn part_forwarded(&self) {
         self.parts.set(self.parts.get() + 1);
         self.last_part.set(Some(Instant::now()));
     }
 }
 
-/// Time from one instant to a later one, in ms.
+/// Time from one instant to a later one, in ms; 0 if it is not later.
 fn between_ms(from: Instant, to: Instant) -> f64 {
     to.saturating_duration_since(from).as_secs_f64() * 1e3
 }
 
-/// Counts of endings.
+/// Counts of how requests and connections ended.
 #[derive(Default)]
 pub struct Endings {
     requests: RefCell<BTreeMap<RequestEnd, u64>>,
@@ -92,7 +93,7 @@
 }
 
 /// A log line at level `info` during a shutdown, `debug` otherwise.
-macro_rules! line {
+macro_rules! log_end {
     ($shutdown:expr, $($fields:tt)*) => {
         if $shutdown {
             tracing::info!($($fields)*);
@@ -103,7 +104,7 @@
 }
 
 impl Endings {
-    /// A shutdown began.
+    /// Records when a shutdown began.
     pub fn shutdown_began(&self, at: Instant) {
         self.shutdown_since.set(Some(at));
     }
@@ -117,21 +118,21 @@
     pub fn request(&self, request: &OpenRequest, end: RequestEnd) {
         *self.requests.borrow_mut().entry(end).or_default() += 1;
         let now = Instant::now();
-        line!(
+        log_end!(
             self.shutdown_since.get().is_some(),
             id = %request.id,
             connection = request.connection,
             nth = request.nth,
             ?end,
-            took_ms = between_ms(request.read, now),
+            took_ms = between_ms(request.received, now),
             parts = request.parts.get(),
-            received_after_shutdown_ms = self.since_shutdown_ms(request.read),
-            "request over"
+            received_after_shutdown_ms = self.since_shutdown_ms(request.received),
+            "request finished"
         );
     }
 
     /// Counts the rejection of an incomplete or malformed request.
-    pub fn refused_unread(&self, status: u16) {
+    pub fn rejected_unread(&self, status: u16) {
         *self.requests.borrow_mut().entry(RequestEnd::Refused(status)).or_default() += 1;
     }
 
@@ -139,13 +140,13 @@
     pub fn connection(&self, number: u64, requests: u32, end: ConnectionEnd) {
         *self.connections.borrow_mut().entry(end).or_default() += 1;
         let after_shutdown_ms = self.since_shutdown_ms(Instant::now());
-        line!(
+        log_end!(
             self.shutdown_since.get().is_some(),
             connection = number,
             requests,
             ?end,
             after_shutdown_ms,
-            "connection over"
+            "connection closed"
         );
     }
 
@@ -156,16 +157,16 @@
             id = %request.id,
             connection = request.connection,
             nth = request.nth,
-            open_ms = between_ms(request.read, now),
+            open_ms = between_ms(request.received, now),
             parts = request.parts.get(),
             silent_ms = request.last_part.get().map(|last| between_ms(last, now)),
-            received_after_shutdown_ms = self.since_shutdown_ms(request.read),
-            "still open"
+            received_after_shutdown_ms = self.since_shutdown_ms(request.received),
+            "request still open"
         );
     }
 
-    /// All counts, for the log.
-    pub fn figures(&self) -> String {
+    /// All counts as text for the log.
+    pub fn summary(&self) -> String {
         format!("requests {:?}, connections {:?}", self.requests.borrow(), self.connections.borrow())
     }
 }
--- a/crates/gateway/src/endings/tests.rs
+++ b/crates/gateway/src/endings/tests.rs
@@ -1,4 +1,4 @@
-//! Endings are counted by kind, whatever is logged.
+//! Requests and connections are counted by how they ended, whatever the log level is.
 
 use super::*;
 
@@ -11,10 +11,10 @@
     endings.shutdown_began(Instant::now());
     endings.request(&request, RequestEnd::RefusedShutdown);
     endings.request(&request, RequestEnd::RefusedShutdown);
-    endings.refused_unread(408);
+    endings.rejected_unread(408);
     endings.connection(7, 2, ConnectionEnd::IdleAtShutdown);
-    let figures = endings.figures();
+    let summary = endings.summary();
     for counted in ["Served: 1", "RefusedShutdown: 2", "Refused(408): 1", "IdleAtShutdown: 1"] {
-        assert!(figures.contains(counted), "{figures}");
+        assert!(summary.contains(counted), "{summary}");
     }
 }
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -1,5 +1,5 @@
-//! The listener, and what the connections of all clients share: their number, who gives way when descriptors run
-//! short, which ids are open, how many bytes bodies hold.
+//! The listener, and the state that all client connections share: their number, which one is evicted when
+//! descriptors run short, the ids of open requests, the bytes that request bodies hold.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,95 +19,106 @@
 use crate::limits::Shares;
 use crate::messages::CoreSender;
 
-/// After a connect that could not be taken, in ms.
-const ACCEPT_AGAIN_MS: f64 = 5.0;
+/// Delay after a failed `accept`, in ms.
+const ACCEPT_RETRY_DELAY_MS: f64 = 5.0;
 
-/// Open requests that are logged at one time.
-const LOGGED_OPEN: usize = 64;
+/// Limit of the open requests that are logged at one time.
+const MAX_LOGGED_REQUESTS: usize = 64;
 
-/// Failures for want of own descriptors after which a connection gives way: fewer may pass by themselves.
-const STARVED: u32 = 4;
+/// Recent `accept` failures for lack of the process's own descriptors after which a connection is evicted:
+/// fewer may pass by themselves.
+const EVICT_AFTER_FAILURES: u32 = 4;
 
-/// How often of late a connection could not be accepted for want of descriptors.
+/// How often a connection could recently not be accepted for lack of descriptors.
 #[derive(Default)]
 struct AcceptFailures {
-    starved: u32,
+    descriptor_shortages: u32,
 }
 
 impl AcceptFailures {
-    fn succeeded(&mut self) {
-        self.starved = self.starved.saturating_sub(1);
+    fn record_success(&mut self) {
+        self.descriptor_shortages = self.descriptor_shortages.saturating_sub(1);
     }
 
-    /// Whether a connection has to give way. Only the process's own want of descriptors is helped by that, and only one that
-    /// lasts: whoever gives way may have a request on its way.
-    fn failed(&mut self, cause: &std::io::Error) -> bool {
-        let own = Shortage::of(cause) == Some(Shortage::OwnDescriptors);
-        self.starved = if own { (self.starved + 1).min(2 * STARVED) } else { self.starved };
-        own && self.starved >= STARVED
+    /// Whether a connection has to be evicted. That helps only against a shortage of the process's own
+    /// descriptors, and is done only if the shortage lasts: the evicted client may have a request in transit.
+    fn record_failure(&mut self, cause: &std::io::Error) -> bool {
+        let own_shortage = Shortage::of(cause) == Some(Shortage::OwnDescriptors);
+        self.descriptor_shortages = if own_shortage {
+            (self.descriptor_shortages + 1).min(2 * EVICT_AFTER_FAILURES)
+        } else {
+            self.descriptor_shortages
+        };
+        own_shortage && self.descriptor_shortages >= EVICT_AFTER_FAILURES
     }
 }
 
-/// Where a router is in its life.
+/// The stages of a router, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Lifecycle {
     Starting,
     Ready,
-    /// No connections and no requests are accepted any more. Each connection closes after its answer, at once if it has no
-    /// request.
+    /// No more connections or requests are accepted. Each connection closes after its answer, at once if it
+    /// has no request.
     Draining,
     /// Every request has its final answer: incomplete requests are rejected as they are.
     Refusing,
 }
 
-/// Returns once the router has come so far in its life.
-pub async fn reached(life: &mut watch::Receiver<Lifecycle>, stage: Lifecycle) {
-    if life.wait_for(|life| *life >= stage).await.is_err() {
+/// Returns once the router has reached this stage.
+pub async fn stage_reached(lifecycle: &mut watch::Receiver<Lifecycle>, stage: Lifecycle) {
+    if lifecycle.wait_for(|current| *current >= stage).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// What a connection is doing, in the order in which descriptors that run short are taken back.
+/// What a connection is doing, in the order in which connections are evicted when descriptors run short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Activity {
-    /// No whole request has ever come on it, or it is about to close.
+    /// No complete request has ever arrived on it, or it is about to close.
     NoRequest,
     /// Between two requests.
     Idle,
+    /// Answering a request; never evicted.
     Busy,
 }
 
-struct Row {
+/// The shared state of one connection; removed when the connection is evicted or closes.
+struct ConnectionEntry {
     activity: Activity,
     since: Instant,
-    close: Rc<Notify>,
-    /// The request that it answers now.
-    open: Option<Rc<OpenRequest>>,
+    eviction: Rc<Notify>,
+    /// The request that is being answered.
+    open_request: Option<Rc<OpenRequest>>,
 }
 
-/// What all connections of clients share.
+/// The state that all client connections share.
 pub struct Frontend {
     pub clock: Clock,
     pub core: CoreSender,
     pub provision: RefCell<Rc<Provision>>,
+    /// The current division of descriptors and memory; a reload replaces it.
     pub shares: Cell<Shares>,
-    pub life: watch::Receiver<Lifecycle>,
+    pub lifecycle: watch::Receiver<Lifecycle>,
     /// Set during a shutdown.
     shutdown: Cell<Option<Shutdown>>,
+    /// Number of requests whose pending answer was dropped; their clients get `Reply::Aborted`.
     pub dropped: Dropped,
-    pub next: Cell<u32>,
-    next_row: Cell<u64>,
-    rows: RefCell<BTreeMap<u64, Row>>,
-    /// Connections that stand, those about to close included.
-    pub standing: Cell<usize>,
+    pub next_completion: Cell<u32>,
+    next_connection: Cell<u64>,
+    connections: RefCell<BTreeMap<u64, ConnectionEntry>>,
+    /// Number of open connections, including evicted ones and those about to close.
+    pub open_connections: Cell<usize>,
     open_ids: RefCell<BTreeSet<Rc<str>>>,
+    /// Bytes that the bodies of open requests hold.
     pub body_bytes: Rc<Cell<usize>>,
     /// How requests and connections have ended.
     pub endings: Endings,
-    pub given_up: Cell<u64>,
+    /// Number of connections that were evicted.
+    pub evicted: Cell<u64>,
 }
 
-/// An id that is open, for as long as its request is.
+/// Marks a request id as open until it is dropped.
 pub struct OpenId {
     frontend: Rc<Frontend>,
     id: Rc<str>,
@@ -119,53 +130,53 @@
     }
 }
 
-/// A client's place among the connections.
+/// One client connection's handle on the shared state.
 pub struct ConnectionSlot {
     pub frontend: Rc<Frontend>,
-    /// Its number, unlike that of any other connection of this process.
+    /// Its number, unique within this process.
     pub number: u64,
-    /// Requests that were read whole on it.
+    /// Number of requests that were received completely on it.
     pub requests: Cell<u32>,
-    /// Told when its descriptor is wanted elsewhere.
-    pub close: Rc<Notify>,
-    /// Whether its client was told that the connection closes.
-    pub closing: Cell<bool>,
+    /// Notified when the connection is evicted because another one needs its descriptor.
+    pub eviction: Rc<Notify>,
+    /// Whether an answer has announced to the client that the connection closes.
+    pub close_announced: Cell<bool>,
 }
 
 impl ConnectionSlot {
     pub fn set_activity(&self, activity: Activity) {
-        if let Some(row) = self.frontend.rows.borrow_mut().get_mut(&self.number) {
-            (row.activity, row.since) = (activity, Instant::now());
+        if let Some(entry) = self.frontend.connections.borrow_mut().get_mut(&self.number) {
+            (entry.activity, entry.since) = (activity, Instant::now());
         }
     }
 
-    /// Notes the request that it answers now.
-    pub fn set_open(&self, open: Option<Rc<OpenRequest>>) {
-        if let Some(row) = self.frontend.rows.borrow_mut().get_mut(&self.number) {
-            row.open = open;
+    /// Records the request that is being answered.
+    pub fn set_open_request(&self, open_request: Option<Rc<OpenRequest>>) {
+        if let Some(entry) = self.frontend.connections.borrow_mut().get_mut(&self.number) {
+            entry.open_request = open_request;
         }
     }
 
-    /// Since when it has been doing this, if it is.
+    /// Since when the connection has had this activity; none if it has another one.
     pub fn since(&self, activity: Activity) -> Option<Instant> {
         self.frontend
-            .rows
+            .connections
             .borrow()
             .get(&self.number)
-            .filter(|row| row.activity == activity)
-            .map(|row| row.since)
+            .filter(|entry| entry.activity == activity)
+            .map(|entry| entry.since)
     }
 
-    /// Whether its descriptor is wanted elsewhere.
-    pub fn given_up(&self) -> bool {
-        !self.frontend.rows.borrow().contains_key(&self.number)
+    /// Whether another connection needs its descriptor.
+    pub fn is_evicted(&self) -> bool {
+        !self.frontend.connections.borrow().contains_key(&self.number)
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.frontend.rows.borrow_mut().remove(&self.number);
-        self.frontend.standing.set(self.frontend.standing.get() - 1);
+        self.frontend.connections.borrow_mut().remove(&self.number);
+        self.frontend.open_connections.set(self.frontend.open_connections.get() - 1);
     }
 }
 
@@ -175,73 +186,74 @@
         core: CoreSender,
         provision: Rc<Provision>,
         shares: Shares,
-        life: watch::Receiver<Lifecycle>,
+        lifecycle: watch::Receiver<Lifecycle>,
     ) -> Self {
         Frontend {
             clock,
             core,
             provision: RefCell::new(provision),
             shares: Cell::new(shares),
-            life,
+            lifecycle,
             shutdown: Cell::new(None),
             dropped: Rc::default(),
-            next: Cell::new(0),
-            next_row: Cell::new(0),
-            rows: RefCell::default(),
-            standing: Cell::new(0),
+            next_completion: Cell::new(0),
+            next_connection: Cell::new(0),
+            connections: RefCell::default(),
+            open_connections: Cell::new(0),
             open_ids: RefCell::default(),
             body_bytes: Rc::default(),
             endings: Endings::default(),
-            given_up: Cell::new(0),
+            evicted: Cell::new(0),
         }
     }
 
-    pub fn life(&self) -> Lifecycle {
-        *self.life.borrow()
+    pub fn lifecycle(&self) -> Lifecycle {
+        *self.lifecycle.borrow()
     }
 
-    /// Begins a shutdown.
-    pub fn stop(&self, shutdown: Shutdown) {
+    /// Records that a shutdown began and by which schedule.
+    pub fn begin_shutdown(&self, shutdown: Shutdown) {
         self.shutdown.set(Some(shutdown));
         self.endings.shutdown_began(Instant::now());
     }
 
-    /// Whether a request may still be forwarded. Decided by the clock: a task may run before the next stage is announced.
+    /// Whether a request may still be forwarded. Also checked against the clock, because a task may run
+    /// before the next stage is announced.
     pub fn accepts_requests(&self) -> bool {
-        let in_time = |shutdown: Shutdown| shutdown.accepts_requests(self.clock.now_ms());
-        self.life() < Lifecycle::Draining && self.shutdown.get().is_none_or(in_time)
+        let accepting = |shutdown: Shutdown| shutdown.accepts_requests(self.clock.now_ms());
+        self.lifecycle() < Lifecycle::Draining && self.shutdown.get().is_none_or(accepting)
     }
 
-    /// Opens an id; none where a request of that id is open.
+    /// Marks an id as open; none if a request with that id is already open.
     pub fn open_id(self: &Rc<Self>, id: &Rc<str>) -> Option<OpenId> {
         let new = self.open_ids.borrow_mut().insert(id.clone());
         new.then(|| OpenId { frontend: self.clone(), id: id.clone() })
     }
 
-    /// Takes connections until the router closes.
-    pub async fn listen(self: Rc<Self>, listener: TcpListener) {
-        let mut life = self.life.clone();
+    /// Accepts connections until the router drains.
+    pub async fn accept_connections(self: Rc<Self>, listener: TcpListener) {
+        let mut lifecycle = self.lifecycle.clone();
         let mut failures = AcceptFailures::default();
         loop {
             let accepted = tokio::select! {
                 biased;
-                () = reached(&mut life, Lifecycle::Draining) => break,
+                () = stage_reached(&mut lifecycle, Lifecycle::Draining) => break,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
                 Ok((stream, _)) => {
-                    failures.succeeded();
+                    failures.record_success();
                     self.admit(stream);
-                    if self.standing.get() >= self.shares.get().clients {
-                        // Who was given up closes before the next one is taken.
+                    if self.open_connections.get() >= self.shares.get().clients {
+                        // Lets the evicted connection close before the next one is accepted.
                         tokio::task::yield_now().await;
                     }
                 }
                 Err(cause) => {
-                    if failures.failed(&cause) {
-                        self.give_up_one();
+                    if failures.record_failure(&cause) {
+                        self.evict_one();
                     }
-                    sleep(duration(ACCEPT_AGAIN_MS)).await;
+                    sleep(duration(ACCEPT_RETRY_DELAY_MS)).await;
                 }
             }
         }
@@ -250,37 +262,50 @@
 
     fn admit(self: &Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        // The one that says least gives way to the one that has just come.
-        if self.standing.get() < self.shares.get().clients || self.give_up_one() {
-            tokio::task::spawn_local(serve(self.place(), stream.into()));
+        // At the limit the new connection replaces the least active one.
+        if self.open_connections.get() < self.shares.get().clients || self.evict_one() {
+            tokio::task::spawn_local(serve(self.new_slot(), stream.into()));
         }
     }
 
-    fn place(self: &Rc<Self>) -> ConnectionSlot {
-        let (row, close) = (self.next_row.get(), Rc::new(Notify::new()));
-        self.next_row.set(row + 1);
-        self.standing.set(self.standing.get() + 1);
-        let entry =
-            Row { activity: Activity::NoRequest, since: Instant::now(), close: close.clone(), open: None };
-        self.rows.borrow_mut().insert(row, entry);
+    fn new_slot(self: &Rc<Self>) -> ConnectionSlot {
+        let (number, eviction) = (self.next_connection.get(), Rc::new(Notify::new()));
+        self.next_connection.set(number + 1);
+        self.open_connections.set(self.open_connections.get() + 1);
+        let entry = ConnectionEntry {
+            activity: Activity::NoRequest,
+            since: Instant::now(),
+            eviction: eviction.clone(),
+            open_request: None,
+        };
+        self.connections.borrow_mut().insert(number, entry);
         let requests = Cell::new(0);
-        ConnectionSlot { frontend: self.clone(), number: row, requests, close, closing: Cell::new(false) }
+        ConnectionSlot {
+            frontend: self.clone(),
+            number,
+            requests,
+            eviction,
+            close_announced: Cell::new(false),
+        }
     }
 
-    /// Logs the requests that are open, at most [`LOGGED_OPEN`] of them.
-    pub fn log_open(&self) {
-        let rows = self.rows.borrow();
-        let open = rows.values().filter_map(|row| row.open.as_ref());
-        open.take(LOGGED_OPEN).for_each(|request| self.endings.still_open(request));
+    /// Logs the open requests, at most [`MAX_LOGGED_REQUESTS`] of them.
+    pub fn log_open_requests(&self) {
+        let connections = self.connections.borrow();
+        let open = connections.values().filter_map(|entry| entry.open_request.as_ref());
+        open.take(MAX_LOGGED_REQUESTS).for_each(|request| self.endings.still_open(request));
     }
 
-    fn give_up_one(&self) -> bool {
-        let mut rows = self.rows.borrow_mut();
-        let waiting = rows.iter().filter(|(_, row)| row.activity != Activity::Busy);
-        let least = waiting.min_by_key(|(_, row)| (row.activity, row.since)).map(|(id, _)| *id);
-        let Some(row) = least.and_then(|least| rows.remove(&least)) else { return false };
-        row.close.notify_one();
-        self.given_up.set(self.given_up.get() + 1);
+    /// Evicts the least active connection that is not answering a request; false if there is none.
+    fn evict_one(&self) -> bool {
+        let mut connections = self.connections.borrow_mut();
+        let evictable = connections.iter().filter(|(_, entry)| entry.activity != Activity::Busy);
+        let candidate = evictable.min_by_key(|(_, entry)| (entry.activity, entry.since)).map(|(id, _)| *id);
+        let Some(entry) = candidate.and_then(|candidate| connections.remove(&candidate)) else {
+            return false;
+        };
+        entry.eviction.notify_one();
+        self.evicted.set(self.evicted.get() + 1);
         true
     }
 }
--- a/crates/gateway/src/inbound.rs
+++ b/crates/gateway/src/inbound.rs
@@ -1,5 +1,6 @@
-//! What a client has sent and nobody has taken yet, and when it came: a request that waits behind the answer to the
-//! one before it has used up some of its client's time when it is taken.
+//! Bytes that a client has sent and that are not consumed yet, with their arrival times: a pipelined request
+//! that waits for the answer to the one before it has used up part of its client's timeout by the time it is
+//! consumed.
 
 use std::collections::VecDeque;
 use std::io::Result;
@@ -9,64 +10,64 @@
 use paddleproxy_router::clock::Clock;
 use paddleproxy_sockets::Stream;
 
-/// Reads within so many ms count as one, at the time of the first.
-const SAME_TIME_MS: f64 = 20.0;
-/// Times remembered at most; bytes that come after count as come at the last of them.
-const TIMES_MAX: usize = 256;
+/// Reads within this time of each other, in ms, count as one arrival, at the time of the first.
+const MERGE_WINDOW_MS: f64 = 20.0;
+/// Limit of the recorded arrivals; bytes that arrive beyond it count as part of the last one.
+const MAX_ARRIVALS: usize = 256;
 
-/// Up to which byte of a connection had come at which time.
-struct Arrived {
+/// The arrival of the bytes of a connection before offset `end`.
+struct ArrivalMark {
     end: u64,
     at_ms: f64,
 }
 
-/// The bytes of one connection that wait to be taken. Bytes are taken off its front as off a [`BytesMut`].
+/// The unconsumed bytes of one connection. They are consumed from the front, as those of a [`BytesMut`].
 pub struct Inbound {
     clock: Clock,
     bytes: BytesMut,
-    /// Bytes that ever came.
+    /// Total number of bytes received.
     received: u64,
-    arrived: VecDeque<Arrived>,
+    arrivals: VecDeque<ArrivalMark>,
 }
 
 impl Inbound {
     pub fn new(clock: Clock) -> Self {
-        Inbound { clock, bytes: BytesMut::new(), received: 0, arrived: VecDeque::new() }
+        Inbound { clock, bytes: BytesMut::new(), received: 0, arrivals: VecDeque::new() }
     }
 
-    /// Waits for more; 0 at the end of the connection.
+    /// Waits for more bytes and returns how many arrived; 0 at the end of the connection.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection failed.
     pub async fn read(&mut self, stream: &Stream) -> Result<usize> {
         let count = stream.read_some(&mut self.bytes).await?;
         self.received += count as u64;
-        self.came(self.clock.now_ms());
+        self.record_arrival(self.clock.now_ms());
         Ok(count)
     }
 
-    fn came(&mut self, now_ms: f64) {
-        let full = self.arrived.len() >= TIMES_MAX;
-        match self.arrived.back_mut().filter(|last| full || now_ms - last.at_ms < SAME_TIME_MS) {
+    fn record_arrival(&mut self, now_ms: f64) {
+        let full = self.arrivals.len() >= MAX_ARRIVALS;
+        match self.arrivals.back_mut().filter(|last| full || now_ms - last.at_ms < MERGE_WINDOW_MS) {
             Some(last) => last.end = self.received,
-            None => self.arrived.push_back(Arrived { end: self.received, at_ms: now_ms }),
+            None => self.arrivals.push_back(ArrivalMark { end: self.received, at_ms: now_ms }),
         }
     }
 
-    /// When the last byte came that was taken.
-    pub fn taken_came_ms(&mut self) -> f64 {
-        let taken = self.received - self.bytes.len() as u64;
-        while self.arrived.front().is_some_and(|first| first.end < taken) {
-            self.arrived.pop_front();
+    /// When the last consumed byte arrived.
+    pub fn consumed_arrival_ms(&mut self) -> f64 {
+        let consumed = self.received - self.bytes.len() as u64;
+        while self.arrivals.front().is_some_and(|first| first.end < consumed) {
+            self.arrivals.pop_front();
         }
-        self.arrived.front().map_or(self.clock.now_ms(), |first| first.at_ms)
+        self.arrivals.front().map_or(self.clock.now_ms(), |first| first.at_ms)
     }
 
-    /// Gives back memory where nothing waits.
-    pub fn rest(&mut self) {
+    /// Frees the buffers if all bytes are consumed.
+    pub fn release_if_empty(&mut self) {
         if self.bytes.is_empty() {
             self.bytes = BytesMut::new();
-            self.arrived = VecDeque::new();
+            self.arrivals = VecDeque::new();
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,6 +1,7 @@
-//! A router on the operators' platform: its sockets, signals and limits, before the same ledger and decisions as
-//! `paddleproxy serve`. One current-thread runtime, tasks on a `LocalSet`, bounded channels, no locks. Decides
-//! nothing: `paddleproxy` does. `docs/design/platform.md` says why it is as it is.
+//! A router on the operators' platform: its sockets, signals and resource limits, in front of the same ledger
+//! and decision modules as `paddleproxy serve`. One current-thread runtime, tasks on a `LocalSet`, bounded
+//! channels, no locks. All routing decisions are made by `paddleproxy`. `docs/design/platform.md` gives the
+//! reasons for this design.
 
 mod attempt;
 mod clients;
@@ -29,32 +30,32 @@
 use crate::discovery::Starts;
 use crate::running::Running;
 
-/// What a running router is told from outside.
+/// A signal from outside to a running router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// The configuration has changed.
+    /// Reload the configuration.
     Reload,
-    /// Let what is open end, then end.
+    /// Finish open requests, then end.
     Stop,
 }
 
-/// Runs a router by the configuration in a file until SIGTERM, then lets what is open end. SIGHUP reads the file
-/// again. Must run on a `LocalSet`.
+/// Runs a router by the configuration in a file until SIGTERM, then shuts down gracefully. SIGHUP reloads the
+/// file. Must run on a `LocalSet`.
 ///
 /// # Errors
-/// A configuration that can't be read or lacks something, or an address that can't be listened on.
+/// A configuration that can't be read or is incomplete, or an address that can't be bound.
 pub async fn run(path: &Path) -> Result<()> {
-    // Before anything else: from here on no signal ends the process.
+    // Installed before anything else: from here on neither signal ends the process.
     let mut hups = signal(SignalKind::hangup())?;
     let mut terms = signal(SignalKind::terminate())?;
-    let (told, signals) = mpsc::channel(4);
+    let (sender, signals) = mpsc::channel(4);
     tokio::task::spawn_local(async move {
         loop {
             let signal = tokio::select! {
                 _ = terms.recv() => Signal::Stop,
                 _ = hups.recv() => Signal::Reload,
             };
-            if told.send(signal).await.is_err() {
+            if sender.send(signal).await.is_err() {
                 return;
             }
         }
@@ -62,8 +63,8 @@
     serve(path, signals, |_| {}).await
 }
 
-/// As [`run`], with whoever holds the other end of `signals` in place of the system's; `ready` is given the address
-/// on which clients are taken.
+/// As [`run`], with signals from the channel `signals` instead of the system's; `ready` is called with the
+/// address on which clients are accepted.
 ///
 /// # Errors
 /// As [`run`].
@@ -76,8 +77,8 @@
     let starts = Starts::new(clock);
     let (config, listener) = tokio::select! {
         biased;
-        () = told_to_stop(&mut signals) => {
-            info!("told to stop before it listened");
+        () = stop_requested(&mut signals) => {
+            info!("stop signal received before the router listened");
             return Ok(());
         }
         listening = configuration::listen(path, &starts) => listening?,
@@ -90,7 +91,7 @@
     Ok(())
 }
 
-/// Returns once SIGTERM was received. A reload before the first configuration was read says nothing.
-async fn told_to_stop(signals: &mut mpsc::Receiver<Signal>) {
+/// Returns once the stop signal was received. A reload before the first configuration was read is ignored.
+async fn stop_requested(signals: &mut mpsc::Receiver<Signal>) {
     while signals.recv().await == Some(Signal::Reload) {}
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,94 +1,109 @@
-//! How the limits that a router is told are shared out, by name. Resource limits only: nothing here says what is best
-//! for a completion.
+//! Timeouts and sizes of the gateway, and the division of the configured resource limits among their users.
+//! Nothing here affects routing decisions.
 
 use paddleproxy::shutdown::GracePeriod;
 use paddleproxy_platform::config::Limits;
 use paddleproxy_platform::BODY_BYTES;
 
-/// Descriptors that the process holds beside connections: the runtime's, standard streams, a file being read, the
-/// listener, discovery's connection and the one that takes its place.
-const OWN: usize = 16;
-/// Of the rest: kept free for what is being accepted or closed, and for clients. Workers have what remains.
-const SPARE: f64 = 0.08;
-const CLIENTS: f64 = 0.45;
-/// Part of the memory that bodies of open completions may take.
-const BODIES: f64 = 0.2;
+/// Descriptors for other uses than connections of clients and to workers: the runtime, standard streams, a
+/// file being read, the listener, the discovery connection and its replacement.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// Share of the remaining descriptors that stays free for connections being accepted or closed.
+const SPARE_SHARE: f64 = 0.08;
+/// Share of the remaining descriptors for client connections. Connections to workers get the rest.
+const CLIENT_SHARE: f64 = 0.45;
+/// Share of the memory that bodies of open completions may use.
+const BODY_MEMORY_SHARE: f64 = 0.2;
 
-/// Bytes that a worker may take in a list: three names of 128 bytes, each escaped and indented, its address and numbers;
-/// and how many workers a list always has room for.
-const LISTED_BYTES: usize = 4 * 1024;
-const LISTED: usize = 1024;
-/// Beyond that a list may take this part of the memory.
-const LISTS: f64 = 1.0 / 16.0;
+/// Most bytes that one worker takes in a list: three names of 128 bytes, each escaped and indented, its
+/// address and numbers.
+const MAX_LISTED_WORKER_BYTES: usize = 4 * 1024;
+/// Number of workers that a list always has room for.
+const MIN_LISTED_WORKERS: usize = 1024;
+/// Share of the memory that a list may use if that is more.
+const LIST_MEMORY_SHARE: f64 = 1.0 / 16.0;
 
-/// A client has so long, in ms, to send a whole request from when it connected or began one, of the platform's 3 s.
+/// Time for a client to send a complete request, in ms, from its connect or its first byte. The platform
+/// allows 3 s.
 pub const REQUEST_READ_TIMEOUT_MS: f64 = 2000.0;
-/// A connection without a request may stay for so many times the workers' idle time.
+/// Idle timeout of client connections, as a multiple of the workers' idle timeout.
 pub const CLIENT_IDLE_FACTOR: f64 = 0.5;
-/// A client that takes nothing for so long, in ms, is cut.
+/// A client that does not accept an answer within this time, in ms, is disconnected.
 pub const CLIENT_WRITE_TIMEOUT_MS: f64 = 5000.0;
-/// How long what a client still sends is read and thrown away after an error, in ms, so that it can read the error.
+/// How long bytes that a client still sends are read and discarded before a close, in ms, so that it can read
+/// its answer.
 pub const LINGER_MS: f64 = 500.0;
-/// The same where the connection's descriptor is wanted elsewhere.
+/// The same for an evicted connection, whose descriptor is needed for another one.
 pub const EVICTED_LINGER_MS: f64 = 50.0;
-/// Bytes that are read ahead of the answer to the request before them.
+/// Limit of the pipelined bytes that are read while an earlier request is being answered.
 pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// A stream whose worker has said nothing for so long, in ms, is cut: the platform allows 5 s, and what the router
-/// sends on in the meantime is not lost.
+/// A stream whose worker has sent nothing for this time, in ms, is aborted. The platform allows 5 s; what the
+/// router forwards in the meantime is not lost.
 pub const STREAM_IDLE_TIMEOUT_MS: f64 = 4000.0;
-/// Events of one stream that may wait for its client.
+/// Capacity of the queue from a worker's stream to its client, in parts.
 pub const STREAM_QUEUE_PARTS: usize = 8;
-/// A connection to a worker is closed after this part of the time after which the worker would.
+/// Idle timeout of connections to workers, as a fraction of the workers' own idle timeout.
 pub const WORKER_IDLE_FACTOR: f64 = 0.6;
-/// A connection rests so long, in ms, before it is used again: what comes behind an answer shows in that time.
+/// Time for which a connection stays idle before it is reused, in ms, so that unexpected bytes after an
+/// answer are noticed.
 pub const MIN_IDLE_BEFORE_REUSE_MS: f64 = 2.0;
-/// How long what follows a refusal's head is waited for, in ms, so that its connection can be used again.
+/// Time limit for reading the rest of a worker's rejection after its head, in ms, so that the connection can
+/// be reused.
 pub const REJECTION_BODY_TIMEOUT_MS: f64 = 1000.0;
-/// How long a watch waits at discovery, in ms, and how long after a call that was silent.
+/// How long discovery may hold a watch open, in ms.
 pub const WATCH_HOLD_MS: f64 = 2000.0;
+/// The same for the watch after a call that timed out, in ms.
 pub const WATCH_HOLD_AFTER_TIMEOUT_MS: f64 = 100.0;
-/// How much longer its answer may take, in ms, where discovery is quick and where it is slow. A change counts as told 6 s
-/// after discovery can be reached: the most, the pause after a failure and an answer as slow have room in that.
+/// How much longer than the hold time an answer to a watch may take, in ms: the least, for a fast discovery,
+/// and the most, for a slow one. A change counts as delivered 6 s after discovery is reachable; the longest
+/// slack, the delay after a failure and an equally slow answer fit into that.
 pub const WATCH_MIN_SLACK_MS: f64 = 1000.0;
 pub const WATCH_MAX_SLACK_MS: f64 = 2800.0;
-/// After a call that failed discovery is asked again after this, in ms: a watch goes on if it comes within 200 ms.
+/// Delay before a failed discovery call is retried, in ms: discovery continues a watch that is renewed within
+/// 200 ms.
 pub const DISCOVERY_RETRY_MS: f64 = 100.0;
-/// Words that may wait for the core.
+/// Capacity of the core's event queue.
 pub const CORE_QUEUE_EVENTS: usize = 1024;
 
-/// The platform kills a router no earlier after SIGTERM than this, in ms, and the longest client timeout, which counts
-/// as the second at most. What came before the first may be unanswered then.
-const KILL_MS: f64 = 700.0;
-const KILL_LONGEST_MS: f64 = 3000.0;
+/// The platform kills a router no earlier after SIGTERM than this time, in ms, plus the longest client
+/// timeout. A request that arrived within this time after SIGTERM may be unanswered at the kill.
+const MIN_KILL_DELAY_MS: f64 = 700.0;
+/// Limit of the client timeout that is added, in ms.
+const MAX_KILL_EXTENSION_MS: f64 = 3000.0;
 
-/// What the platform promises a router after SIGTERM whose longest client timeout is this, in ms.
+/// The grace period after SIGTERM that the platform promises to a router with this longest client timeout.
 pub fn grace_period(longest_ms: f64) -> GracePeriod {
-    GracePeriod { answers_owed_after_ms: KILL_MS, kill_after_ms: KILL_MS + longest_ms.min(KILL_LONGEST_MS) }
+    GracePeriod {
+        answers_owed_after_ms: MIN_KILL_DELAY_MS,
+        kill_after_ms: MIN_KILL_DELAY_MS + longest_ms.min(MAX_KILL_EXTENSION_MS),
+    }
 }
 
-/// Descriptors and bytes by name.
+/// The division of the configured descriptors and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shares {
-    /// Connections of clients, and to workers.
+    /// Connections of clients.
     pub clients: usize,
+    /// Connections to workers.
     pub workers: usize,
-    /// Bytes of bodies that open completions hold together.
+    /// Total size of the bodies of open completions, in bytes.
     pub body_bytes: usize,
-    /// Bytes of one list of workers; taken only while it is read.
+    /// Size of one list of workers, in bytes; used only while it is read.
     pub list_bytes: usize,
 }
 
 impl Shares {
     pub fn of(limits: &Limits) -> Self {
-        let left = limits.sockets.saturating_sub(OWN) as f64 * (1.0 - SPARE);
-        let clients = (left * CLIENTS) as usize;
-        let body_bytes = (limits.memory_mb * BODIES * 1048576.0) as usize;
+        let available = limits.sockets.saturating_sub(RESERVED_DESCRIPTORS) as f64 * (1.0 - SPARE_SHARE);
+        let clients = (available * CLIENT_SHARE) as usize;
+        let body_bytes = (limits.memory_mb * BODY_MEMORY_SHARE * 1048576.0) as usize;
         Shares {
             clients: clients.max(1),
-            workers: (left as usize).saturating_sub(clients).max(1),
-            // One request of the largest size always fits.
+            workers: (available as usize).saturating_sub(clients).max(1),
+            // Two requests of the largest size always fit.
             body_bytes: body_bytes.max(2 * BODY_BYTES),
-            list_bytes: ((limits.memory_mb * LISTS * 1048576.0) as usize).max(LISTED * LISTED_BYTES),
+            list_bytes: ((limits.memory_mb * LIST_MEMORY_SHARE * 1048576.0) as usize)
+                .max(MIN_LISTED_WORKERS * MAX_LISTED_WORKER_BYTES),
         }
     }
 }
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -1,4 +1,4 @@
-//! A router from its start to its end: the tasks of one process, reloads, graceful shutdown.
+//! The life cycle of a router process: start of its tasks, configuration reloads, graceful shutdown.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -23,10 +23,10 @@
 use crate::pool::Pool;
 use crate::Signal;
 
-/// How often idle connections and the clocks are checked, in ms.
-const SWEEP_MS: f64 = 1000.0;
-/// How often a router that shuts down checks whether it is done, in ms.
-const DONE_CHECK_MS: f64 = 5.0;
+/// Interval at which idle connections and the clocks are checked, in ms.
+const SWEEP_INTERVAL_MS: f64 = 1000.0;
+/// Interval at which a router that shuts down checks whether all work is done, in ms.
+const DONE_CHECK_INTERVAL_MS: f64 = 5.0;
 
 /// The handles of one router's tasks.
 pub struct Running {
@@ -34,7 +34,7 @@
     frontend: Rc<Frontend>,
     core: CoreSender,
     pool: Rc<Pool>,
-    life: watch::Sender<Lifecycle>,
+    lifecycle: watch::Sender<Lifecycle>,
     sources: watch::Sender<Source>,
     accepting: JoinHandle<()>,
 }
@@ -53,33 +53,33 @@
         info!(name, %listen, %discovery, ?limits, ?shares, known = known.rows.len(), "starting");
 
         let pool = Rc::new(Pool::new(shares.workers, provision.connect_ms, provision.idle_ms));
-        let (core, told) = mpsc::channel(CORE_QUEUE_EVENTS);
-        let (lists, asked) = mpsc::channel(2);
+        let (core, events) = mpsc::channel(CORE_QUEUE_EVENTS);
+        let (lists, refetches) = mpsc::channel(2);
         let provision = Rc::new(provision);
-        let mut state = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
+        let mut core_task = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
         let connect_ms = provision.connect_ms;
-        state.listed(known, ListKind::Saved);
-        tokio::task::spawn_local(state.run(told));
+        core_task.listed(known, ListKind::Saved);
+        tokio::task::spawn_local(core_task.run(events));
         let list_bytes = shares.list_bytes;
         let source = Source { address: discovery, provision: provision.clone(), list_bytes };
         let (sources, source_changes) = watch::channel(source);
-        let (life, lives) = watch::channel(Lifecycle::Starting);
-        let frontend = Rc::new(Frontend::new(clock, core.clone(), provision, shares, lives));
-        let (first, heard) = oneshot::channel();
+        let (lifecycle, lifecycle_changes) = watch::channel(Lifecycle::Starting);
+        let frontend = Rc::new(Frontend::new(clock, core.clone(), provision, shares, lifecycle_changes));
+        let (first_list, first_list_received) = oneshot::channel();
         tokio::task::spawn_local(discovery::follow(
             source_changes,
             starts.clone(),
             core.clone(),
-            asked,
-            first,
+            refetches,
+            first_list,
         ));
-        let accepting = tokio::task::spawn_local(frontend.clone().listen(listener));
+        let accepting = tokio::task::spawn_local(frontend.clone().accept_connections(listener));
         tokio::task::spawn_local(sweep(pool.clone(), starts));
-        tokio::task::spawn_local(become_ready(life.clone(), heard, connect_ms));
-        Running { clock, frontend, core, pool, life, sources, accepting }
+        tokio::task::spawn_local(become_ready(lifecycle.clone(), first_list_received, connect_ms));
+        Running { clock, frontend, core, pool, lifecycle, sources, accepting }
     }
 
-    /// Reads the configuration again with each reload, until the signal to stop.
+    /// Reloads the configuration on each reload signal, until the stop signal.
     pub async fn reload_until_stopped(
         &self,
         path: &Path,
@@ -88,7 +88,7 @@
     ) {
         let mut signal = signals.recv().await;
         while signal == Some(Signal::Reload) {
-            // The next signal goes first.
+            // A signal that arrives during a reload takes precedence over it.
             let config = tokio::select! {
                 config = configuration::reload(path, starts) => config,
                 next = signals.recv() => {
@@ -99,7 +99,7 @@
             match config {
                 Ok(config) => self.apply(config).await,
                 Err(cause) => {
-                    warn!(cause = format!("{cause:#}"), "configuration refused; the last good one stays")
+                    warn!(cause = format!("{cause:#}"), "configuration rejected; keeping the last valid one")
                 }
             }
             signal = signals.recv().await;
@@ -107,7 +107,7 @@
     }
 
     async fn apply(&self, config: Config) {
-        info!(discovery = %config.discovery, "configuration read again");
+        info!(discovery = %config.discovery, "configuration reloaded");
         let shares = Shares::of(&config.limits);
         self.frontend.shares.set(shares);
         self.pool.change(shares.workers, config.provision.connect_ms, config.provision.idle_ms);
@@ -118,33 +118,40 @@
         self.sources.send_replace(Source { address: config.discovery, provision, list_bytes });
     }
 
-    /// Shuts down by the schedule of [`Shutdown`]; returns once nothing is open.
+    /// Shuts down by the schedule of [`Shutdown`]; returns once no work is open.
     pub async fn shut_down(self) {
         let timeouts_ms = self.frontend.provision.borrow().client_timeouts_ms.clone();
         let longest_ms = timeouts_ms.into_iter().fold(0.0, f64::max);
         let shutdown = Shutdown::new(self.clock.now_ms(), grace_period(longest_ms));
-        self.frontend.stop(shutdown);
-        info!(standing = self.frontend.standing.get(), longest_ms, ?shutdown, "stopping");
-        // In a task of its own: the time of the last answers holds whatever is waited for below.
-        let last_answers =
-            LastAnswers { clock: self.clock, shutdown, life: self.life.clone(), core: self.core.clone() };
-        let answering = tokio::task::spawn_local(last_answers.give(self.frontend.clone()));
-        // Until then idle connections stay open: their clients may have no other router to go to yet.
+        self.frontend.begin_shutdown(shutdown);
+        info!(standing = self.frontend.open_connections.get(), longest_ms, ?shutdown, "stopping");
+        // In a task of its own: the final answers are due on time, whatever the code below waits for.
+        let final_answer_stage = FinalAnswers {
+            clock: self.clock,
+            shutdown,
+            lifecycle: self.lifecycle.clone(),
+            core: self.core.clone(),
+        };
+        let final_answers = tokio::task::spawn_local(final_answer_stage.run(self.frontend.clone()));
+        // Idle connections stay open until then: their clients may not have another router to use yet.
         sleep_until(self.clock.at(shutdown.accepts_until_ms)).await;
-        self.life.send_replace(Lifecycle::Draining);
+        self.lifecycle.send_replace(Lifecycle::Draining);
         let _ = self.accepting.await;
         let after_ms = self.clock.now_ms() - shutdown.requested_ms;
-        info!(standing = self.frontend.standing.get(), after_ms, "no connections are taken any more");
-        // Open means more than connections: states held at servers are released before the end.
-        while self.frontend.standing.get() + figures(&self.core).await.0 > 0 {
-            sleep(duration(DONE_CHECK_MS)).await;
+        info!(
+            standing = self.frontend.open_connections.get(),
+            after_ms, "listener closed; no more connections are accepted"
+        );
+        // Open work is more than connections: states held at servers are released before the router ends.
+        while self.frontend.open_connections.get() + open_work(&self.core).await.0 > 0 {
+            sleep(duration(DONE_CHECK_INTERVAL_MS)).await;
         }
-        answering.abort();
+        final_answers.abort();
         info!(
-            figures = figures(&self.core).await.1,
-            endings = self.frontend.endings.figures(),
+            figures = open_work(&self.core).await.1,
+            endings = self.frontend.endings.summary(),
             after_ms = self.clock.now_ms() - shutdown.requested_ms,
-            given_up = self.frontend.given_up.get(),
+            given_up = self.frontend.evicted.get(),
             dropped = self.frontend.dropped.get(),
             "stopped"
         );
@@ -152,49 +159,55 @@
 }
 
 /// The stage of a shutdown in which every request gets its final answer.
-struct LastAnswers {
+struct FinalAnswers {
     clock: Clock,
     shutdown: Shutdown,
-    life: watch::Sender<Lifecycle>,
+    lifecycle: watch::Sender<Lifecycle>,
     core: CoreSender,
 }
 
-impl LastAnswers {
-    /// Gives them at their time.
-    async fn give(self, frontend: Rc<Frontend>) {
+impl FinalAnswers {
+    /// Waits until final answers are due, then requests them from the connections and the core.
+    async fn run(self, frontend: Rc<Frontend>) {
         sleep_until(self.clock.at(self.shutdown.last_answers_ms)).await;
         let after_ms = self.clock.now_ms() - self.shutdown.requested_ms;
-        info!(standing = frontend.standing.get(), after_ms, "last answers");
-        frontend.log_open();
-        self.life.send_replace(Lifecycle::Refusing);
+        info!(standing = frontend.open_connections.get(), after_ms, "sending final answers to open requests");
+        frontend.log_open_requests();
+        self.lifecycle.send_replace(Lifecycle::Refusing);
         let _ = self.core.send(CoreEvent::LastAnswers).await;
     }
 }
 
+/// Closes idle connections and checks the clocks at regular intervals.
 async fn sweep(pool: Rc<Pool>, starts: Starts) {
     loop {
-        sleep(duration(SWEEP_MS)).await;
+        sleep(duration(SWEEP_INTERVAL_MS)).await;
         pool.sweep();
         starts.look();
     }
 }
 
-/// Ready with the first list, which comes in no time; where discovery is silent the known list has to do.
-async fn become_ready(life: watch::Sender<Lifecycle>, heard: oneshot::Receiver<()>, connect_ms: f64) {
-    let _ = timeout(duration(connect_ms), heard).await;
-    // A router that was told to stop meanwhile stays so.
-    life.send_if_modified(|life| {
-        let starting = *life == Lifecycle::Starting;
+/// Makes the router ready once discovery has sent the first list, which usually takes no time. If discovery
+/// does not answer within the connect timeout, the list from the configuration is used.
+async fn become_ready(
+    lifecycle: watch::Sender<Lifecycle>,
+    first_list_received: oneshot::Receiver<()>,
+    connect_ms: f64,
+) {
+    let _ = timeout(duration(connect_ms), first_list_received).await;
+    // A shutdown that began in the meantime must not be undone.
+    lifecycle.send_if_modified(|stage| {
+        let starting = *stage == Lifecycle::Starting;
         if starting {
-            *life = Lifecycle::Ready;
+            *stage = Lifecycle::Ready;
         }
         starting
     });
 }
 
-/// Open work, and figures for the log.
-async fn figures(core: &CoreSender) -> (usize, String) {
-    let (to, from) = oneshot::channel();
-    let _ = core.send(CoreEvent::Tell(to)).await;
-    from.await.unwrap_or_default()
+/// The amount of open work in the core, and its counters for the log.
+async fn open_work(core: &CoreSender) -> (usize, String) {
+    let (sender, receiver) = oneshot::channel();
+    let _ = core.send(CoreEvent::Tell(sender)).await;
+    receiver.await.unwrap_or_default()
 }
