--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -135,7 +135,7 @@
         if close {
             return Err(ConnectionClose::Graceful(ConnectionEnd::ClientRequestedClose));
         }
-        if self.should_close(stream, inbound) {
+        if self.closes(stream, inbound) {
             let stopping = self.frontend.lifecycle() >= Lifecycle::Draining;
             let end = if stopping { ConnectionEnd::AnsweredAtShutdown } else { ConnectionEnd::Evicted };
             return Err(ConnectionClose::Graceful(end));
@@ -156,7 +156,7 @@
             ("GET", "/_health") => match self.frontend.lifecycle() {
                 Lifecycle::Starting => Err(Fault::new(503, "not ready yet")),
                 _ => {
-                    let close = close || self.should_close(stream, inbound);
+                    let close = close || self.closes(stream, inbound);
                     self.answer(stream, 200, "OK", "", "{\"ready\":true}", close).await?;
                     Ok(RequestEnd::Answered)
                 }
@@ -170,7 +170,7 @@
         match answered {
             Ok(end) => Ok(end),
             Err(fault) => {
-                self.reject(stream, fault, close || self.should_close(stream, inbound)).await?;
+                self.reject(stream, fault, close || self.closes(stream, inbound)).await?;
                 let stopping = fault == SHUTTING_DOWN;
                 Ok(if stopping { RequestEnd::RefusedShutdown } else { RequestEnd::Refused(fault.status) })
             }
@@ -194,7 +194,7 @@
     /// Whether the connection closes after the next answer. Requests that have already arrived on it are
     /// answered first, because a request that was read must not remain unanswered. Once a close was
     /// announced, it is final.
-    fn should_close(&self, stream: &Stream, inbound: &Inbound) -> bool {
+    fn closes(&self, stream: &Stream, inbound: &Inbound) -> bool {
         let closable = self.frontend.lifecycle() >= Lifecycle::Draining || self.is_evicted();
         let closes = self.close_announced.get() || closable && inbound.is_empty() && !stream.bytes_wait();
         self.close_announced.set(closes);
@@ -362,22 +362,15 @@
                     "Too Many Requests",
                     &retry_after,
                     &body,
-                    close || self.should_close(stream, inbound),
+                    close || self.closes(stream, inbound),
                 )
                 .await?;
                 Ok(Ok(RequestEnd::RateLimited))
             }
             Reply::Aborted => {
                 let body = error_body("the answer was lost; it may have run");
-                self.answer(
-                    stream,
-                    502,
-                    "Bad Gateway",
-                    "",
-                    &body,
-                    close || self.should_close(stream, inbound),
-                )
-                .await?;
+                self.answer(stream, 502, "Bad Gateway", "", &body, close || self.closes(stream, inbound))
+                    .await?;
                 Ok(Ok(RequestEnd::Aborted))
             }
             Reply::Stream(parts) => {
--- a/crates/gateway/src/endings.rs
+++ b/crates/gateway/src/endings.rs
@@ -14,7 +14,7 @@
     Answered,
     /// The whole stream was forwarded.
     Served,
-    /// Rate-limited by the decision modules: it has not run, so a retry is harmless.
+    /// Rate-limited by the decision modules: a retry is harmless.
     RateLimited,
     /// Abandoned; it may have run.
     Aborted,
