--- a/crates/gateway/tests/clients.rs
+++ b/crates/gateway/tests/clients.rs
@@ -1,4 +1,4 @@
-//! What clients send that can't be served, and what they are owed for it. None of it reaches a worker.
+//! Invalid, slow, pipelined and oversized requests of clients, and the answers that they must get.
 
 mod common;
 
@@ -14,11 +14,11 @@
 }
 
 #[test]
-fn bad_requests_get_their_error_and_reach_no_worker() {
-    let good_one = completion("b1", "", "{}");
+fn invalid_requests_are_rejected_and_reach_no_worker() {
+    let valid = completion("b1", "", "{}");
     let change = |from: &str, to: &str| {
-        assert!(good_one.contains(from), "{from}");
-        good_one.replace(from, to)
+        assert!(valid.contains(from), "{from}");
+        valid.replace(from, to)
     };
     let chunked = |body: &str| {
         change("Content-Length: 2\r\n\r\n{}", &format!("Transfer-Encoding: chunked\r\n\r\n{body}"))
@@ -31,24 +31,32 @@
         ("an unknown workload", change("Req-Kind: chat", "Req-Kind: nonsense"), 400),
         ("no workload", change("Req-Kind: chat\r\n", ""), 400),
         ("an unknown customer", change("Req-Owner: acme", "Req-Owner: nobody"), 400),
-        ("a deadline that is none", change("8.000", "soon"), 400),
+        ("an unreadable deadline", change("8.000", "soon"), 400),
         ("a negative deadline", change("8.000", "-1"), 400),
-        ("an endless deadline", change("8.000", "inf"), 400),
-        ("no number", change("8.000", "NaN"), 400),
+        ("an infinite deadline", change("8.000", "inf"), 400),
+        ("a deadline that is not a number", change("8.000", "NaN"), 400),
         ("a negative length", change("prompt_len=100", "prompt_len=-5"), 400),
-        ("a length that is none", change("prompt_len=100", "prompt_len=many"), 400),
-        ("no JSON", completion("b1", "", "{\"model\":"), 400),
-        ("both lengths", change("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked"), 400),
-        ("a negative body", change("Content-Length: 2", "Content-Length: -2"), 400),
+        ("an unreadable length", change("prompt_len=100", "prompt_len=many"), 400),
+        ("invalid JSON", completion("b1", "", "{\"model\":"), 400),
+        (
+            "both length and chunked encoding",
+            change("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked"),
+            400,
+        ),
+        ("a negative body length", change("Content-Length: 2", "Content-Length: -2"), 400),
         ("a body of 60 MB", change("Content-Length: 2", "Content-Length: 62914560"), 413),
-        ("a body beyond numbers", change("Content-Length: 2", "Content-Length: 999999999999999999999"), 413),
-        ("chunks that can't be read", chunked("what\r\n{}"), 400),
-        ("a chunk that does not fit", chunked("1\r\n{}\r\n0\r\n\r\n"), 400),
-        ("chunks past the bound", chunked(&huge), 400),
+        (
+            "a body length beyond the number range",
+            change("Content-Length: 2", "Content-Length: 999999999999999999999"),
+            413,
+        ),
+        ("unreadable chunk sizes", chunked("what\r\n{}"), 400),
+        ("a chunk longer than its size", chunked("1\r\n{}\r\n0\r\n\r\n"), 400),
+        ("chunks beyond the limit", chunked(&huge), 400),
         ("another path", change("/v1/chat/completions", "/v2"), 404),
         ("another method", "PUT /v1/chat/completions HTTP/1.1\r\nConnection: close\r\n\r\n".into(), 405),
-        ("unreadable data", "\u{3}\u{1}nothing of the kind\r\n\r\n".into(), 400),
-        ("a head past the bound", format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)), 431),
+        ("binary data", "\u{3}\u{1}nothing of the kind\r\n\r\n".into(), 400),
+        ("a head beyond the limit", format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)), 431),
         ("an old version", "GET /_health HTTP/1.0\r\n\r\n".into(), 505),
     ];
     run_local(async {
@@ -65,12 +73,12 @@
             assert!(began.elapsed() < ms(2900), "{name}");
         }
         assert_eq!(worker.completion_requests().len(), 0);
-        assert!(body(&platform.complete("c1").await).1, "the usual client is served");
+        assert!(body(&platform.complete("c1").await).1, "a valid request is served");
     });
 }
 
 #[test]
-fn who_says_nothing_or_half_a_request_is_closed_in_time() {
+fn a_client_without_a_complete_request_is_disconnected_in_time() {
     let request = completion("b1", "", "{}");
     let half = &request[..request.len() - 1];
     for (name, text) in [("nothing", ""), ("half a head", &request[..40]), ("half a body", half)] {
@@ -82,14 +90,14 @@
             client.write_all(text.as_bytes()).await.unwrap();
             let mut answer = Vec::new();
             let _ = timeout(ms(2900), client.read_to_end(&mut answer)).await.expect(name);
-            assert!(began.elapsed() > ms(1500), "{name}: a slow client has some time");
+            assert!(began.elapsed() > ms(1500), "{name}: a slow client is given some time");
             assert_eq!(worker.completion_requests().len(), 0, "{name}");
         });
     }
 }
 
 #[test]
-fn one_byte_at_a_time_is_read_and_a_chunked_body_goes_on_whole() {
+fn single_bytes_are_read_and_a_chunked_body_is_forwarded_complete() {
     run_local(async {
         let worker = worker().await;
         let platform = Platform::start(&[&worker]).await;
@@ -112,7 +120,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_and_its_owner_is_served() {
+fn a_duplicate_of_an_open_id_is_rejected_and_the_first_request_is_served() {
     run_local(async {
         let worker =
             Worker::start("w-1", "combined", |_, _| vec![Step::Wait(150), Step::Send(full_answer())]).await;
@@ -130,7 +138,7 @@
 }
 
 #[test]
-fn requests_sent_ahead_are_answered_in_order() {
+fn pipelined_requests_are_answered_in_order() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |seen, _| {
             let wait = if seen.id == "a1" { 60 } else { 1 };
@@ -138,10 +146,10 @@
         })
         .await;
         let platform = Platform::start(&[&worker]).await;
-        let ahead = completion("a1", "", "{}")
+        let pipelined = completion("a1", "", "{}")
             + &completion("a2", "", "{}")
             + &completion("a3", "Connection: close\r\n", "{}");
-        let answer = raw(platform.clients, ahead.as_bytes()).await;
+        let answer = raw(platform.clients, pipelined.as_bytes()).await;
         let at = |id: &str| answer.find(&id.repeat(2)).unwrap_or_else(|| panic!("{id}: {answer}"));
         assert!(at("a1") < at("a2") && at("a2") < at("a3"));
         assert_eq!(answer.matches("\r\n0\r\n\r\n").count(), 3);
@@ -149,7 +157,7 @@
 }
 
 #[test]
-fn a_body_of_sixty_megabytes_ends_early_whatever_its_client_does() {
+fn an_oversized_body_is_cut_off_although_its_client_keeps_sending() {
     run_local(async {
         let worker = worker().await;
         let platform = Platform::start(&[&worker]).await;
@@ -159,13 +167,13 @@
         client.write_all(head.as_bytes()).await.unwrap();
         let part = vec![b'a'; 65536];
         let pushed = timeout(ms(2900), async { while client.write_all(&part).await.is_ok() {} });
-        pushed.await.expect("the connection closes although its client goes on");
+        pushed.await.expect("the connection closes although its client keeps sending");
         assert!(body(&platform.complete("c1").await).1);
     });
 }
 
 #[test]
-fn descriptors_that_run_short_are_taken_back_from_who_says_nothing() {
+fn silent_connections_are_evicted_when_descriptors_run_short() {
     run_local(async {
         let worker = worker().await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["sockets"] = 64.into()).await;
@@ -185,11 +193,11 @@
 }
 
 #[test]
-fn bytes_of_open_bodies_are_bounded_together() {
+fn the_total_size_of_open_bodies_is_limited() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["memory_mb"] = 2.into()).await;
-        // A fifth of 2 MB is less than two of the largest bodies, and two always fit.
+        // A fifth of 2 MB is less than two bodies of the largest size, but two always fit.
         let large = format!("{{\"a\":\"{}\"}}", "x".repeat(250_000));
         let mut open = Vec::new();
         for id in ["a1", "a2"] {
--- a/crates/gateway/tests/common/mod.rs
+++ b/crates/gateway/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A router of the platform with scripted workers and a scripted discovery on free local ports, in this process.
-#![allow(dead_code)] // Each test file uses its part.
+//! Runs a platform router in this process, with scripted workers and a scripted discovery on free local
+//! ports.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -19,8 +20,8 @@
 /// Runs a test's body on one thread with local tasks; a test that hangs fails after a minute.
 pub fn run_local(work: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { timeout(Duration::from_secs(60), work).await.expect("it hangs") };
-    tokio::task::LocalSet::new().block_on(&runtime, bounded);
+    let limited = async { timeout(Duration::from_secs(60), work).await.expect("the test timed out") };
+    tokio::task::LocalSet::new().block_on(&runtime, limited);
 }
 
 pub async fn wait_while(holds: impl Fn() -> bool) {
@@ -46,34 +47,36 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A whole good answer.
+/// A complete, valid streamed answer.
 pub fn full_answer() -> String {
     format!("{HEAD}{}{}0\r\n\r\n", chunk(FIRST), chunk(LAST))
 }
 
+/// A response with a plain body.
 pub fn plain(status: &str, fields: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Something that a stand-in does without a turn of the router in between.
+/// Something that a scripted worker does without letting the router run in between.
 pub type Action = Rc<dyn Fn()>;
 
-/// What a worker does about one request.
+/// One step of a worker's response to a request.
 #[derive(Clone)]
 pub enum Step {
     Send(String),
     Bytes(Vec<u8>),
+    /// Waits for this time, in ms.
     Wait(u64),
-    /// Does this at once, before the router runs again.
+    /// Runs this at once, before the router runs again.
     Run(Action),
-    /// Sends this again and again until nobody takes it.
+    /// Sends this repeatedly until the other side closes.
     Flood(Vec<u8>),
     Close,
-    /// Says nothing more and waits for the other side to close.
+    /// Sends nothing more and waits for the other side to close.
     Hang,
 }
 
-/// One request as a worker saw it.
+/// One request as a worker received it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RecordedRequest {
     pub connection: usize,
@@ -85,6 +88,7 @@
     pub body: Vec<u8>,
 }
 
+/// The steps for a request, given it and the number of completion requests before it.
 type Script = Rc<dyn Fn(&RecordedRequest, usize) -> Vec<Step>>;
 
 pub struct Worker {
@@ -93,13 +97,13 @@
     pub address: SocketAddr,
     pub seen: Rc<RefCell<Vec<RecordedRequest>>>,
     pub connections: Rc<Cell<usize>>,
-    /// Connections that the router closed.
+    /// Number of connections that the router closed.
     pub closed: Rc<Cell<usize>>,
-    /// Takes calls on what is held and says nothing.
+    /// Whether it accepts calls about held states without answering them.
     pub ignores_calls: Cell<bool>,
-    /// What it does the moment a connection comes.
+    /// Runs when a connection is accepted.
     pub on_connect: RefCell<Option<Action>>,
-    /// What it does when it is asked for its load, before or after it answers.
+    /// Runs on a load probe, before the answer if true, else after it.
     pub on_probe: RefCell<Option<(bool, Action)>>,
     script: Rc<RefCell<Script>>,
 }
@@ -160,8 +164,8 @@
         tokio::task::spawn_local(async move {
             loop {
                 let (stream, _) = listener.accept().await.unwrap();
-                let act = shared.on_connect.borrow().clone();
-                act.into_iter().for_each(|act| act());
+                let action = shared.on_connect.borrow().clone();
+                action.into_iter().for_each(|action| action());
                 let number = shared.connections.get();
                 shared.connections.set(number + 1);
                 tokio::task::spawn_local(shared.clone().serve(stream, number));
@@ -170,28 +174,28 @@
         worker
     }
 
-    /// Answers differently from now on.
+    /// Replaces the script for all further requests.
     pub fn set_script(&self, script: impl Fn(&RecordedRequest, usize) -> Vec<Step> + 'static) {
         *self.script.borrow_mut() = Rc::new(script);
     }
 
-    /// Requests for completions that it saw.
+    /// The completion requests that it received.
     pub fn completion_requests(&self) -> Vec<RecordedRequest> {
         self.seen.borrow().iter().filter(|seen| seen.target.starts_with("/v1/")).cloned().collect()
     }
 
-    /// The calls of this kind that it saw.
+    /// The targets of the requests with this method that it received.
     pub fn calls(&self, method: &str) -> Vec<String> {
         let seen = self.seen.borrow();
         seen.iter().filter(|seen| seen.method == method).map(|seen| seen.target.clone()).collect()
     }
 
-    fn probed(&self) -> Vec<Step> {
-        let said = Step::Send(plain("200 OK", "", "TEXT inflight=1, queue=0, util=0.1"));
+    fn probe_steps(&self) -> Vec<Step> {
+        let response = Step::Send(plain("200 OK", "", "TEXT inflight=1, queue=0, util=0.1"));
         match self.on_probe.borrow().clone() {
-            None => vec![said],
-            Some((true, act)) => vec![Step::Run(act), said],
-            Some((false, act)) => vec![said, Step::Run(act)],
+            None => vec![response],
+            Some((true, action)) => vec![Step::Run(action), response],
+            Some((false, action)) => vec![response, Step::Run(action)],
         }
     }
 
@@ -200,27 +204,27 @@
         while let Some(seen) = request(&mut stream, &mut bytes, number).await {
             let steps = if seen.target.starts_with("/v1/") {
                 let script = self.script.borrow().clone();
-                let asked = self.completion_requests().len();
+                let earlier = self.completion_requests().len();
                 self.seen.borrow_mut().push(seen.clone());
-                script(&seen, asked)
+                script(&seen, earlier)
             } else {
                 self.seen.borrow_mut().push(seen.clone());
                 match seen.method.as_str() {
-                    "GET" => self.probed(),
+                    "GET" => self.probe_steps(),
                     _ if self.ignores_calls.get() => vec![Step::Hang],
                     _ => vec![Step::Send(plain("204 No Content", "", ""))],
                 }
             };
             for step in steps {
-                let said = match step {
+                let sent = match step {
                     Step::Send(text) => stream.write_all(text.as_bytes()).await,
                     Step::Bytes(bytes) => stream.write_all(&bytes).await,
                     Step::Wait(wait) => {
                         sleep(ms(wait)).await;
                         Ok(())
                     }
-                    Step::Run(act) => {
-                        act();
+                    Step::Run(action) => {
+                        action();
                         Ok(())
                     }
                     Step::Flood(bytes) => loop {
@@ -235,7 +239,7 @@
                         Err(std::io::ErrorKind::ConnectionReset.into())
                     }
                 };
-                if said.is_err() {
+                if sent.is_err() {
                     self.closed.set(self.closed.get() + 1);
                     return;
                 }
@@ -245,31 +249,33 @@
     }
 }
 
-/// A discovery that says what it is told to say.
+/// A scripted discovery service.
 pub struct Discovery {
     pub address: SocketAddr,
-    /// Answers to calls; the last is said again and again. A watch waits until it differs from what was said.
+    /// The answer to each call: a list as JSON, or raw bytes after the prefix `raw:`. A watch waits for a new
+    /// revision.
     pub answer: Rc<RefCell<String>>,
-    /// Rises with each change of `says`.
+    /// Incremented with each published answer.
     pub revision: Rc<Cell<u64>>,
     pub calls: Rc<RefCell<Vec<String>>>,
+    /// Whether calls are left unanswered.
     pub silent: Rc<Cell<bool>>,
-    /// How long each answer takes beyond its wait, in ms.
+    /// Additional delay of each answer, in ms.
     pub slow_ms: Rc<Cell<u64>>,
 }
 
 impl Discovery {
-    pub async fn start(says: String) -> Discovery {
+    pub async fn start(answer: String) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
-            answer: Rc::new(RefCell::new(says)),
+            answer: Rc::new(RefCell::new(answer)),
             revision: Rc::new(Cell::new(1)),
             calls: Rc::default(),
             silent: Rc::default(),
             slow_ms: Rc::default(),
         };
-        let (says, turn, calls, silent, slow_ms) = (
+        let (answer, revision, calls, silent, slow_ms) = (
             discovery.answer.clone(),
             discovery.revision.clone(),
             discovery.calls.clone(),
@@ -279,23 +285,26 @@
         tokio::task::spawn_local(async move {
             loop {
                 let (mut stream, _) = listener.accept().await.unwrap();
-                let (says, turn, calls, silent) = (says.clone(), turn.clone(), calls.clone(), silent.clone());
+                let (answer, revision, calls, silent) =
+                    (answer.clone(), revision.clone(), calls.clone(), silent.clone());
                 let slow_ms = slow_ms.clone();
                 tokio::task::spawn_local(async move {
-                    let (mut bytes, mut told) = (Vec::new(), 0);
+                    let (mut bytes, mut sent_revision) = (Vec::new(), 0);
                     while let Some(seen) = request(&mut stream, &mut bytes, 0).await {
                         calls.borrow_mut().push(seen.target.clone());
-                        while silent.get() || seen.target.contains("hold_ms") && told == turn.get() {
+                        while silent.get()
+                            || seen.target.contains("hold_ms") && sent_revision == revision.get()
+                        {
                             sleep(ms(2)).await;
                         }
                         sleep(ms(slow_ms.get())).await;
-                        told = turn.get();
-                        let says = says.borrow().clone();
-                        let answer = match says.strip_prefix("raw:") {
+                        sent_revision = revision.get();
+                        let body = answer.borrow().clone();
+                        let response = match body.strip_prefix("raw:") {
                             Some(raw) => raw.to_owned(),
-                            None => plain("200 OK", "", &says),
+                            None => plain("200 OK", "", &body),
                         };
-                        if stream.write_all(answer.as_bytes()).await.is_err() {
+                        if stream.write_all(response.as_bytes()).await.is_err() {
                             return;
                         }
                     }
@@ -305,15 +314,15 @@
         discovery
     }
 
-    pub fn publish(&self, says: String) {
-        *self.answer.borrow_mut() = says;
+    pub fn publish(&self, answer: String) {
+        *self.answer.borrow_mut() = answer;
         self.revision.set(self.revision.get() + 1);
     }
 }
 
 pub fn host(worker: &Worker, health: &str) -> Value {
-    json!({ "host": worker.name, "dial": worker.address.to_string(), "site": "a", "class": worker.kind, "block": 0,
-            "health": health, "share": 1.0, "born_ms": 0 })
+    json!({ "host": worker.name, "dial": worker.address.to_string(), "site": "a", "class": worker.kind,
+            "block": 0, "health": health, "share": 1.0, "born_ms": 0 })
 }
 
 pub fn list(seq: u64, workers: &[&Worker]) -> Value {
@@ -370,11 +379,12 @@
         let dir = tempfile::tempdir().unwrap();
         let file = dir.path().join("config.json");
         std::fs::write(&file, config.to_string()).unwrap();
-        let (signals, taken) = mpsc::channel(4);
+        let (signals, signal_receiver) = mpsc::channel(4);
         let (sender, ready) = tokio::sync::oneshot::channel();
         let path = file.clone();
         let router = tokio::task::spawn_local(async move {
-            paddleproxy_gateway::serve(&path, taken, move |at| sender.send(at).unwrap()).await
+            paddleproxy_gateway::serve(&path, signal_receiver, move |address| sender.send(address).unwrap())
+                .await
         });
         let clients = ready.await.unwrap();
         let platform = Platform { clients, discovery, signals, router, file, config, _dir: dir };
@@ -384,31 +394,33 @@
         platform
     }
 
-    /// Asks until the answer says so.
-    pub async fn wait_for_answer(&self, request: &str, said: &str) {
+    /// Sends the request repeatedly until the answer contains this text.
+    pub async fn wait_for_answer(&self, request: &str, expected: &str) {
         loop {
             let answer = raw(self.clients, request.as_bytes()).await;
-            if answer.contains(said) {
+            if answer.contains(expected) {
                 return;
             }
             sleep(ms(5)).await;
         }
     }
 
+    /// Sends a completion request with this id and returns the answer.
     pub async fn complete(&self, id: &str) -> String {
         raw(self.clients, completion(id, "Connection: close\r\n", "{}").as_bytes()).await
     }
 }
 
-/// A request of a usual client.
+/// A valid completion request.
 pub fn completion(id: &str, fields: &str, body: &str) -> String {
     prompt(id, 100, fields, body)
 }
 
+/// A valid completion request with a prompt of this many tokens.
 pub fn prompt(id: &str, tokens: usize, fields: &str, body: &str) -> String {
     format!(
-        "POST /v1/chat/completions?trace=1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: chat\r\n\
-         Req-Owner: acme\r\nReq-Key: 7f3a9c21e0b4d655\r\nReq-Deadline: 8.000\r\n\
+        "POST /v1/chat/completions?trace=1 HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\n\
+         Req-Kind: chat\r\nReq-Owner: acme\r\nReq-Key: 7f3a9c21e0b4d655\r\nReq-Deadline: 8.000\r\n\
          Req-Extra: prompt_len={tokens},max_out=8\r\n{fields}Content-Length: {}\r\n\r\n{body}",
         body.len()
     )
@@ -417,14 +429,14 @@
 /// Sends bytes as they are and reads to the end of the connection.
 pub async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // A peer that has answered may close before it has read all.
+    // A peer that has answered may close before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// The data of the chunks of an answer, and whether the last chunk came.
+/// The data of the chunks of an answer, and whether the last chunk arrived.
 pub fn body(answer: &str) -> (String, bool) {
     let mut rest = answer.split_once("\r\n\r\n").map_or("", |(_, body)| body);
     let mut data = String::new();
--- a/crates/gateway/tests/final_answers.rs
+++ b/crates/gateway/tests/final_answers.rs
@@ -1,5 +1,5 @@
-//! Trouble at servers or with other clients frees no request of its one final answer, and one that is given up on gets it
-//! at once.
+//! Every request gets exactly one final answer, whatever fails at servers or with other clients, and an
+//! abandoned request gets it at once.
 
 mod common;
 
@@ -8,23 +8,24 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Requests of clients that wait so long, in ms, and the answers that they get.
-async fn asked(platform: &Platform, count: usize, tokens: usize, wait_ms: u64) -> Vec<(String, u64)> {
-    let ask = |number: usize| {
+/// Sends requests with this client timeout at the same time, and returns the answers and how long each took,
+/// in ms.
+async fn answers_to(platform: &Platform, count: usize, tokens: usize, timeout_ms: u64) -> Vec<(String, u64)> {
+    let send = |number: usize| {
         let clients = platform.clients;
         async move {
             let began = Instant::now();
             let mut client = TcpStream::connect(clients).await.unwrap();
             let request = prompt(&format!("r{number}"), tokens, "Connection: close\r\n", "{}")
-                .replace("Req-Deadline: 8.000", &format!("Req-Deadline: {:.3}", wait_ms as f64 / 1e3))
+                .replace("Req-Deadline: 8.000", &format!("Req-Deadline: {:.3}", timeout_ms as f64 / 1e3))
                 .replace("7f3a9c21e0b4d655", &format!("{number:x}f"));
             client.write_all(request.as_bytes()).await.unwrap();
             let mut answer = Vec::new();
-            client.read_to_end(&mut answer).await.expect("an answer, no reset");
+            client.read_to_end(&mut answer).await.expect("an answer without a reset");
             (String::from_utf8(answer).unwrap(), began.elapsed().as_millis() as u64)
         }
     };
-    let tasks: Vec<_> = (0..count).map(|number| tokio::task::spawn_local(ask(number))).collect();
+    let tasks: Vec<_> = (0..count).map(|number| tokio::task::spawn_local(send(number))).collect();
     let mut answers = Vec::new();
     for task in tasks {
         answers.push(task.await.unwrap());
@@ -32,14 +33,14 @@
     answers
 }
 
-fn one_answer(answer: &str) -> bool {
+fn is_one_final_answer(answer: &str) -> bool {
     answer.matches("HTTP/1.1 ").count() == 1
         && ["HTTP/1.1 429 ", "HTTP/1.1 502 ", "HTTP/1.1 503 "].iter().any(|status| answer.starts_with(status))
 }
 
-/// The servers of one role say nothing, for reads or for answers.
+/// The servers of one role hang: the readers, or those that write answers.
 #[test]
-fn with_all_servers_of_a_role_hung_each_request_gets_its_answer() {
+fn each_request_is_answered_while_all_servers_of_a_role_hang() {
     for hung in ["prefill", "combined"] {
         run_local(async {
             let script = move |kind: &'static str| {
@@ -51,17 +52,17 @@
             let reader = Worker::start("r-1", "prefill", script("prefill")).await;
             let home = Worker::start("w-1", "combined", script("combined")).await;
             let platform = Platform::start(&[&reader, &home]).await;
-            for (answer, took_ms) in asked(&platform, 12, 9000, 1500).await {
-                assert!(one_answer(&answer), "{hung}: {answer}");
+            for (answer, took_ms) in answers_to(&platform, 12, 9000, 1500).await {
+                assert!(is_one_final_answer(&answer), "{hung}: {answer}");
                 assert!(took_ms < 20_000, "{hung}: {took_ms} ms");
             }
         });
     }
 }
 
-/// Hundreds of clients say nothing, others send what can't be read, and no server answers.
+/// Hundreds of clients send nothing or invalid data, and no server answers.
 #[test]
-fn beside_clients_that_flood_it_a_router_answers_the_usual_ones() {
+fn valid_requests_are_answered_beside_a_flood_of_useless_connections() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform = Platform::with(&[&worker], |config| config["limits"]["sockets"] = 96.into()).await;
@@ -74,10 +75,10 @@
             }
             others.push(stream);
         }
-        for (answer, _) in asked(&platform, 12, 100, 1500).await {
-            assert!(one_answer(&answer), "{answer}");
+        for (answer, _) in answers_to(&platform, 12, 100, 1500).await {
+            assert!(is_one_final_answer(&answer), "{answer}");
         }
-        // Discovery gets its connection although idle clients hold all that they may.
+        // Discovery gets its connection although idle clients hold all descriptors that clients may use.
         platform.discovery.silent.set(false);
         let calls = platform.discovery.calls.borrow().len();
         wait_while(|| platform.discovery.calls.borrow().len() == calls).await;
@@ -85,17 +86,17 @@
     });
 }
 
-/// Nothing can take the request: its answer does not wait for the deadline.
+/// No server can accept the request, so its answer must not wait for the deadline.
 #[test]
-fn what_is_given_up_on_is_answered_at_once() {
+fn an_abandoned_request_is_answered_at_once() {
     run_local(async {
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
         let worker = Worker::start("w-1", "combined", move |_, _| vec![Step::Send(full.clone())]).await;
         let platform = Platform::start(&[&worker]).await;
-        let wait_ms = 8000;
-        for (answer, took_ms) in asked(&platform, 3, 100, wait_ms).await {
+        let timeout_ms = 8000;
+        for (answer, took_ms) in answers_to(&platform, 3, 100, timeout_ms).await {
             assert!(answer.starts_with("HTTP/1.1 429 ") && answer.contains("Retry-After: "), "{answer}");
-            assert!(took_ms < wait_ms / 2, "{took_ms} ms");
+            assert!(took_ms < timeout_ms / 2, "{took_ms} ms");
         }
     });
 }
--- a/crates/gateway/tests/large_fleet.rs
+++ b/crates/gateway/tests/large_fleet.rs
@@ -1,19 +1,21 @@
-//! The largest fleet that a router has to take: 1,024 workers in a list as long as it may be, beside 1,023 routers.
+//! The largest fleet that a router must support: 1,024 workers in a list of the largest size, and 1,023 other
+//! routers.
 
 mod common;
 
 use common::*;
 use serde_json::{json, Value};
 
-const MOST: usize = 1024;
+const MAX_FLEET: usize = 1024;
 
-/// Names as long as an id may be, each character escaped, every line indented.
-fn whole(worker: &Worker) -> Value {
+/// A list of 1,024 workers whose names are as long as an id may be.
+fn largest_list(worker: &Worker) -> Value {
     let long = |kind: &str, number: usize| format!("{kind}-{number:04}-{}", "é".repeat(57));
-    let hosts: Vec<_> = (0..MOST)
+    let hosts: Vec<_> = (0..MAX_FLEET)
         .map(|number| {
-            json!({ "host": long("s", number), "dial": worker.address.to_string(), "site": long("z", number % 30),
-                    "class": long("combined", 2), "block": number / 4, "health": "ready", "share": 1.0,
+            json!({ "host": long("s", number), "dial": worker.address.to_string(),
+                    "site": long("z", number % 30), "class": long("combined", 2),
+                    "block": number / 4, "health": "ready", "share": 1.0,
                     "born_ms": 1_700_000_000_000u64 })
         })
         .collect();
@@ -22,15 +24,15 @@
 
 fn indented(list: &Value) -> String {
     let text = serde_json::to_string_pretty(list).unwrap();
-    // As a writer of plain ASCII has it.
+    // As an ASCII-only JSON writer formats it: each character escaped, every line indented.
     text.replace('é', "\\u00e9").replace("\n  ", "\n            ")
 }
 
 #[test]
-fn a_thousand_workers_and_routers_are_taken_and_served() {
+fn a_fleet_of_a_thousand_workers_and_routers_is_supported() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Send(full_answer())]).await;
-        let list = whole(&worker);
+        let list = largest_list(&worker);
         let text = indented(&list);
         assert!(text.len() > 1024 * 1024, "{}", text.len());
         let platform = Platform::with(&[], |config| {
@@ -38,12 +40,12 @@
             config["settings"]["my_zone"] = zones[3].clone();
             config["settings"]["localities"] = zones.into();
             config["settings"]["machine_types"][2] = list["hosts"][0]["class"].clone();
-            config["settings"]["balancers"] = MOST.into();
-            config["settings"]["slot_no"] = (MOST - 1).into();
+            config["settings"]["balancers"] = MAX_FLEET.into();
+            config["settings"]["slot_no"] = (MAX_FLEET - 1).into();
             config["limits"]["memory_mb"] = 32.into();
         })
         .await;
-        assert!(platform.complete("a0").await.starts_with("HTTP/1.1 429 "), "nobody is listed yet");
+        assert!(platform.complete("a0").await.starts_with("HTTP/1.1 429 "), "no worker is listed yet");
         platform.discovery.publish(text);
         platform
             .wait_for_answer(
@@ -53,11 +55,11 @@
                 "[DONE]",
             )
             .await;
-        // A list beyond the bound changes nothing.
+        // A list beyond the size limit is ignored.
         let long = json!({ "seq": 2, "whole": true, "hosts": [], "pad": "x".repeat(5 << 20) });
         let calls = platform.discovery.calls.borrow().len();
         platform.discovery.publish(long.to_string());
         wait_while(|| platform.discovery.calls.borrow().len() < calls + 2).await;
-        assert!(body(&platform.complete("a2").await).1, "the last good list stays");
+        assert!(body(&platform.complete("a2").await).1, "the last valid list is kept");
     });
 }
--- a/crates/gateway/tests/streams.rs
+++ b/crates/gateway/tests/streams.rs
@@ -1,5 +1,5 @@
-//! Events are passed on as they come. The stand-in sends the next event only once the client has the one before: a router
-//! that held an event back, or lumped two together, would wait for ever.
+//! Events are forwarded as they arrive. The scripted server sends an event only once the client has the one
+//! before: a router that delayed an event or merged two would wait for ever.
 
 mod common;
 
@@ -16,9 +16,9 @@
 
 const EVENTS: usize = 12;
 
-/// A server whose stream goes on by one event for each word that it is given; what it was asked first is answered so, all
-/// else at once.
-async fn lock_step(mut next: mpsc::Receiver<()>) -> std::net::SocketAddr {
+/// A server that accepts one connection and answers its first request with a stream that continues by one
+/// event for each message on the channel.
+async fn lock_step_server(mut next: mpsc::Receiver<()>) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::task::spawn_local(async move {
@@ -37,19 +37,19 @@
             }
         }
         stream.write_all(format!("{}0\r\n\r\n", chunk(LAST)).as_bytes()).await.unwrap();
-        // Stays until the router closes.
+        // Keeps the connection open until the router closes it.
         let _ = stream.read(&mut [0; 16]).await;
     });
     address
 }
 
-/// Takes event after event and lets the server go on after each, doing something else in between.
-async fn taken_one_by_one(platform: &Platform, go: mpsc::Sender<()>, mut meanwhile: impl FnMut(usize)) {
+/// Receives event after event, runs `meanwhile` after each, and then lets the server continue.
+async fn receive_in_lock_step(platform: &Platform, go: mpsc::Sender<()>, mut meanwhile: impl FnMut(usize)) {
     let mut client = TcpStream::connect(platform.clients).await.unwrap();
     client.write_all(completion("a1", "Connection: close\r\n", "{}").as_bytes()).await.unwrap();
     let mut text = String::new();
     for event in 1..=EVENTS {
-        let came = async {
+        let received = async {
             while text.matches(FIRST).count() < event {
                 let mut part = [0; 4096];
                 let read = client.read(&mut part).await.unwrap();
@@ -57,7 +57,9 @@
                 text += std::str::from_utf8(&part[..read]).unwrap();
             }
         };
-        timeout(Duration::from_secs(20), came).await.unwrap_or_else(|_| panic!("event {event} is held back"));
+        timeout(Duration::from_secs(20), received)
+            .await
+            .unwrap_or_else(|_| panic!("event {event} is delayed"));
         meanwhile(event);
         go.send(()).await.unwrap();
     }
@@ -71,11 +73,11 @@
              "health": "ready" }])
 }
 
-async fn platform_of(address: std::net::SocketAddr) -> Platform {
+async fn start_platform(address: std::net::SocketAddr) -> Platform {
     let hosts = json!({ "seq": 2, "whole": true, "hosts": hosts(address) });
     let platform = Platform::with(&[], |config| {
         config["known"] = hosts.clone();
-        // Nothing is given up on while a test does something else.
+        // No attempt may time out while a test does something else between two events.
         config["settings"]["services"][0]["slo_s"] = 9.0.into();
     })
     .await;
@@ -85,28 +87,28 @@
 }
 
 #[test]
-fn each_event_is_passed_on_before_the_next_one_comes() {
+fn each_event_is_forwarded_before_the_next_one_arrives() {
     run_local(async {
         let (go, next) = mpsc::channel(1);
-        let platform = platform_of(lock_step(next).await).await;
-        taken_one_by_one(&platform, go, |_| {}).await;
+        let platform = start_platform(lock_step_server(next).await).await;
+        receive_in_lock_step(&platform, go, |_| {}).await;
     });
 }
 
-/// Between two events discovery tells a list of 1,024 servers, again and again.
+/// Discovery publishes a list of 1,024 servers between any two events.
 #[test]
-fn large_lists_hold_no_event_back() {
+fn large_lists_delay_no_event() {
     run_local(async {
         let (go, next) = mpsc::channel(1);
-        let address = lock_step(next).await;
-        let platform = platform_of(address).await;
+        let address = lock_step_server(next).await;
+        let platform = start_platform(address).await;
         let mut all = hosts(address);
         for number in 0..1023 {
             let host = json!({ "host": format!("other-{number}"), "dial": "127.0.0.1:9", "site": "a",
                                "class": "prefill", "block": number / 8, "health": "draining" });
             all.as_array_mut().unwrap().push(host);
         }
-        taken_one_by_one(&platform, go, |event| {
+        receive_in_lock_step(&platform, go, |event| {
             let list = json!({ "seq": 2 + event, "whole": true, "hosts": all.clone() });
             platform.discovery.publish(serde_json::to_string_pretty(&list).unwrap());
         })
@@ -114,44 +116,44 @@
     });
 }
 
-/// Another client sends a body of the largest size in pieces, a third takes nothing of a stream that does not end.
+/// A second client sends a body of the largest size in parts, and a third does not read its endless stream.
 #[test]
-fn a_large_body_and_a_client_that_reads_nothing_hold_no_event_back() {
+fn a_large_body_and_a_client_that_does_not_read_delay_no_event() {
     run_local(async {
         let (go, next) = mpsc::channel(1);
-        let address = lock_step(next).await;
-        let floods = Worker::start("w-2", "combined", |_, _| {
+        let address = lock_step_server(next).await;
+        let endless = Worker::start("w-2", "combined", |_, _| {
             vec![Step::Send(HEAD.into()), Step::Flood(chunk(FIRST).repeat(50).into_bytes())]
         })
         .await;
-        let platform = platform_of(address).await;
-        let taken = Rc::new(Cell::new(false));
-        let (mut reads_nothing, mut sends_much) = (None, None);
-        let (clients, flag) = (platform.clients, taken.clone());
+        let platform = start_platform(address).await;
+        let connected = Rc::new(Cell::new(false));
+        let (mut non_reading_client, mut sending_client) = (None, None);
+        let (clients, connected_flag) = (platform.clients, connected.clone());
         let whole = format!("{{\"a\":\"{}\"}}", "x".repeat(250_000));
         let body = completion("b1", "", &whole);
-        taken_one_by_one(&platform, go, |event| {
+        receive_in_lock_step(&platform, go, |event| {
             use std::io::Write;
             if event == 1 {
-                // From here on whoever comes is sent to the server that does not end.
-                let list = json!({ "seq": 3, "whole": false, "hosts": [host(&floods, "ready"),
-                    { "host": "w-1", "dial": address.to_string(), "site": "a", "class": "combined", "block": 0,
-                      "health": "draining" }] });
+                // From here on new requests go to the server with the endless stream.
+                let list = json!({ "seq": 3, "whole": false, "hosts": [host(&endless, "ready"),
+                    { "host": "w-1", "dial": address.to_string(), "site": "a", "class": "combined",
+                      "block": 0, "health": "draining" }] });
                 platform.discovery.publish(list.to_string());
             }
             if event == 3 {
                 let mut client = std::net::TcpStream::connect(clients).unwrap();
                 client.write_all(completion("c1", "", "{}").as_bytes()).unwrap();
-                reads_nothing = Some(client);
-                sends_much = Some(std::net::TcpStream::connect(clients).unwrap());
-                flag.set(true);
+                non_reading_client = Some(client);
+                sending_client = Some(std::net::TcpStream::connect(clients).unwrap());
+                connected_flag.set(true);
             }
-            if let Some(client) = &mut sends_much {
+            if let Some(client) = &mut sending_client {
                 let part = body.len() / EVENTS;
                 client.write_all(&body.as_bytes()[part * (event - 1)..part * event]).unwrap();
             }
         })
         .await;
-        assert!(taken.get() && reads_nothing.is_some());
+        assert!(connected.get() && non_reading_client.is_some());
     });
 }
