--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -22,13 +22,13 @@
     pub sending: Sending,
     pub address: Option<SocketAddr>,
     pub request: Rc<ClientRequest>,
-    pub fleet: Rc<RefCell<ServerDirectory>>,
-    pub words: mpsc::Receiver<AttemptCommand>,
+    pub directory: Rc<RefCell<ServerDirectory>>,
+    pub commands: mpsc::Receiver<AttemptCommand>,
     pub pool: Rc<Pool>,
     pub clock: Clock,
     pub core: CoreSender,
     /// What it has learnt so far.
-    pub kept_tokens: f64,
+    pub cached_tokens: f64,
     pub load: Option<LoadReport>,
 }
 
@@ -44,13 +44,13 @@
             Err(end) => (end, None),
         };
         let took_ms = sent.elapsed().as_secs_f64() * 1e3;
-        let end = AttemptEnd { end, kept_tokens: self.kept_tokens, load: self.load };
+        let end = AttemptEnd { end, cached_tokens: self.cached_tokens, load: self.load };
         // The core outlives its attempts; if it does not, nobody is left to be told.
         let _ = self.core.send(CoreEvent::Ended { completion, seq, took_ms, end }).await;
         if let Some((mut connection, framing)) = rest {
             let read = timeout(duration(DRAIN_MS), connection.body(framing)).await;
             if matches!(read, Ok(Ok(_))) {
-                self.pool.keep(connection);
+                self.pool.put_back(connection);
             }
         }
     }
@@ -63,7 +63,7 @@
         let check = self.write_check(address);
         let exchange = async move {
             let written = async {
-                let mut connection = pool.take(address).await?;
+                let mut connection = pool.acquire(address).await?;
                 loop {
                     // Lets the sockets be looked at: the client's end, or a list, may have come meanwhile.
                     tokio::task::yield_now().await;
@@ -72,7 +72,7 @@
                         return Ok(connection);
                     }
                     // No worker begins a request that has not come whole.
-                    if connection.rested_ms.is_none() {
+                    if connection.idle_before_ms.is_none() {
                         return Err(SocketEnd::NeverWritten);
                     }
                     connection = pool.connect(address).await?;
@@ -90,7 +90,7 @@
         };
         let (connection, head) = tokio::select! {
             biased;
-            _ = self.words.recv() => return Err(SocketEnd::Stopped),
+            _ = self.commands.recv() => return Err(SocketEnd::Stopped),
             answered = exchange => answered?,
             () = sleep_until(until) => return Err(SocketEnd::TimedOut),
         };
@@ -108,14 +108,14 @@
 
     /// What has to hold at the write itself.
     fn write_check(&self, address: SocketAddr) -> impl Fn() -> WriteCheck {
-        let (fleet, clock, client) = (self.fleet.clone(), self.clock, self.request.client.clone());
+        let (directory, clock, client) = (self.directory.clone(), self.clock, self.request.client.clone());
         let Sending { until_ms, repeat_by_ms, .. } = self.sending;
         let worker = self.sending.worker.clone();
         move || WriteCheck {
             now_ms: clock.now_ms(),
             until_ms,
             repeat_by_ms,
-            server_ready: fleet.borrow().is_ready(&worker, address),
+            server_ready: directory.borrow().is_ready(&worker, address),
             client_gone: client.is_gone(),
         }
     }
@@ -128,13 +128,13 @@
     ) -> Result<(SocketEnd, Rest), SocketEnd> {
         let body = tokio::select! {
             biased;
-            _ = self.words.recv() => return Err(SocketEnd::Stopped),
+            _ = self.commands.recv() => return Err(SocketEnd::Stopped),
             body = connection.body(head.framing) => body?,
             () = sleep_until(until) => return Err(SocketEnd::TimedOut),
         };
-        self.kept_tokens = paddleproxy_platform::events::read_kept(&body).unwrap_or(0.0);
+        self.cached_tokens = paddleproxy_platform::events::read_kept(&body).unwrap_or(0.0);
         if head.stays() {
-            self.pool.keep(connection);
+            self.pool.put_back(connection);
         }
         Ok((SocketEnd::ReadDone, None))
     }
@@ -156,7 +156,7 @@
                 .take(&mut connection.bytes, events.buffer())
                 .map_err(|why| SocketEnd::Nonsense(why.to_string()))?;
             let whole = events.take().map_err(|why| SocketEnd::Nonsense(why.0.into()))?;
-            (self.kept_tokens, self.load) = (events.kept_tokens, events.load.or(self.load));
+            (self.cached_tokens, self.load) = (events.kept_tokens, events.load.or(self.load));
             if done && !events.complete() {
                 return Err(SocketEnd::Nonsense("the stream ends within an event".into()));
             }
@@ -169,7 +169,7 @@
                 // What the client takes its time for is not the worker's silence.
                 let sent = tokio::select! {
                     biased;
-                    _ = self.words.recv() => return Err(SocketEnd::Stopped),
+                    _ = self.commands.recv() => return Err(SocketEnd::Stopped),
                     sent = pieces.send(StreamPart::Events(whole)) => sent,
                 };
                 sent.map_err(|_| SocketEnd::Stopped)?;
@@ -183,14 +183,14 @@
                     let _ = pieces.send(StreamPart::End).await;
                 }
                 if head.stays() {
-                    self.pool.keep(connection);
+                    self.pool.put_back(connection);
                 }
                 return Ok((SocketEnd::AnswerDone, None));
             }
             let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.until_ms()));
             let read = tokio::select! {
                 biased;
-                _ = self.words.recv() => return Err(SocketEnd::Stopped),
+                _ = self.commands.recv() => return Err(SocketEnd::Stopped),
                 read = connection.read() => read,
                 () = sleep_until(limit) => {
                     // A router that stood still itself has only not looked: the runtime is to see what has come.
@@ -213,7 +213,7 @@
         let (completion, seq) = (self.sending.completion, self.sending.seq);
         let took_ms = sent.elapsed().as_secs_f64() * 1e3;
         let _ = self.core.send(CoreEvent::Began { completion, seq, took_ms }).await;
-        match self.words.recv().await {
+        match self.commands.recv().await {
             Some(AttemptCommand::Grant(pieces)) => Ok(pieces),
             Some(AttemptCommand::Stop) | None => Err(SocketEnd::Stopped),
         }
@@ -221,7 +221,7 @@
 }
 
 /// Where a granted stream goes, and where its client takes it from.
-pub fn pieces() -> (mpsc::Sender<StreamPart>, mpsc::Receiver<StreamPart>) {
+pub fn stream_channel() -> (mpsc::Sender<StreamPart>, mpsc::Receiver<StreamPart>) {
     mpsc::channel(PIECES)
 }
 
--- a/crates/gateway/src/attempt/tests.rs
+++ b/crates/gateway/src/attempt/tests.rs
@@ -16,11 +16,11 @@
 
 struct Scene {
     listener: TcpListener,
-    fleet: Rc<RefCell<ServerDirectory>>,
+    directory: Rc<RefCell<ServerDirectory>>,
     client: Rc<ClientPresence>,
     clock: Clock,
     told: mpsc::Receiver<CoreEvent>,
-    _words: mpsc::Sender<AttemptCommand>,
+    _commands: mpsc::Sender<AttemptCommand>,
 }
 
 fn listed(address: SocketAddr, readiness: Readiness) -> List {
@@ -41,8 +41,8 @@
     async fn start(change: impl Fn(&mut Sending)) -> Scene {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let fleet = Rc::new(RefCell::new(ServerDirectory::new(None)));
-        fleet.borrow_mut().listed(listed(address, Readiness::Ready), ListKind::Whole);
+        let directory = Rc::new(RefCell::new(ServerDirectory::new(None)));
+        directory.borrow_mut().apply_list(listed(address, Readiness::Ready), ListKind::Whole);
         let (clock, client) = (Clock::start(), Rc::new(ClientPresence::default()));
         let request = ClientRequest {
             id: "a1".into(),
@@ -65,22 +65,22 @@
             repeat_by_ms: f64::INFINITY,
         };
         change(&mut sending);
-        let ((core, told), (sender, words)) = (mpsc::channel(8), mpsc::channel(2));
+        let ((core, told), (sender, commands)) = (mpsc::channel(8), mpsc::channel(2));
         let dispatch = Attempt {
             sending,
             address: Some(address),
             request: Rc::new(request),
-            fleet: fleet.clone(),
-            words,
+            directory: directory.clone(),
+            commands,
             pool: Rc::new(Pool::new(8, 5000.0, 30_000.0)),
             clock,
             core,
-            kept_tokens: 0.0,
+            cached_tokens: 0.0,
             load: None,
         };
         tokio::task::spawn_local(dispatch.run());
         tokio::task::yield_now().await;
-        Scene { listener, fleet, client, clock, told, _words: sender }
+        Scene { listener, directory, client, clock, told, _commands: sender }
     }
 
     async fn end(&mut self) -> SocketEnd {
@@ -146,7 +146,7 @@
             let mut scene = Scene::start(|_| {}).await;
             let here = scene.listener.local_addr().unwrap();
             let list = listed(if moves { elsewhere } else { here }, readiness);
-            scene.fleet.borrow_mut().listed(list, ListKind::Changes);
+            scene.directory.borrow_mut().apply_list(list, ListKind::Changes);
             assert_eq!(scene.end().await, SocketEnd::Withdrawn(Withdrawal::ServerNotReady), "{readiness:?}");
             assert_eq!(scene.received(), b"", "{readiness:?}");
         }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -314,7 +314,11 @@
         let idempotency_key = fields.idempotency_key;
         let request =
             ClientRequest { id, method, target, idempotency_key, body, client: client.clone(), _held: held };
-        if frontend.core.send(CoreEvent::Arrived { arrival, request: Rc::new(request), duty }).await.is_err()
+        if frontend
+            .core
+            .send(CoreEvent::Arrived { arrival, request: Rc::new(request), pending_answer: duty })
+            .await
+            .is_err()
         {
             return Ok(Err(STOPS));
         }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -9,11 +9,11 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-use crate::discovery::Starts;
+use crate::discovery::SharedStartTimes;
 
-fn read(path: &Path, starts: &Starts) -> Result<Config> {
+fn read(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
     let text = std::fs::read(path).with_context(|| format!("configuration {}", path.display()))?;
-    starts.read(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
+    starts.with_current(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
 }
 
 /// For how long a configuration that can't be read is read again, in ms: at a start, where nothing goes on without it, and
@@ -33,7 +33,7 @@
 /// As of the last try.
 async fn read_again(
     path: &Path,
-    starts: &Starts,
+    starts: &SharedStartTimes,
     within_ms: f64,
     may_pass: impl Fn(&anyhow::Error) -> bool,
 ) -> Result<Config> {
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// A configuration that can't be read or lacks something, or an address that can't be listened on.
-pub async fn listen(path: &Path, starts: &Starts) -> Result<(Config, TcpListener)> {
+pub async fn listen(path: &Path, starts: &SharedStartTimes) -> Result<(Config, TcpListener)> {
     let config = read_again(path, starts, START_READS_MS, may_pass).await?;
     let listen = config.listen;
     let listener = bind(listen).await.with_context(|| format!("listening on {listen}"))?;
@@ -61,6 +61,6 @@
 ///
 /// # Errors
 /// As of the last try.
-pub async fn reload(path: &Path, starts: &Starts) -> Result<Config> {
+pub async fn reload(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
     read_again(path, starts, RELOAD_READS_MS, |_| true).await
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -17,11 +17,11 @@
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-use crate::attempt::{pieces, Attempt};
+use crate::attempt::{stream_channel, Attempt};
 use crate::discovery::Refetch;
 use crate::messages::{AttemptCommand, AttemptEnd, ClientRequest, CoreEvent, CoreSender, Reply};
 use crate::pool::Pool;
-use crate::servers::{room, Releases, ServerDirectory};
+use crate::servers::{hold_path, Releases, ServerDirectory};
 
 pub struct Core {
     book: Book,
@@ -29,9 +29,9 @@
     pool: Rc<Pool>,
     owed: BTreeMap<CompletionId, Duty<Reply>>,
     requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
-    words: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
+    commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
     /// Where the listed workers are reached, and who answered of late.
-    fleet: Rc<RefCell<ServerDirectory>>,
+    directory: Rc<RefCell<ServerDirectory>>,
     outcomes: BTreeMap<&'static str, u64>,
     releases: Rc<Releases>,
     own: CoreSender,
@@ -48,16 +48,16 @@
         lists: mpsc::Sender<Refetch>,
     ) -> Self {
         let ledger = Ledger::new(provision.settings.clone(), provision.answer_slack_ms, seed);
-        let fleet = Rc::new(RefCell::new(ServerDirectory::new(provision.settings.zone)));
-        let releases = Rc::new(Releases::new(pool.clone(), fleet.clone(), clock, seed));
+        let directory = Rc::new(RefCell::new(ServerDirectory::new(provision.settings.zone)));
+        let releases = Rc::new(Releases::new(pool.clone(), directory.clone(), clock, seed));
         Core {
             book: Book::new(clock, ledger),
             provision,
             pool,
             owed: BTreeMap::new(),
             requests: BTreeMap::new(),
-            words: BTreeMap::new(),
-            fleet,
+            commands: BTreeMap::new(),
+            directory,
             outcomes: BTreeMap::new(),
             releases,
             own,
@@ -80,7 +80,7 @@
 
     fn take(&mut self, told: CoreEvent) {
         match told {
-            CoreEvent::Arrived { arrival, request, duty } => {
+            CoreEvent::Arrived { arrival, request, pending_answer } => {
                 debug!(
                     completion = arrival.completion.0,
                     id = %request.id,
@@ -91,14 +91,14 @@
                     prefix_tokens = arrival.prefix_tokens,
                     "arrived"
                 );
-                self.owed.insert(arrival.completion, duty);
+                self.owed.insert(arrival.completion, pending_answer);
                 self.requests.insert(arrival.completion, request);
                 self.handle(Input::Arrived { arrival, streamed: true });
             }
             CoreEvent::Began { completion, seq, took_ms } => {
                 debug!(completion = completion.0, seq = seq.0, took_ms, "began");
                 if let Some(worker) = self.book.worker(completion, seq) {
-                    self.fleet.borrow_mut().hearing.answered(worker, self.book.clock.now_ms());
+                    self.directory.borrow_mut().reachability.answered(worker, self.book.clock.now_ms());
                 }
                 self.handle(Input::Began { completion, seq, took_ms })
             }
@@ -110,7 +110,7 @@
                 self.handle(Input::Left { completion });
             }
             CoreEvent::Probed { worker, load, answered, took_ms } => {
-                self.fleet.borrow_mut().heard(&worker, answered, self.book.clock.now_ms());
+                self.directory.borrow_mut().record_call(&worker, answered, self.book.clock.now_ms());
                 self.reported(&worker, load);
                 self.handle(Input::Probed { worker, answered, took_ms });
             }
@@ -125,32 +125,32 @@
             }
             CoreEvent::Listed(list) => {
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
-                self.listed(list, kind);
+                self.apply_list(list, kind);
             }
             CoreEvent::Settings(provision) => {
                 self.provision = provision;
-                self.fleet.borrow_mut().hearing.moved(self.provision.settings.zone);
+                self.directory.borrow_mut().reachability.moved(self.provision.settings.zone);
                 let settings = Box::new(self.provision.settings.clone());
                 let answer_slack_ms = self.provision.answer_slack_ms;
                 self.handle(Input::Settings { settings, answer_slack_ms });
             }
             CoreEvent::LastAnswers => self.handle(Input::Stop { streams: false }),
-            CoreEvent::Tell(to) => {
+            CoreEvent::QueryStats(to) => {
                 let figures = format!(
                     "{:?}; owed {}, outcomes {:?}, releases {}, connections {} held and {} opened",
                     self.book.counts(),
                     self.owed.len(),
                     self.outcomes,
-                    self.releases.figures(),
-                    self.pool.held(),
+                    self.releases.stats(),
+                    self.pool.open_connections(),
                     self.pool.opened.get(),
                 );
-                let _ = to.send((self.book.open() + self.releases.out(), figures));
+                let _ = to.send((self.book.open() + self.releases.in_flight(), figures));
             }
         }
     }
 
-    pub fn listed(&mut self, list: List, kind: ListKind) {
+    pub fn apply_list(&mut self, list: List, kind: ListKind) {
         if list.unknown > 0 {
             warn!(
                 version = list.version,
@@ -159,7 +159,7 @@
             );
         }
         debug!(version = list.version, ?kind, rows = list.rows.len(), "list");
-        let rows = self.fleet.borrow_mut().listed(list, kind);
+        let rows = self.directory.borrow_mut().apply_list(list, kind);
         for row in rows.iter() {
             let Listing { worker, zone, kind, cell, readiness, .. } = row;
             debug!(worker = %worker.0, zone = zone.0, kind = kind.0, cell = cell.0, ?readiness, "listed");
@@ -168,8 +168,8 @@
     }
 
     fn ended(&mut self, completion: CompletionId, seq: Seq, took_ms: f64, end: AttemptEnd) {
-        let AttemptEnd { end, kept_tokens, load } = end;
-        self.words.remove(&(completion, seq));
+        let AttemptEnd { end, cached_tokens, load } = end;
+        self.commands.remove(&(completion, seq));
         let worker = self.book.worker(completion, seq).cloned();
         debug!(
             completion = completion.0,
@@ -177,18 +177,18 @@
             worker = worker.as_ref().map_or("", |worker| &worker.0),
             ?end,
             took_ms,
-            kept_tokens,
+            kept_tokens = cached_tokens,
             ?load,
             "ended"
         );
         *self.outcomes.entry(name(&end)).or_default() += 1;
         if let Some(worker) = worker {
-            self.fleet.borrow_mut().hearing.ended(&worker, &end, self.book.clock.now_ms());
+            self.directory.borrow_mut().reachability.ended(&worker, &end, self.book.clock.now_ms());
             self.reported(&worker, load);
         }
         // Workers know a state by the id of its completion alone, so the reference has nothing to tell.
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
-        self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens, state });
+        self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens: cached_tokens, state });
     }
 
     fn reported(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
@@ -207,16 +207,16 @@
         match effect {
             Effect::Send(sending) => self.send(sending),
             Effect::Stop { completion, seq } => {
-                if let Some(words) = self.words.get(&(completion, seq)) {
+                if let Some(commands) = self.commands.get(&(completion, seq)) {
                     // Room for one grant and one stop; a second stop says nothing new.
-                    let _ = words.try_send(AttemptCommand::Stop);
+                    let _ = commands.try_send(AttemptCommand::Stop);
                 }
             }
             Effect::Grant { completion, seq } => {
                 let Some(duty) = self.owed.remove(&completion) else { return };
-                let (sender, receiver) = pieces();
-                if let Some(words) = self.words.get(&(completion, seq)) {
-                    let _ = words.try_send(AttemptCommand::Grant(sender));
+                let (sender, receiver) = stream_channel();
+                if let Some(commands) = self.commands.get(&(completion, seq)) {
+                    let _ = commands.try_send(AttemptCommand::Grant(sender));
                 }
                 duty.give(Reply::Stream(receiver));
             }
@@ -246,7 +246,7 @@
             Effect::CloseIdle { worker } => {
                 self.dial(&worker).into_iter().for_each(|address| self.pool.close_idle(address));
             }
-            // A discovery task with that many words waiting is about to ask anyway.
+            // A discovery task with that many commands waiting is about to ask anyway.
             Effect::Subscribe | Effect::FetchList => drop(self.lists.try_send(Refetch)),
             Effect::Note(text) => info!(text, "decisions"),
             // The book has set its timers; nothing is kept on a disk here.
@@ -255,25 +255,25 @@
     }
 
     fn dial(&self, worker: &WorkerId) -> Option<SocketAddr> {
-        self.fleet.borrow().dial(worker)
+        self.directory.borrow().address(worker)
     }
 
     fn send(&mut self, sending: Sending) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(request) = self.requests.get(&completion).cloned() else { return };
-        let (sender, words) = mpsc::channel(2);
-        self.words.insert((completion, seq), sender);
+        let (sender, commands) = mpsc::channel(2);
+        self.commands.insert((completion, seq), sender);
         debug!(completion = completion.0, seq = seq.0, worker = %sending.worker.0, stage = ?sending.stage, "dispatch");
         let dispatch = Attempt {
             address: self.dial(&sending.worker),
             sending,
             request,
-            fleet: self.fleet.clone(),
-            words,
+            directory: self.directory.clone(),
+            commands,
             pool: self.pool.clone(),
             clock: self.book.clock,
             core: self.own.clone(),
-            kept_tokens: 0.0,
+            cached_tokens: 0.0,
             load: None,
         };
         tokio::task::spawn_local(dispatch.run());
@@ -285,8 +285,10 @@
         let (pool, core) = (self.pool.clone(), self.own.clone());
         let within_ms = self.provision.settings.pin_limit_ms;
         tokio::task::spawn_local(async move {
-            let status =
-                pool.call(address, "POST", &room(&request.id), within_ms).await.map(|(head, _)| head.status);
+            let status = pool
+                .call(address, "POST", &hold_path(&request.id), within_ms)
+                .await
+                .map(|(head, _)| head.status);
             // What is not known may be held; a worker that can't be heard gives no answer.
             let held = match status {
                 Ok(200 | 204) => true,
@@ -304,7 +306,7 @@
         tokio::task::spawn_local(async move {
             let began = Instant::now();
             let answer = match address {
-                Some(address) => pool.call(address, "GET", path, pool.connect_ms()).await.ok(),
+                Some(address) => pool.call(address, "GET", path, pool.connect_timeout_ms()).await.ok(),
                 None => None,
             };
             let took_ms = began.elapsed().as_secs_f64() * 1e3;
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -18,7 +18,7 @@
 use crate::limits::ASK_AGAIN_MS;
 use crate::messages::{CoreEvent, CoreSender};
 use crate::pool::{read_body, read_head};
-use crate::progress::{Progress, Worth};
+use crate::progress::{ListUpdate, Progress};
 
 /// The decisions want the whole list, now.
 pub struct Refetch;
@@ -34,26 +34,26 @@
 
 /// Where servers' starts are mapped onto the router's clock.
 #[derive(Clone)]
-pub struct Starts {
+pub struct SharedStartTimes {
     times: Rc<RefCell<StartTimes>>,
     clock: Clock,
 }
 
-impl Starts {
-    pub fn new(clock: Clock) -> Starts {
-        let starts = Starts { times: Rc::default(), clock };
-        starts.look();
+impl SharedStartTimes {
+    pub fn new(clock: Clock) -> SharedStartTimes {
+        let starts = SharedStartTimes { times: Rc::default(), clock };
+        starts.observe_wall_offset();
         starts
     }
 
     /// Looks how far the wall clock is off by now.
-    pub fn look(&self) {
+    pub fn observe_wall_offset(&self) {
         self.times.borrow_mut().observe_offset(self.clock.wall_offset_ms());
     }
 
     /// Reads with the starts as they are known, after a look at the clocks.
-    pub fn read<T>(&self, read: impl FnOnce(&mut StartTimes, f64) -> T) -> T {
-        self.look();
+    pub fn with_current<T>(&self, read: impl FnOnce(&mut StartTimes, f64) -> T) -> T {
+        self.observe_wall_offset();
         read(&mut self.times.borrow_mut(), self.clock.now_ms())
     }
 }
@@ -83,7 +83,7 @@
 /// Never returns while the core lives.
 pub async fn follow(
     mut sources: watch::Receiver<Source>,
-    starts: Starts,
+    starts: SharedStartTimes,
     core: CoreSender,
     mut asked: mpsc::Receiver<Refetch>,
     first: oneshot::Sender<()>,
@@ -96,7 +96,7 @@
         let source = sources.borrow_and_update().clone();
         let address = source.address;
         let path = progress.path();
-        let within_ms = progress.within_ms();
+        let within_ms = progress.timeout_ms();
         let began = Instant::now();
         let exchange = async {
             let mut open = match stream.take() {
@@ -115,12 +115,12 @@
                 if sources.borrow().address != address {
                     info!(from = %address, to = %sources.borrow().address, "discovery moves");
                 }
-                progress.begin_anew();
+                progress.reset();
                 stream = None;
                 continue;
             }
             Some(Refetch) = asked.recv() => {
-                progress.begin_anew();
+                progress.reset();
                 stream = None;
                 continue;
             }
@@ -140,8 +140,9 @@
                 return Err(format!("status {status}"));
             }
             // Where an answer can't be read, what it told is in the whole list.
-            let read = starts.read(|starts, now_ms| List::parse(&body, &source.provision, starts, now_ms));
-            let list = read.inspect_err(|_| progress.unreadable())?;
+            let read =
+                starts.with_current(|starts, now_ms| List::parse(&body, &source.provision, starts, now_ms));
+            let list = read.inspect_err(|_| progress.mark_unreadable())?;
             if stays {
                 stream = Some(open);
             }
@@ -152,15 +153,15 @@
                 if std::mem::take(&mut failing) {
                     info!(%address, version = list.version, "discovery answers again");
                 }
-                let worth = progress.take(&list);
+                let worth = progress.apply(&list);
                 match worth {
-                    Worth::News if core.send(CoreEvent::Listed(list)).await.is_err() => return,
-                    Worth::News => {}
+                    ListUpdate::Changed if core.send(CoreEvent::Listed(list)).await.is_err() => return,
+                    ListUpdate::Changed => {}
                     // One that answers a watch at once, with nothing, is not asked in a loop.
-                    Worth::Nothing => sleep(duration(PACE_MS)).await,
-                    Worth::Unusable => sleep(duration(ASK_AGAIN_MS)).await,
+                    ListUpdate::Unchanged => sleep(duration(PACE_MS)).await,
+                    ListUpdate::Unusable => sleep(duration(ASK_AGAIN_MS)).await,
                 }
-                if worth != Worth::Unusable {
+                if worth != ListUpdate::Unusable {
                     let _ = first.take().map(|first| first.send(()));
                 }
             }
--- a/crates/gateway/src/frontend/tests.rs
+++ b/crates/gateway/src/frontend/tests.rs
@@ -46,10 +46,10 @@
         let count = arrived.clone();
         tokio::task::spawn_local(async move {
             while let Some(next) = told.recv().await {
-                let CoreEvent::Arrived { duty, .. } = next else { continue };
+                let CoreEvent::Arrived { pending_answer, .. } = next else { continue };
                 count.set(count.get() + 1);
                 let _ = answering.wait_for(|answers| *answers).await;
-                duty.give(Reply::RateLimited { retry_after_ms: 100.0 });
+                pending_answer.give(Reply::RateLimited { retry_after_ms: 100.0 });
             }
         });
         let frontend = Rc::new(Frontend::new(Clock::start(), core, provision, shares, lives));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -26,7 +26,7 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-use crate::discovery::Starts;
+use crate::discovery::SharedStartTimes;
 use crate::running::Running;
 
 /// What a running router is told from outside.
@@ -73,7 +73,7 @@
     ready: impl FnOnce(SocketAddr),
 ) -> Result<()> {
     let clock = Clock::start();
-    let starts = Starts::new(clock);
+    let starts = SharedStartTimes::new(clock);
     let (config, listener) = tokio::select! {
         biased;
         () = told_to_stop(&mut signals) => {
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -16,7 +16,7 @@
     Arrived {
         arrival: Arrival,
         request: Rc<ClientRequest>,
-        duty: Duty<Reply>,
+        pending_answer: Duty<Reply>,
     },
     Began {
         completion: CompletionId,
@@ -51,7 +51,7 @@
     /// The router ends: what has no answer yet is answered now; streams that run go on.
     LastAnswers,
     /// Open work, and figures for the log.
-    Tell(oneshot::Sender<(usize, String)>),
+    QueryStats(oneshot::Sender<(usize, String)>),
 }
 
 /// Where tasks send what the core is to know.
@@ -154,6 +154,6 @@
 /// How it ended, with what it brought.
 pub struct AttemptEnd {
     pub end: SocketEnd,
-    pub kept_tokens: f64,
+    pub cached_tokens: f64,
     pub load: Option<LoadReport>,
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -49,22 +49,22 @@
     stream: Stream,
     pub address: SocketAddr,
     /// How long it had rested, in ms, if it has carried a request before.
-    pub rested_ms: Option<f64>,
+    pub idle_before_ms: Option<f64>,
     pub bytes: BytesMut,
     slot: Slot,
 }
 
 /// How far a request was written when its connection failed.
-pub struct Unwritten;
+pub struct WriteFailed;
 
 impl Connection {
     /// Writes all of a request.
     ///
     /// # Errors
     /// The connection failed before the last byte was taken: the request can't have begun.
-    pub async fn write(&mut self, request: &[&[u8]]) -> Result<(), Unwritten> {
+    pub async fn write(&mut self, request: &[&[u8]]) -> Result<(), WriteFailed> {
         for part in request {
-            self.stream.write_all(part).await.map_err(|_| Unwritten)?;
+            self.stream.write_all(part).await.map_err(|_| WriteFailed)?;
         }
         Ok(())
     }
@@ -161,18 +161,18 @@
     }
 
     /// Other bounds and times from now on.
-    pub fn change(&self, most: usize, connect_ms: f64, idle_ms: f64) {
+    pub fn reconfigure(&self, most: usize, connect_ms: f64, idle_ms: f64) {
         self.most.set(most);
         self.connect_ms.set(connect_ms);
         self.idle_ms.set(idle_ms);
     }
 
-    pub fn connect_ms(&self) -> f64 {
+    pub fn connect_timeout_ms(&self) -> f64 {
         self.connect_ms.get()
     }
 
     /// Connections that stand or are being made, idle ones included.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.held.get()
     }
 
@@ -193,8 +193,8 @@
             let idle = kept.remove(row);
             if idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest) {
                 let Idle { stream, since, slot } = idle;
-                let rested_ms = Some(since.elapsed().as_secs_f64() * 1e3);
-                return Some(Connection { stream, address, rested_ms, bytes: BytesMut::new(), slot });
+                let idle_before_ms = Some(since.elapsed().as_secs_f64() * 1e3);
+                return Some(Connection { stream, address, idle_before_ms, bytes: BytesMut::new(), slot });
             }
         }
         None
@@ -214,8 +214,10 @@
     /// How the socket ended.
     pub async fn head(&self, connection: &mut Connection) -> Result<AnswerHead, SocketEnd> {
         let head = connection.head().await;
-        if let (Err(SocketEnd::BrokeBeforeAnswer), Some(rested_ms)) = (&head, connection.rested_ms) {
-            let short_ms = (self.may_rest_ms(connection.address) / 2.0).min(rested_ms / 2.0).max(REST_MS);
+        if let (Err(SocketEnd::BrokeBeforeAnswer), Some(idle_before_ms)) = (&head, connection.idle_before_ms)
+        {
+            let short_ms =
+                (self.may_rest_ms(connection.address) / 2.0).min(idle_before_ms / 2.0).max(REST_MS);
             self.short.borrow_mut().insert(connection.address, (short_ms, Instant::now()));
         }
         head
@@ -225,7 +227,7 @@
     ///
     /// # Errors
     /// No connection came up in time.
-    pub async fn take(&self, address: SocketAddr) -> Result<Connection, SocketEnd> {
+    pub async fn acquire(&self, address: SocketAddr) -> Result<Connection, SocketEnd> {
         match self.kept(address) {
             Some(kept) => Ok(kept),
             None => self.connect(address).await,
@@ -246,7 +248,7 @@
         match timeout(duration(self.connect_ms.get()), self.connected(address)).await {
             Err(_) => Err(SocketEnd::ConnectTimedOut),
             Ok(Ok(stream)) => {
-                Ok(Connection { stream, address, rested_ms: None, bytes: BytesMut::new(), slot })
+                Ok(Connection { stream, address, idle_before_ms: None, bytes: BytesMut::new(), slot })
             }
             Ok(Err(cause)) => Err(match cause.kind() {
                 ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => SocketEnd::ConnectRefused,
@@ -269,7 +271,7 @@
     }
 
     /// Gives a connection back whose answer was read to its end; one that brought more than that closes.
-    pub fn keep(&self, connection: Connection) {
+    pub fn put_back(&self, connection: Connection) {
         let Connection { stream, address, bytes, slot, .. } = connection;
         if bytes.is_empty() {
             let idle = Idle { stream, since: Instant::now(), slot };
@@ -316,7 +318,7 @@
     ) -> Result<(AnswerHead, BytesMut), SocketEnd> {
         let request = format!("{method} {path} HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 0\r\n\r\n");
         let exchange = async {
-            let mut connection = self.take(address).await?;
+            let mut connection = self.acquire(address).await?;
             if connection.write(&[request.as_bytes()]).await.is_err() {
                 connection = self.connect(address).await?;
                 connection.write(&[request.as_bytes()]).await.map_err(|_| SocketEnd::NeverWritten)?;
@@ -324,7 +326,7 @@
             let head = self.head(&mut connection).await?;
             let body = connection.body(head.framing).await?;
             if head.stays() {
-                self.keep(connection);
+                self.put_back(connection);
             }
             Ok((head, body))
         };
--- a/crates/gateway/src/pool/tests.rs
+++ b/crates/gateway/src/pool/tests.rs
@@ -13,9 +13,9 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let pool = Pool::new(8, 250.0, IDLE_MS);
-    let connection = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+    let connection = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
     let (server, _) = listener.accept().unwrap();
-    pool.keep(connection);
+    pool.put_back(connection);
     tokio::time::sleep(duration(2.0 * REST_MS)).await;
     (pool, address, listener, server)
 }
@@ -29,8 +29,8 @@
 fn what_rests_is_used_again() {
     local(async {
         let (pool, address, _listener, _server) = kept().await;
-        let again = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
-        assert!(again.rested_ms.is_some());
+        let again = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        assert!(again.idle_before_ms.is_some());
         assert_eq!(pool.opened.get(), 1);
     });
 }
@@ -40,9 +40,9 @@
     local(async {
         let (pool, address, _listener, server) = kept().await;
         drop(server);
-        let taken = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
-        assert!(taken.rested_ms.is_none());
-        assert_eq!((pool.opened.get(), pool.held()), (2, 1));
+        let taken = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        assert!(taken.idle_before_ms.is_none());
+        assert_eq!((pool.opened.get(), pool.open_connections()), (2, 1));
     });
 }
 
@@ -51,9 +51,9 @@
     local(async {
         let (pool, address, _listener, mut server) = kept().await;
         server.write_all(b"HTTP/1.1 2").unwrap();
-        let taken = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
-        assert!(taken.rested_ms.is_none());
-        assert_eq!((pool.opened.get(), pool.held()), (2, 1));
+        let taken = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        assert!(taken.idle_before_ms.is_none());
+        assert_eq!((pool.opened.get(), pool.open_connections()), (2, 1));
     });
 }
 
@@ -63,8 +63,8 @@
         let (pool, address, _listener, server) = kept().await;
         socket2::SockRef::from(&server).set_linger(Some(std::time::Duration::ZERO)).unwrap();
         drop(server);
-        let taken = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
-        assert!(taken.rested_ms.is_none());
+        let taken = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        assert!(taken.idle_before_ms.is_none());
     });
 }
 
@@ -72,12 +72,12 @@
 fn what_brought_more_than_its_answer_is_not_kept() {
     local(async {
         let (pool, address, listener, _server) = kept().await;
-        let mut connection = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        let mut connection = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
         connection.bytes.extend_from_slice(b"HTTP/1.1 200 OK");
-        pool.keep(connection);
-        assert_eq!(pool.held(), 0);
+        pool.put_back(connection);
+        assert_eq!(pool.open_connections(), 0);
         drop(listener);
-        assert!(matches!(pool.take(address).await, Err(SocketEnd::ConnectRefused)));
+        assert!(matches!(pool.acquire(address).await, Err(SocketEnd::ConnectRefused)));
     });
 }
 
@@ -86,14 +86,14 @@
 fn descriptors_that_are_full_and_then_free_are_used() {
     local(async {
         let (pool, address, _listener, _server) = kept().await;
-        pool.change(1, 250.0, IDLE_MS);
+        pool.reconfigure(1, 250.0, IDLE_MS);
         let other = TcpListener::bind("127.0.0.1:0").unwrap();
-        let held = pool.take(address).await.unwrap_or_else(|end| panic!("{end:?}"));
-        let refused = pool.take(other.local_addr().unwrap()).await;
+        let held = pool.acquire(address).await.unwrap_or_else(|end| panic!("{end:?}"));
+        let refused = pool.acquire(other.local_addr().unwrap()).await;
         assert!(matches!(refused, Err(SocketEnd::NoRoom)), "all are in use");
-        pool.keep(held);
-        let taken = pool.take(other.local_addr().unwrap()).await;
+        pool.put_back(held);
+        let taken = pool.acquire(other.local_addr().unwrap()).await;
         assert!(taken.is_ok(), "what rests gives way");
-        assert_eq!(pool.held(), 1);
+        assert_eq!(pool.open_connections(), 1);
     });
 }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -6,11 +6,11 @@
 
 /// What a list that was read is worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worth {
+pub enum ListUpdate {
     /// The decisions are told.
-    News,
+    Changed,
     /// Nothing has changed.
-    Nothing,
+    Unchanged,
     /// Older than what is known, or changes without a list that they build on.
     Unusable,
 }
@@ -55,7 +55,7 @@
 
 impl Progress {
     /// Versions of one discovery say nothing of another's, and rows are read by the settings: all begins anew.
-    pub fn begin_anew(&mut self) {
+    pub fn reset(&mut self) {
         *self = Progress { patience: std::mem::take(&mut self.patience), ..Progress::default() };
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// The answer was no list.
-    pub fn unreadable(&mut self) {
+    pub fn mark_unreadable(&mut self) {
         self.unreadable = true;
     }
 
@@ -96,22 +96,22 @@
     }
 
     /// After so many ms without an answer the call counts as silent.
-    pub fn within_ms(&self) -> f64 {
+    pub fn timeout_ms(&self) -> f64 {
         self.patience.slack_ms + self.hold_ms()
     }
 
     /// Takes in a list that was read. An older version of one discovery never takes the place of a newer one.
-    pub fn take(&mut self, list: &List) -> Worth {
+    pub fn apply(&mut self, list: &List) -> ListUpdate {
         let older = self.version.is_some_and(|known| known > list.version);
         if older || !list.whole && self.version.is_none() {
-            return Worth::Unusable;
+            return ListUpdate::Unusable;
         }
         let news = list.whole || !list.rows.is_empty();
         (self.version, self.unreadable) = (Some(list.version), false);
         if news {
-            Worth::News
+            ListUpdate::Changed
         } else {
-            Worth::Nothing
+            ListUpdate::Unchanged
         }
     }
 }
--- a/crates/gateway/src/progress/tests.rs
+++ b/crates/gateway/src/progress/tests.rs
@@ -50,12 +50,12 @@
         let watched = self.progress.watched();
         let answer = match does {
             Does::Silent => return,
-            Does::Garbles => return self.progress.unreadable(),
+            Does::Garbles => return self.progress.mark_unreadable(),
             Does::AnswersWhole => list(self.has, true, 1),
             Does::AnswersLate => list(self.has.saturating_sub(2), watched.is_none(), 1),
             Does::Answers => list(self.has, watched.is_none(), 1),
         };
-        if self.progress.take(&answer) == Worth::News {
+        if self.progress.apply(&answer) == ListUpdate::Changed {
             // Changes build on what the call said that it knows; no version goes back.
             assert!(answer.whole || watched == Some(self.told), "a gap after {}", self.told);
             assert!(answer.version >= self.told, "{} after {}", answer.version, self.told);
@@ -80,32 +80,32 @@
 #[test]
 fn a_discovery_that_moves_is_asked_for_the_whole_and_may_count_lower() {
     let mut progress = Progress::default();
-    assert_eq!(progress.take(&list(900, true, 1)), Worth::News);
+    assert_eq!(progress.apply(&list(900, true, 1)), ListUpdate::Changed);
     assert!(progress.path().contains("from=900"));
-    progress.begin_anew();
+    progress.reset();
     assert_eq!(progress.path(), "/catalog/members");
-    assert_eq!(progress.take(&list(3, true, 1)), Worth::News);
+    assert_eq!(progress.apply(&list(3, true, 1)), ListUpdate::Changed);
 }
 
 #[test]
 fn what_can_not_be_read_is_asked_for_as_a_whole_list() {
     let mut progress = Progress::default();
-    progress.take(&list(4, true, 1));
-    progress.unreadable();
+    progress.apply(&list(4, true, 1));
+    progress.mark_unreadable();
     assert_eq!(progress.path(), "/catalog/members");
-    assert_eq!(progress.take(&list(3, true, 1)), Worth::Unusable, "older than what is known");
+    assert_eq!(progress.apply(&list(3, true, 1)), ListUpdate::Unusable, "older than what is known");
     assert_eq!(progress.path(), "/catalog/members");
-    assert_eq!(progress.take(&list(5, true, 1)), Worth::News);
+    assert_eq!(progress.apply(&list(5, true, 1)), ListUpdate::Changed);
     assert!(progress.path().contains("from=5"));
 }
 
 #[test]
 fn what_is_older_or_builds_on_nothing_changes_nothing() {
     let mut progress = Progress::default();
-    assert_eq!(progress.take(&list(5, false, 1)), Worth::Unusable, "changes without a list");
-    assert_eq!(progress.take(&list(5, true, 1)), Worth::News);
-    assert_eq!(progress.take(&list(4, true, 1)), Worth::Unusable);
-    assert_eq!(progress.take(&list(5, false, 0)), Worth::Nothing);
+    assert_eq!(progress.apply(&list(5, false, 1)), ListUpdate::Unusable, "changes without a list");
+    assert_eq!(progress.apply(&list(5, true, 1)), ListUpdate::Changed);
+    assert_eq!(progress.apply(&list(4, true, 1)), ListUpdate::Unusable);
+    assert_eq!(progress.apply(&list(5, false, 0)), ListUpdate::Unchanged);
     assert!(progress.path().contains("from=5"));
 }
 
@@ -114,9 +114,9 @@
 #[test]
 fn a_silent_watch_is_opened_anew_in_time() {
     let mut progress = Progress::default();
-    let asked_whole_ms = progress.within_ms();
-    progress.take(&list(1, true, 1));
-    let silent_ms = progress.within_ms() + ASK_AGAIN_MS;
+    let asked_whole_ms = progress.timeout_ms();
+    progress.apply(&list(1, true, 1));
+    let silent_ms = progress.timeout_ms() + ASK_AGAIN_MS;
     assert!(silent_ms + ASK_AGAIN_MS + asked_whole_ms < 6000.0, "{silent_ms} and {asked_whole_ms}");
     // A call that may wait: 2 s after its wait is over.
     assert!(silent_ms < WATCH_MS + 2000.0);
@@ -125,20 +125,20 @@
 #[test]
 fn a_slow_discovery_is_waited_for_and_a_silent_one_asked_at_once() {
     let mut progress = Progress::default();
-    assert_eq!(progress.within_ms(), WATCH_SLACK_MS);
+    assert_eq!(progress.timeout_ms(), WATCH_SLACK_MS);
     progress.timed_out();
     progress.timed_out();
     progress.timed_out();
-    assert_eq!(progress.within_ms(), WATCH_SLACK_MOST_MS, "it grows, but not without end");
+    assert_eq!(progress.timeout_ms(), WATCH_SLACK_MOST_MS, "it grows, but not without end");
     progress.answered(1600.0);
-    assert!(progress.within_ms() > 1600.0, "an answer as slow comes in time");
-    progress.begin_anew();
-    assert!(progress.within_ms() > 1600.0, "a new configuration makes discovery no quicker");
+    assert!(progress.timeout_ms() > 1600.0, "an answer as slow comes in time");
+    progress.reset();
+    assert!(progress.timeout_ms() > 1600.0, "a new configuration makes discovery no quicker");
     let list = List { version: 7, whole: true, ..List::default() };
-    progress.take(&list);
+    progress.apply(&list);
     assert!(progress.path().ends_with("from=7&hold_ms=2000"), "{}", progress.path());
     progress.timed_out();
     assert!(progress.path().ends_with("from=7&hold_ms=100"), "what was missed: {}", progress.path());
     progress.answered(130.0);
-    assert_eq!(progress.within_ms(), WATCH_MS + WATCH_SLACK_MS);
+    assert_eq!(progress.timeout_ms(), WATCH_MS + WATCH_SLACK_MS);
 }
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -16,7 +16,7 @@
 
 use crate::configuration;
 use crate::core::Core;
-use crate::discovery::{self, Source, Starts};
+use crate::discovery::{self, SharedStartTimes, Source};
 use crate::frontend::{Frontend, Lifecycle};
 use crate::limits::{grace_period, Shares, CORE_QUEUE};
 use crate::messages::{CoreEvent, CoreSender};
@@ -46,7 +46,7 @@
         listener: TcpListener,
         listen: SocketAddr,
         clock: Clock,
-        starts: Starts,
+        starts: SharedStartTimes,
     ) -> Running {
         let Config { name, discovery, seed, limits, known, provision, .. } = config;
         let shares = Shares::of(&limits);
@@ -58,7 +58,7 @@
         let provision = Rc::new(provision);
         let mut state = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
         let connect_ms = provision.connect_ms;
-        state.listed(known, ListKind::Saved);
+        state.apply_list(known, ListKind::Saved);
         tokio::task::spawn_local(state.run(told));
         let list_bytes = shares.list_bytes;
         let source = Source { address: discovery, provision: provision.clone(), list_bytes };
@@ -83,7 +83,7 @@
     pub async fn reload_until_stopped(
         &self,
         path: &Path,
-        starts: &Starts,
+        starts: &SharedStartTimes,
         signals: &mut mpsc::Receiver<Signal>,
     ) {
         let mut signal = signals.recv().await;
@@ -110,7 +110,7 @@
         info!(discovery = %config.discovery, "configuration read again");
         let shares = Shares::of(&config.limits);
         self.frontend.shares.set(shares);
-        self.pool.change(shares.workers, config.provision.connect_ms, config.provision.idle_ms);
+        self.pool.reconfigure(shares.workers, config.provision.connect_ms, config.provision.idle_ms);
         let provision = Rc::new(config.provision);
         *self.frontend.provision.borrow_mut() = provision.clone();
         let _ = self.core.send(CoreEvent::Settings(provision.clone())).await;
@@ -171,11 +171,11 @@
     }
 }
 
-async fn sweep(pool: Rc<Pool>, starts: Starts) {
+async fn sweep(pool: Rc<Pool>, starts: SharedStartTimes) {
     loop {
         sleep(duration(SWEEP_MS)).await;
         pool.sweep();
-        starts.look();
+        starts.observe_wall_offset();
     }
 }
 
@@ -195,6 +195,6 @@
 /// Open work, and figures for the log.
 async fn figures(core: &CoreSender) -> (usize, String) {
     let (to, from) = oneshot::channel();
-    let _ = core.send(CoreEvent::Tell(to)).await;
+    let _ = core.send(CoreEvent::QueryStats(to)).await;
     from.await.unwrap_or_default()
 }
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -21,16 +21,20 @@
 pub struct ServerDirectory {
     dials: BTreeMap<WorkerId, Option<SocketAddr>>,
     draining: BTreeSet<WorkerId>,
-    pub hearing: Hearing,
+    pub reachability: Hearing,
 }
 
 impl ServerDirectory {
     pub fn new(own_zone: Option<ZoneId>) -> Self {
-        ServerDirectory { dials: BTreeMap::new(), draining: BTreeSet::new(), hearing: Hearing::new(own_zone) }
+        ServerDirectory {
+            dials: BTreeMap::new(),
+            draining: BTreeSet::new(),
+            reachability: Hearing::new(own_zone),
+        }
     }
 
     /// Takes over where workers are; what is left of the list is for the decisions.
-    pub fn listed(&mut self, list: List, kind: ListKind) -> Arc<[Listing]> {
+    pub fn apply_list(&mut self, list: List, kind: ListKind) -> Arc<[Listing]> {
         if kind != ListKind::Changes {
             self.dials.clear();
             self.draining.clear();
@@ -48,29 +52,29 @@
             }
         }
         let rows: Arc<[Listing]> = list.rows.into_iter().map(|row| row.listing).collect();
-        self.hearing.listed(kind, &rows);
+        self.reachability.listed(kind, &rows);
         rows
     }
 
-    pub fn dial(&self, worker: &WorkerId) -> Option<SocketAddr> {
+    pub fn address(&self, worker: &WorkerId) -> Option<SocketAddr> {
         self.dials.get(worker).copied().flatten()
     }
 
     /// Whether it takes new work, by the list, and still at this address.
     pub fn is_ready(&self, worker: &WorkerId, address: SocketAddr) -> bool {
-        self.dial(worker) == Some(address) && !self.draining.contains(worker)
+        self.address(worker) == Some(address) && !self.draining.contains(worker)
     }
 
-    pub fn heard(&mut self, worker: &WorkerId, answered: bool, now_ms: f64) {
+    pub fn record_call(&mut self, worker: &WorkerId, answered: bool, now_ms: f64) {
         match answered {
-            true => self.hearing.answered(worker, now_ms),
-            false => self.hearing.silent(worker, now_ms),
+            true => self.reachability.answered(worker, now_ms),
+            false => self.reachability.silent(worker, now_ms),
         }
     }
 }
 
 /// Where a place is held and let go of, by the request's id.
-pub fn room(id: &str) -> String {
+pub fn hold_path(id: &str) -> String {
     format!("/bootstrap/rooms/{id}")
 }
 
@@ -86,7 +90,7 @@
 /// What is being let go of.
 pub struct Releases {
     pool: Rc<Pool>,
-    fleet: Rc<RefCell<ServerDirectory>>,
+    directory: Rc<RefCell<ServerDirectory>>,
     clock: Clock,
     seed: u64,
     out: Cell<usize>,
@@ -95,24 +99,24 @@
 }
 
 impl Releases {
-    pub fn new(pool: Rc<Pool>, fleet: Rc<RefCell<ServerDirectory>>, clock: Clock, seed: u64) -> Self {
+    pub fn new(pool: Rc<Pool>, directory: Rc<RefCell<ServerDirectory>>, clock: Clock, seed: u64) -> Self {
         let (out, counts, unheard) = (Cell::new(0), Cell::default(), Unheard::default());
-        Releases { pool, fleet, clock, seed, out, counts, unheard }
+        Releases { pool, directory, clock, seed, out, counts, unheard }
     }
 
     /// Those that no worker has heard yet.
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.out.get()
     }
 
     /// For the log.
-    pub fn figures(&self) -> String {
+    pub fn stats(&self) -> String {
         format!("{:?}, unheard {:?}", self.counts.get(), self.unheard.counts())
     }
 
     /// Tells that what is held for this id goes; beginning with who holds it.
     pub fn begin(self: &Rc<Self>, holder: WorkerId, id: &str, limit_ms: f64) {
-        let (releases, path) = (self.clone(), room(id));
+        let (releases, path) = (self.clone(), hold_path(id));
         let seed = rank(&WorkerId(id.into()), self.seed);
         self.out.set(self.out.get() + 1);
         tokio::task::spawn_local(async move {
@@ -124,7 +128,8 @@
     async fn tell(&self, holder: WorkerId, path: String, seed: u64, limit_ms: f64) {
         let began_ms = self.clock.now_ms();
         let mut telling = Telling::new(holder, Others::AnyWorker, seed, limit_ms, AGAIN, began_ms);
-        let next = |telling: &mut Telling, now_ms| telling.next(now_ms, &self.fleet.borrow().hearing);
+        let next =
+            |telling: &mut Telling, now_ms| telling.next(now_ms, &self.directory.borrow().reachability);
         let call = |worker| self.call(worker, &path, limit_ms);
         let Some(worker) = letgo::tell(&mut telling, self.clock, next, call).await else {
             return self.unheard(&path, &telling);
@@ -139,7 +144,7 @@
     }
 
     async fn call(&self, worker: WorkerId, path: &str, limit_ms: f64) -> (WorkerId, Call) {
-        let address = self.fleet.borrow().dial(&worker);
+        let address = self.directory.borrow().address(&worker);
         let answer = match address {
             None => Call::Failed(Deaf::NoWay),
             Some(address) => match self.pool.call(address, "DELETE", path, limit_ms).await {
@@ -152,7 +157,7 @@
             },
         };
         let heard = matches!(answer, Call::Heard);
-        self.fleet.borrow_mut().heard(&worker, heard, self.clock.now_ms());
+        self.directory.borrow_mut().record_call(&worker, heard, self.clock.now_ms());
         (worker, answer)
     }
 
