--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,5 +1,6 @@
-//! The core: one task that owns the book and where workers are reached. Everything else sends it what happened over
-//! one bounded channel; it says what the sockets do.
+//! The core: a single task that owns the ledger of requests and the addresses of the workers. All other tasks
+//! send it events over one bounded channel; it carries out the effects that the ledger returns by starting
+//! attempts, probes and releases and by answering clients.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -24,18 +25,18 @@
 use crate::servers::{hold_path, Releases, ServerDirectory};
 
 pub struct Core {
-    book: Book,
+    ledger: Book,
     provision: Rc<Provision>,
     pool: Rc<Pool>,
-    owed: BTreeMap<CompletionId, Duty<Reply>>,
+    pending_answers: BTreeMap<CompletionId, Duty<Reply>>,
     requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
     commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
-    /// Where the listed workers are reached, and who answered of late.
+    /// Addresses of the listed workers, and which of them answered recently.
     directory: Rc<RefCell<ServerDirectory>>,
-    outcomes: BTreeMap<&'static str, u64>,
+    attempt_ends: BTreeMap<&'static str, u64>,
     releases: Rc<Releases>,
-    own: CoreSender,
-    lists: mpsc::Sender<Refetch>,
+    events: CoreSender,
+    refetches: mpsc::Sender<Refetch>,
 }
 
 impl Core {
@@ -44,42 +45,42 @@
         clock: Clock,
         seed: u64,
         pool: Rc<Pool>,
-        own: CoreSender,
-        lists: mpsc::Sender<Refetch>,
+        events: CoreSender,
+        refetches: mpsc::Sender<Refetch>,
     ) -> Self {
         let ledger = Ledger::new(provision.settings.clone(), provision.answer_slack_ms, seed);
         let directory = Rc::new(RefCell::new(ServerDirectory::new(provision.settings.zone)));
         let releases = Rc::new(Releases::new(pool.clone(), directory.clone(), clock, seed));
         Core {
-            book: Book::new(clock, ledger),
+            ledger: Book::new(clock, ledger),
             provision,
             pool,
-            owed: BTreeMap::new(),
+            pending_answers: BTreeMap::new(),
             requests: BTreeMap::new(),
             commands: BTreeMap::new(),
             directory,
-            outcomes: BTreeMap::new(),
+            attempt_ends: BTreeMap::new(),
             releases,
-            own,
-            lists,
+            events,
+            refetches,
         }
     }
 
-    pub async fn run(mut self, mut told: mpsc::Receiver<CoreEvent>) {
+    pub async fn run(mut self, mut events: mpsc::Receiver<CoreEvent>) {
         loop {
             tokio::select! {
                 biased;
-                due = self.book.due() => self.handle(Input::Due(due)),
-                next = told.recv() => match next {
-                    Some(next) => self.take(next),
+                due = self.ledger.due() => self.handle_input(Input::Due(due)),
+                event = events.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
             }
         }
     }
 
-    fn take(&mut self, told: CoreEvent) {
-        match told {
+    fn handle_event(&mut self, event: CoreEvent) {
+        match event {
             CoreEvent::Arrived { arrival, request, pending_answer } => {
                 debug!(
                     completion = arrival.completion.0,
@@ -89,37 +90,40 @@
                     session = arrival.session.0,
                     prefix = arrival.prefix.map(|prefix| prefix.0),
                     prefix_tokens = arrival.prefix_tokens,
-                    "arrived"
+                    "request arrived"
                 );
-                self.owed.insert(arrival.completion, pending_answer);
+                self.pending_answers.insert(arrival.completion, pending_answer);
                 self.requests.insert(arrival.completion, request);
-                self.handle(Input::Arrived { arrival, streamed: true });
+                self.handle_input(Input::Arrived { arrival, streamed: true });
             }
             CoreEvent::Began { completion, seq, took_ms } => {
-                debug!(completion = completion.0, seq = seq.0, took_ms, "began");
-                if let Some(worker) = self.book.worker(completion, seq) {
-                    self.directory.borrow_mut().reachability.answered(worker, self.book.clock.now_ms());
+                debug!(completion = completion.0, seq = seq.0, took_ms, "first event received");
+                if let Some(worker) = self.ledger.worker(completion, seq) {
+                    self.directory.borrow_mut().reachability.answered(worker, self.ledger.clock.now_ms());
                 }
-                self.handle(Input::Began { completion, seq, took_ms })
+                self.handle_input(Input::Began { completion, seq, took_ms })
+            }
+            CoreEvent::Ended { completion, seq, took_ms, end } => {
+                self.attempt_ended(completion, seq, took_ms, end)
             }
-            CoreEvent::Ended { completion, seq, took_ms, end } => self.ended(completion, seq, took_ms, end),
             CoreEvent::Left { completion } => {
-                debug!(completion = completion.0, "the client left");
-                // Nobody waits for an answer any more, so none is lost.
-                self.owed.remove(&completion).into_iter().for_each(Duty::void);
-                self.handle(Input::Left { completion });
+                debug!(completion = completion.0, "client disconnected");
+                // Nobody waits for this answer any more, so it must not be counted as dropped.
+                self.pending_answers.remove(&completion).into_iter().for_each(Duty::void);
+                self.handle_input(Input::Left { completion });
             }
             CoreEvent::Probed { worker, load, answered, took_ms } => {
-                self.directory.borrow_mut().record_call(&worker, answered, self.book.clock.now_ms());
-                self.reported(&worker, load);
-                self.handle(Input::Probed { worker, answered, took_ms });
+                self.directory.borrow_mut().record_call(&worker, answered, self.ledger.clock.now_ms());
+                self.report_load(&worker, load);
+                self.handle_input(Input::Probed { worker, answered, took_ms });
             }
             CoreEvent::HoldAnswered { completion, seq, worker, request, held } => {
-                // A place that is no longer wanted is let go of by the same id.
-                let over = !self.requests.contains_key(&completion);
+                // A place that is no longer wanted is released under the same request id, so the request is
+                // kept until the ledger has handled the answer.
+                let finished = !self.requests.contains_key(&completion);
                 self.requests.entry(completion).or_insert(request);
-                self.handle(Input::HoldAnswered { completion, seq, worker, held });
-                if over {
+                self.handle_input(Input::HoldAnswered { completion, seq, worker, held });
+                if finished {
                     self.requests.remove(&completion);
                 }
             }
@@ -132,20 +136,20 @@
                 self.directory.borrow_mut().reachability.moved(self.provision.settings.zone);
                 let settings = Box::new(self.provision.settings.clone());
                 let answer_slack_ms = self.provision.answer_slack_ms;
-                self.handle(Input::Settings { settings, answer_slack_ms });
+                self.handle_input(Input::Settings { settings, answer_slack_ms });
             }
-            CoreEvent::LastAnswers => self.handle(Input::Stop { streams: false }),
+            CoreEvent::LastAnswers => self.handle_input(Input::Stop { streams: false }),
             CoreEvent::QueryStats(to) => {
-                let figures = format!(
-                    "{:?}; owed {}, outcomes {:?}, releases {}, connections {} held and {} opened",
-                    self.book.counts(),
-                    self.owed.len(),
-                    self.outcomes,
+                let stats = format!(
+                    "{:?}; pending answers {}, attempt ends {:?}, releases {}, connections: {} open, {} opened",
+                    self.ledger.counts(),
+                    self.pending_answers.len(),
+                    self.attempt_ends,
                     self.releases.stats(),
                     self.pool.open_connections(),
                     self.pool.opened.get(),
                 );
-                let _ = to.send((self.book.open() + self.releases.in_flight(), figures));
+                let _ = to.send((self.ledger.open() + self.releases.in_flight(), stats));
             }
         }
     }
@@ -155,22 +159,22 @@
             warn!(
                 version = list.version,
                 unknown = list.unknown,
-                "entries that name what the settings don't"
+                "list has entries with names that the settings lack"
             );
         }
-        debug!(version = list.version, ?kind, rows = list.rows.len(), "list");
+        debug!(version = list.version, ?kind, rows = list.rows.len(), "list received");
         let rows = self.directory.borrow_mut().apply_list(list, kind);
         for row in rows.iter() {
             let Listing { worker, zone, kind, cell, readiness, .. } = row;
-            debug!(worker = %worker.0, zone = zone.0, kind = kind.0, cell = cell.0, ?readiness, "listed");
+            debug!(worker = %worker.0, zone = zone.0, kind = kind.0, cell = cell.0, ?readiness, "list entry");
         }
-        self.handle(Input::Listed { kind, rows });
+        self.handle_input(Input::Listed { kind, rows });
     }
 
-    fn ended(&mut self, completion: CompletionId, seq: Seq, took_ms: f64, end: AttemptEnd) {
+    fn attempt_ended(&mut self, completion: CompletionId, seq: Seq, took_ms: f64, end: AttemptEnd) {
         let AttemptEnd { end, cached_tokens, load } = end;
         self.commands.remove(&(completion, seq));
-        let worker = self.book.worker(completion, seq).cloned();
+        let worker = self.ledger.worker(completion, seq).cloned();
         debug!(
             completion = completion.0,
             seq = seq.0,
@@ -179,117 +183,128 @@
             took_ms,
             kept_tokens = cached_tokens,
             ?load,
-            "ended"
+            "attempt ended"
         );
-        *self.outcomes.entry(name(&end)).or_default() += 1;
+        *self.attempt_ends.entry(end_name(&end)).or_default() += 1;
         if let Some(worker) = worker {
-            self.directory.borrow_mut().reachability.ended(&worker, &end, self.book.clock.now_ms());
-            self.reported(&worker, load);
+            self.directory.borrow_mut().reachability.ended(&worker, &end, self.ledger.clock.now_ms());
+            self.report_load(&worker, load);
         }
-        // Workers know a state by the id of its completion alone, so the reference has nothing to tell.
+        // Workers identify a state by its request id alone, so the reference carries no data.
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
-        self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens: cached_tokens, state });
+        self.handle_input(Input::Ended { completion, seq, took_ms, end, kept_tokens: cached_tokens, state });
     }
 
-    fn reported(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
+    fn report_load(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
         if let Some(load) = load.filter(|_| self.provision.reports) {
-            self.handle(Input::Reported { worker: worker.clone(), load });
+            self.handle_input(Input::Reported { worker: worker.clone(), load });
         }
     }
 
-    fn handle(&mut self, input: Input) {
-        for effect in self.book.handle(input) {
-            self.carry_out(effect);
+    fn handle_input(&mut self, input: Input) {
+        for effect in self.ledger.handle(input) {
+            self.apply_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn apply_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send(sending) => self.send(sending),
+            Effect::Send(sending) => self.start_attempt(sending),
             Effect::Stop { completion, seq } => {
                 if let Some(commands) = self.commands.get(&(completion, seq)) {
-                    // Room for one grant and one stop; a second stop says nothing new.
+                    // The channel holds one grant and one stop; a second stop is redundant.
                     let _ = commands.try_send(AttemptCommand::Stop);
                 }
             }
             Effect::Grant { completion, seq } => {
-                let Some(duty) = self.owed.remove(&completion) else { return };
+                let Some(pending) = self.pending_answers.remove(&completion) else { return };
                 let (sender, receiver) = stream_channel();
                 if let Some(commands) = self.commands.get(&(completion, seq)) {
                     let _ = commands.try_send(AttemptCommand::Grant(sender));
                 }
-                duty.give(Reply::Stream(receiver));
+                pending.give(Reply::Stream(receiver));
             }
             Effect::RateLimit { completion, retry_after_ms } => {
-                debug!(completion = completion.0, retry_after_ms, "rate-limited");
-                let owed = self.owed.remove(&completion);
-                owed.into_iter().for_each(|duty| duty.give(Reply::RateLimited { retry_after_ms }));
+                debug!(completion = completion.0, retry_after_ms, "request rate-limited");
+                let pending = self.pending_answers.remove(&completion);
+                pending.into_iter().for_each(|answer| answer.give(Reply::RateLimited { retry_after_ms }));
             }
-            // A whole answer is never delivered here: each is a stream that is granted.
+            // `Deliver` never occurs here: this router's answers are all streams, which are granted instead.
             Effect::Abort { completion } | Effect::Deliver { completion, .. } => {
-                debug!(completion = completion.0, "aborted");
-                self.owed.remove(&completion).into_iter().for_each(|duty| duty.give(Reply::Aborted));
+                debug!(completion = completion.0, "request aborted");
+                self.pending_answers
+                    .remove(&completion)
+                    .into_iter()
+                    .for_each(|answer| answer.give(Reply::Aborted));
             }
             Effect::Forget { completion } => {
-                self.owed.remove(&completion);
+                self.pending_answers.remove(&completion);
                 self.requests.remove(&completion);
             }
-            // What a dispatch comes for is never let go of by this word, so that it serves both.
+            // The platform's release call never removes a state that a dispatch has come for, so one call
+            // serves both effects.
             Effect::Release { worker, completion, .. }
             | Effect::ReleaseUnclaimed { worker, completion, .. } => {
                 if let Some(request) = self.requests.get(&completion) {
                     self.releases.begin(worker, &request.id, self.provision.settings.pin_limit_ms);
                 }
             }
-            Effect::Hold { worker, completion, seq, .. } => self.hold(worker, completion, seq),
+            Effect::Hold { worker, completion, seq, .. } => self.request_hold(worker, completion, seq),
             Effect::Probe { worker } => self.probe(worker),
             Effect::CloseIdle { worker } => {
-                self.dial(&worker).into_iter().for_each(|address| self.pool.close_idle(address));
+                self.address(&worker).into_iter().for_each(|address| self.pool.close_idle(address));
             }
-            // A discovery task with that many commands waiting is about to ask anyway.
-            Effect::Subscribe | Effect::FetchList => drop(self.lists.try_send(Refetch)),
-            Effect::Note(text) => info!(text, "decisions"),
-            // The book has set its timers; nothing is kept on a disk here.
+            // If the channel is full, the discovery task is about to fetch the list anyway.
+            Effect::Subscribe | Effect::FetchList => drop(self.refetches.try_send(Refetch)),
+            Effect::Note(text) => info!(text, "note from the decision modules"),
+            // The ledger has set its timers already; this router persists nothing to disk.
             Effect::Arm { .. } | Effect::Keeps { .. } => {}
         }
     }
 
-    fn dial(&self, worker: &WorkerId) -> Option<SocketAddr> {
+    fn address(&self, worker: &WorkerId) -> Option<SocketAddr> {
         self.directory.borrow().address(worker)
     }
 
-    fn send(&mut self, sending: Sending) {
+    fn start_attempt(&mut self, sending: Sending) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(request) = self.requests.get(&completion).cloned() else { return };
         let (sender, commands) = mpsc::channel(2);
         self.commands.insert((completion, seq), sender);
-        debug!(completion = completion.0, seq = seq.0, worker = %sending.worker.0, stage = ?sending.stage, "dispatch");
-        let dispatch = Attempt {
-            address: self.dial(&sending.worker),
+        debug!(
+            completion = completion.0,
+            seq = seq.0,
+            worker = %sending.worker.0,
+            stage = ?sending.stage,
+            "attempt started"
+        );
+        let attempt = Attempt {
+            address: self.address(&sending.worker),
             sending,
             request,
             directory: self.directory.clone(),
             commands,
             pool: self.pool.clone(),
-            clock: self.book.clock,
-            core: self.own.clone(),
+            clock: self.ledger.clock,
+            core: self.events.clone(),
             cached_tokens: 0.0,
             load: None,
         };
-        tokio::task::spawn_local(dispatch.run());
+        tokio::task::spawn_local(attempt.run());
     }
 
-    fn hold(&self, worker: WorkerId, completion: CompletionId, seq: Seq) {
+    fn request_hold(&self, worker: WorkerId, completion: CompletionId, seq: Seq) {
         let Some(request) = self.requests.get(&completion).cloned() else { return };
-        let Some(address) = self.dial(&worker) else { return };
-        let (pool, core) = (self.pool.clone(), self.own.clone());
-        let within_ms = self.provision.settings.pin_limit_ms;
+        let Some(address) = self.address(&worker) else { return };
+        let (pool, core) = (self.pool.clone(), self.events.clone());
+        let timeout_ms = self.provision.settings.pin_limit_ms;
         tokio::task::spawn_local(async move {
             let status = pool
-                .call(address, "POST", &hold_path(&request.id), within_ms)
+                .call(address, "POST", &hold_path(&request.id), timeout_ms)
                 .await
                 .map(|(head, _)| head.status);
-            // What is not known may be held; a worker that can't be heard gives no answer.
+            // A hold for an id that the worker does not know counts as granted. Where no usable answer comes,
+            // as from a worker that can't be reached, none is reported.
             let held = match status {
                 Ok(200 | 204) => true,
                 Ok(409) => false,
@@ -300,16 +315,16 @@
     }
 
     fn probe(&self, worker: WorkerId) {
-        let address = self.dial(&worker);
+        let address = self.address(&worker);
         let path = if self.provision.reports { "/_load" } else { "/ping" };
-        let (pool, core) = (self.pool.clone(), self.own.clone());
+        let (pool, core) = (self.pool.clone(), self.events.clone());
         tokio::task::spawn_local(async move {
-            let began = Instant::now();
+            let started = Instant::now();
             let answer = match address {
                 Some(address) => pool.call(address, "GET", path, pool.connect_timeout_ms()).await.ok(),
                 None => None,
             };
-            let took_ms = began.elapsed().as_secs_f64() * 1e3;
+            let took_ms = started.elapsed().as_secs_f64() * 1e3;
             let answered = answer.as_ref().is_some_and(|(head, _)| head.status == 200);
             let load = answer.and_then(|(head, body)| {
                 head.load.or_else(|| std::str::from_utf8(&body).ok().and_then(report::parse))
@@ -319,8 +334,8 @@
     }
 }
 
-/// For the log's figures.
-fn name(end: &SocketEnd) -> &'static str {
+/// The name of an attempt's end in the log's statistics.
+fn end_name(end: &SocketEnd) -> &'static str {
     match end {
         SocketEnd::ConnectRefused => "connect-refused",
         SocketEnd::Unreachable => "unreachable",
