--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt: a task that sends a request to a server and tells the core how it ended.
+//! One attempt: a task that sends a request to a server, forwards the answer, and reports to the core how the
+//! attempt ended.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -27,27 +28,28 @@
     pub pool: Rc<Pool>,
     pub clock: Clock,
     pub core: CoreSender,
-    /// What it has learnt so far.
+    /// Reported by the server so far.
     pub cached_tokens: f64,
     pub load: Option<LoadReport>,
 }
 
-/// What is left of an answer that need not be waited for.
-type Rest = Option<(Connection, Framing)>;
+/// A connection with a body that is still unread when the attempt's result is known. It is drained afterwards so
+/// that the connection can be reused.
+type UnreadBody = Option<(Connection, Framing)>;
 
 impl Attempt {
     pub async fn run(mut self) {
-        let sent = Instant::now();
+        let started = Instant::now();
         let (completion, seq) = (self.sending.completion, self.sending.seq);
-        let (end, rest) = match self.carry(sent).await {
-            Ok((end, rest)) => (end, rest),
+        let (end, unread) = match self.exchange(started).await {
+            Ok((end, unread)) => (end, unread),
             Err(end) => (end, None),
         };
-        let took_ms = sent.elapsed().as_secs_f64() * 1e3;
+        let took_ms = started.elapsed().as_secs_f64() * 1e3;
         let end = AttemptEnd { end, cached_tokens: self.cached_tokens, load: self.load };
-        // The core outlives its attempts; if it does not, nobody is left to be told.
+        // Fails only if the core has ended before its attempts; nobody needs the result then.
         let _ = self.core.send(CoreEvent::Ended { completion, seq, took_ms, end }).await;
-        if let Some((mut connection, framing)) = rest {
+        if let Some((mut connection, framing)) = unread {
             let read = timeout(duration(DRAIN_MS), connection.body(framing)).await;
             if matches!(read, Ok(Ok(_))) {
                 self.pool.put_back(connection);
@@ -55,30 +57,33 @@
         }
     }
 
-    async fn carry(&mut self, sent: Instant) -> Result<(SocketEnd, Rest), SocketEnd> {
+    /// Sends the request and handles the answer.
+    async fn exchange(&mut self, started: Instant) -> Result<(SocketEnd, UnreadBody), SocketEnd> {
         let address = self.address.ok_or(SocketEnd::NoAddress)?;
-        let until = self.clock.at(self.sending.until_ms);
+        let deadline = self.clock.at(self.sending.until_ms);
         let (pool, request) = (self.pool.clone(), self.request.clone());
         let write_by = self.clock.at(self.sending.write_by_ms.min(self.sending.repeat_by_ms));
         let check = self.write_check(address);
-        let exchange = async move {
+        let sent = async move {
             let written = async {
                 let mut connection = pool.acquire(address).await?;
                 loop {
-                    // Lets the sockets be looked at: the client's end, or a list, may have come meanwhile.
+                    // Lets the runtime poll the sockets: the client may have closed, or a new server list may
+                    // have arrived in the meantime.
                     tokio::task::yield_now().await;
-                    let head = head(&request, check().time_left_ms().map_err(SocketEnd::Withdrawn)?);
+                    let head = request_head(&request, check().time_left_ms().map_err(SocketEnd::Withdrawn)?);
                     if connection.write(&[head.as_bytes(), &request.body]).await.is_ok() {
                         return Ok(connection);
                     }
-                    // No worker begins a request that has not come whole.
+                    // A server starts no request before it has received all of it, so a failed write on a
+                    // reused connection is repeated on a new one; on a new connection the attempt ends.
                     if connection.idle_before_ms.is_none() {
                         return Err(SocketEnd::NeverWritten);
                     }
                     connection = pool.connect(address).await?;
                 }
             };
-            // Biased: a connection that is at hand is taken, however late it is.
+            // Biased: an available connection is used even when the write deadline has passed.
             let mut connection = tokio::select! {
                 biased;
                 () = request.client.left() => return Err(SocketEnd::Withdrawn(Withdrawal::ClientGone)),
@@ -91,22 +96,22 @@
         let (connection, head) = tokio::select! {
             biased;
             _ = self.commands.recv() => return Err(SocketEnd::Stopped),
-            answered = exchange => answered?,
-            () = sleep_until(until) => return Err(SocketEnd::TimedOut),
+            answered = sent => answered?,
+            () = sleep_until(deadline) => return Err(SocketEnd::TimedOut),
         };
         self.load = head.load;
         if let Some(end) = refusal(head.status, head.declined) {
-            let rest = head.stays().then_some((connection, head.framing));
-            return Ok((end, rest));
+            let unread = head.stays().then_some((connection, head.framing));
+            return Ok((end, unread));
         }
         match (head.status, self.sending.stage) {
-            (202, Stage::Read) => self.read(connection, head, until).await,
-            (202, _) => Err(SocketEnd::Nonsense("a read where an answer was asked for".into())),
-            _ => self.answer(connection, head, until, sent).await,
+            (202, Stage::Read) => self.finish_read(connection, head, deadline).await,
+            (202, _) => Err(SocketEnd::Nonsense("202 on a request that was not sent for a read".into())),
+            _ => self.forward_answer(connection, head, deadline, started).await,
         }
     }
 
-    /// What has to hold at the write itself.
+    /// The conditions that must still hold at the moment of the write.
     fn write_check(&self, address: SocketAddr) -> impl Fn() -> WriteCheck {
         let (directory, clock, client) = (self.directory.clone(), self.clock, self.request.client.clone());
         let Sending { until_ms, repeat_by_ms, .. } = self.sending;
@@ -120,17 +125,18 @@
         }
     }
 
-    async fn read(
+    /// Handles the answer of a reader: the state is in place, and the body reports the cached tokens.
+    async fn finish_read(
         &mut self,
         mut connection: Connection,
         head: AnswerHead,
-        until: Instant,
-    ) -> Result<(SocketEnd, Rest), SocketEnd> {
+        deadline: Instant,
+    ) -> Result<(SocketEnd, UnreadBody), SocketEnd> {
         let body = tokio::select! {
             biased;
             _ = self.commands.recv() => return Err(SocketEnd::Stopped),
             body = connection.body(head.framing) => body?,
-            () = sleep_until(until) => return Err(SocketEnd::TimedOut),
+            () = sleep_until(deadline) => return Err(SocketEnd::TimedOut),
         };
         self.cached_tokens = paddleproxy_platform::events::read_kept(&body).unwrap_or(0.0);
         if head.stays() {
@@ -139,15 +145,16 @@
         Ok((SocketEnd::ReadDone, None))
     }
 
-    async fn answer(
+    /// Forwards the event stream of an answer to the client once the core has granted it.
+    async fn forward_answer(
         &mut self,
         mut connection: Connection,
         head: AnswerHead,
-        until: Instant,
-        sent: Instant,
-    ) -> Result<(SocketEnd, Rest), SocketEnd> {
+        deadline: Instant,
+        started: Instant,
+    ) -> Result<(SocketEnd, UnreadBody), SocketEnd> {
         if head.framing != Framing::Chunked {
-            return Err(SocketEnd::Nonsense("a stream that is not in chunks".into()));
+            return Err(SocketEnd::Nonsense("the stream is not chunked".into()));
         }
         let (mut chunks, mut events) = (Chunks::new(BODY_BYTES), Events::default());
         let mut stream: Option<(mpsc::Sender<StreamPart>, Pace)> = None;
@@ -155,45 +162,46 @@
             let done = chunks
                 .take(&mut connection.bytes, events.buffer())
                 .map_err(|why| SocketEnd::Nonsense(why.to_string()))?;
-            let whole = events.take().map_err(|why| SocketEnd::Nonsense(why.0.into()))?;
+            let complete_events = events.take().map_err(|why| SocketEnd::Nonsense(why.0.into()))?;
             (self.cached_tokens, self.load) = (events.kept_tokens, events.load.or(self.load));
             if done && !events.complete() {
-                return Err(SocketEnd::Nonsense("the stream ends within an event".into()));
+                return Err(SocketEnd::Nonsense("the stream ends in the middle of an event".into()));
             }
             let first = stream.is_none();
             if first && events.events > 0 {
-                let granted = self.begin(sent).await?;
+                let granted = self.request_grant(started).await?;
                 stream = Some((granted, Pace::new(self.clock.now_ms(), SILENT_MS)));
             }
-            if let Some((pieces, pace)) = stream.as_mut().filter(|_| !whole.is_empty()) {
-                // What the client takes its time for is not the worker's silence.
+            if let Some((parts, pace)) = stream.as_mut().filter(|_| !complete_events.is_empty()) {
+                // Time spent waiting for a slow client doesn't count as the server's silence.
                 let sent = tokio::select! {
                     biased;
                     _ = self.commands.recv() => return Err(SocketEnd::Stopped),
-                    sent = pieces.send(StreamPart::Events(whole)) => sent,
+                    sent = parts.send(StreamPart::Events(complete_events)) => sent,
                 };
                 sent.map_err(|_| SocketEnd::Stopped)?;
-                // The first event has begun the pace and is no gap.
+                // The pace started with the first event, so that event ends no gap.
                 if !first {
                     pace.event(self.clock.now_ms());
                 }
             }
             if done {
-                if let Some((pieces, _)) = stream {
-                    let _ = pieces.send(StreamPart::End).await;
+                if let Some((parts, _)) = stream {
+                    let _ = parts.send(StreamPart::End).await;
                 }
                 if head.stays() {
                     self.pool.put_back(connection);
                 }
                 return Ok((SocketEnd::AnswerDone, None));
             }
-            let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.until_ms()));
+            let limit = stream.as_ref().map_or(deadline, |(_, pace)| self.clock.at(pace.until_ms()));
             let read = tokio::select! {
                 biased;
                 _ = self.commands.recv() => return Err(SocketEnd::Stopped),
                 read = connection.read() => read,
                 () = sleep_until(limit) => {
-                    // A router that stood still itself has only not looked: the runtime is to see what has come.
+                    // The timer may fire because this process was stalled. If bytes wait on the socket, the
+                    // server wasn't silent: let the runtime poll the socket and read them.
                     if connection.has_unread() {
                         tokio::task::yield_now().await;
                         continue;
@@ -202,31 +210,32 @@
                 }
             };
             if !matches!(read, Ok(true)) {
-                let began = stream.is_some();
-                return Err(if began { SocketEnd::BrokeAfterFirst } else { SocketEnd::BrokeWithinAnswer });
+                let started = stream.is_some();
+                return Err(if started { SocketEnd::BrokeAfterFirst } else { SocketEnd::BrokeWithinAnswer });
             }
         }
     }
 
-    /// Asks the core whether this stream is the answer.
-    async fn begin(&mut self, sent: Instant) -> Result<mpsc::Sender<StreamPart>, SocketEnd> {
+    /// Reports the first event to the core and waits until it grants or stops this stream: of several attempts,
+    /// one alone may answer the client.
+    async fn request_grant(&mut self, started: Instant) -> Result<mpsc::Sender<StreamPart>, SocketEnd> {
         let (completion, seq) = (self.sending.completion, self.sending.seq);
-        let took_ms = sent.elapsed().as_secs_f64() * 1e3;
+        let took_ms = started.elapsed().as_secs_f64() * 1e3;
         let _ = self.core.send(CoreEvent::Began { completion, seq, took_ms }).await;
         match self.commands.recv().await {
-            Some(AttemptCommand::Grant(pieces)) => Ok(pieces),
+            Some(AttemptCommand::Grant(parts)) => Ok(parts),
             Some(AttemptCommand::Stop) | None => Err(SocketEnd::Stopped),
         }
     }
 }
 
-/// Where a granted stream goes, and where its client takes it from.
+/// The bounded channel between a granted attempt and its client's connection.
 pub fn stream_channel() -> (mpsc::Sender<StreamPart>, mpsc::Receiver<StreamPart>) {
     mpsc::channel(PIECES)
 }
 
-/// The head of an attempt; `left_ms` is how long we shall still wait.
-fn head(request: &ClientRequest, left_ms: f64) -> String {
+/// The head of the request; `left_ms` is the time left until the attempt's deadline.
+fn request_head(request: &ClientRequest, left_ms: f64) -> String {
     let ClientRequest { id, method, target, idempotency_key, body, .. } = request;
     let key = idempotency_key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     let wait_s = left_ms / 1e3;
--- a/crates/gateway/src/attempt/tests.rs
+++ b/crates/gateway/src/attempt/tests.rs
@@ -1,5 +1,5 @@
-//! What comes between the decision for an attempt and its write. The test acts between two polls of the attempt: after it
-//! has asked for its connection, before it writes.
+//! Tests of events between the decision for an attempt and its write. Each test acts between two polls of the
+//! attempt: after the attempt has requested its connection and before it writes.
 
 use std::io::Read;
 use std::net::TcpListener;
@@ -14,16 +14,16 @@
 
 const WORKER: &str = "s-1";
 
-struct Scene {
+struct Fixture {
     listener: TcpListener,
     directory: Rc<RefCell<ServerDirectory>>,
     client: Rc<ClientPresence>,
     clock: Clock,
-    told: mpsc::Receiver<CoreEvent>,
+    events: mpsc::Receiver<CoreEvent>,
     _commands: mpsc::Sender<AttemptCommand>,
 }
 
-fn listed(address: SocketAddr, readiness: Readiness) -> List {
+fn server_list(address: SocketAddr, readiness: Readiness) -> List {
     let listing = Listing {
         worker: WorkerId(WORKER.into()),
         zone: ZoneId(0),
@@ -36,13 +36,13 @@
     List { version: 1, whole: true, rows: vec![Row { listing, dial: Some(address) }], unknown: 0 }
 }
 
-impl Scene {
-    /// Starts an attempt and comes back once it waits for its connection.
-    async fn start(change: impl Fn(&mut Sending)) -> Scene {
+impl Fixture {
+    /// Starts an attempt and returns once it waits for its connection.
+    async fn start(change: impl Fn(&mut Sending)) -> Fixture {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let directory = Rc::new(RefCell::new(ServerDirectory::new(None)));
-        directory.borrow_mut().apply_list(listed(address, Readiness::Ready), ListKind::Whole);
+        directory.borrow_mut().apply_list(server_list(address, Readiness::Ready), ListKind::Whole);
         let (clock, client) = (Clock::start(), Rc::new(ClientPresence::default()));
         let request = ClientRequest {
             id: "a1".into(),
@@ -65,8 +65,8 @@
             repeat_by_ms: f64::INFINITY,
         };
         change(&mut sending);
-        let ((core, told), (sender, commands)) = (mpsc::channel(8), mpsc::channel(2));
-        let dispatch = Attempt {
+        let ((core, events), (sender, commands)) = (mpsc::channel(8), mpsc::channel(2));
+        let attempt = Attempt {
             sending,
             address: Some(address),
             request: Rc::new(request),
@@ -78,19 +78,19 @@
             cached_tokens: 0.0,
             load: None,
         };
-        tokio::task::spawn_local(dispatch.run());
+        tokio::task::spawn_local(attempt.run());
         tokio::task::yield_now().await;
-        Scene { listener, directory, client, clock, told, _commands: sender }
+        Fixture { listener, directory, client, clock, events, _commands: sender }
     }
 
     async fn end(&mut self) -> SocketEnd {
-        match self.told.recv().await {
+        match self.events.recv().await {
             Some(CoreEvent::Ended { end, .. }) => end.end,
-            _ => panic!("no end"),
+            _ => panic!("the attempt reported no end"),
         }
     }
 
-    /// What the server was sent in all.
+    /// All bytes that the server received before the connection closed.
     fn received(&self) -> Vec<u8> {
         let (mut server, _) = self.listener.accept().unwrap();
         let mut bytes = Vec::new();
@@ -98,8 +98,8 @@
         bytes
     }
 
-    /// The first bytes of a request that is under way.
-    async fn under_way(&self) -> String {
+    /// The first bytes of a request that is being sent.
+    async fn first_bytes(&self) -> String {
         let (server, _) = self.listener.accept().unwrap();
         server.set_nonblocking(true).unwrap();
         let mut bytes = [0; 1024];
@@ -118,82 +118,89 @@
 }
 
 #[test]
-fn an_attempt_that_nothing_crosses_is_written() {
+fn an_undisturbed_attempt_is_written() {
     local(async {
-        let scene = Scene::start(|_| {}).await;
-        let text = scene.under_way().await;
+        let fixture = Fixture::start(|_| {}).await;
+        let text = fixture.first_bytes().await;
         assert!(text.starts_with("POST /v1/chat/completions HTTP/1.1\r\n"), "{text}");
     });
 }
 
 #[test]
-fn an_attempt_whose_client_leaves_during_the_connect_is_not_written() {
+fn an_attempt_whose_client_disconnects_during_connect_is_not_written() {
     local(async {
-        let mut scene = Scene::start(|_| {}).await;
-        scene.client.leave();
-        assert_eq!(scene.end().await, SocketEnd::Withdrawn(Withdrawal::ClientGone));
-        assert_eq!(scene.received(), b"");
+        let mut fixture = Fixture::start(|_| {}).await;
+        fixture.client.leave();
+        assert_eq!(fixture.end().await, SocketEnd::Withdrawn(Withdrawal::ClientGone));
+        assert_eq!(fixture.received(), b"");
     });
 }
 
 #[test]
-fn an_attempt_at_a_server_that_drains_or_moves_during_the_connect_is_not_written() {
+fn an_attempt_at_a_server_that_drains_or_moves_during_connect_is_not_written() {
     local(async {
         let elsewhere: SocketAddr = "127.0.0.1:9".parse().unwrap();
         for (moves, readiness) in
             [(false, Readiness::Draining), (false, Readiness::Gone), (true, Readiness::Ready)]
         {
-            let mut scene = Scene::start(|_| {}).await;
-            let here = scene.listener.local_addr().unwrap();
-            let list = listed(if moves { elsewhere } else { here }, readiness);
-            scene.directory.borrow_mut().apply_list(list, ListKind::Changes);
-            assert_eq!(scene.end().await, SocketEnd::Withdrawn(Withdrawal::ServerNotReady), "{readiness:?}");
-            assert_eq!(scene.received(), b"", "{readiness:?}");
+            let mut fixture = Fixture::start(|_| {}).await;
+            let here = fixture.listener.local_addr().unwrap();
+            let list = server_list(if moves { elsewhere } else { here }, readiness);
+            fixture.directory.borrow_mut().apply_list(list, ListKind::Changes);
+            assert_eq!(
+                fixture.end().await,
+                SocketEnd::Withdrawn(Withdrawal::ServerNotReady),
+                "{readiness:?}"
+            );
+            assert_eq!(fixture.received(), b"", "{readiness:?}");
         }
     });
 }
 
 #[test]
-fn a_repeat_whose_window_ends_during_the_connect_is_not_written() {
+fn a_retry_whose_window_ends_during_connect_is_not_written() {
     local(async {
-        // The window is over at once; nothing but the check at the write can say so before the connection is up.
-        let mut scene = Scene::start(|sending| sending.repeat_by_ms = 0.0).await;
-        let end = scene.end().await;
+        // The window has ended already. Before the connection is up only the check at the write can detect it.
+        let mut fixture = Fixture::start(|sending| sending.repeat_by_ms = 0.0).await;
+        let end = fixture.end().await;
         assert!(
             matches!(end, SocketEnd::Withdrawn(Withdrawal::RepeatTooLate) | SocketEnd::ConnectTimedOut),
             "{end:?}"
         );
-        assert_eq!(scene.received(), b"");
+        assert_eq!(fixture.received(), b"");
     });
 }
 
 #[test]
-fn an_attempt_without_time_left_is_not_written() {
+fn an_attempt_past_its_deadline_is_not_written() {
     local(async {
         for left_ms in [0.0, 0.4] {
-            let mut scene =
-                Scene::start(|sending| sending.until_ms = sending.until_ms - 20_000.0 + left_ms).await;
-            let end = scene.end().await;
+            let mut fixture =
+                Fixture::start(|sending| sending.until_ms = sending.until_ms - 20_000.0 + left_ms).await;
+            let end = fixture.end().await;
             assert!(
                 matches!(end, SocketEnd::Withdrawn(Withdrawal::OutOfTime) | SocketEnd::TimedOut),
                 "{end:?}"
             );
-            assert_eq!(scene.received(), b"");
+            assert_eq!(fixture.received(), b"");
         }
     });
 }
 
-/// The time told is what is left when the head is written, not when the attempt was decided.
+/// `Req-Deadline` is computed when the head is written, not when the attempt was decided.
 #[test]
-fn the_time_told_is_at_most_what_is_left_at_the_write() {
+fn the_announced_deadline_is_at_most_the_time_left_at_the_write() {
     local(async {
-        let scene = Scene::start(|_| {}).await;
-        // Blocks the thread: the attempt can't go on meanwhile.
+        let fixture = Fixture::start(|_| {}).await;
+        // Blocks the thread, so the attempt makes no progress.
         std::thread::sleep(Duration::from_millis(60));
-        let before_ms = scene.clock.now_ms();
-        let text = scene.under_way().await;
-        let told = text.lines().find_map(|line| line.strip_prefix("Req-Deadline: ")).unwrap();
-        let told_ms = told.parse::<f64>().unwrap() * 1e3;
-        assert!(told_ms > 0.0 && told_ms <= 20_000.0 + 1.0 - before_ms + 0.5, "{told_ms} at {before_ms}");
+        let before_ms = fixture.clock.now_ms();
+        let text = fixture.first_bytes().await;
+        let announced = text.lines().find_map(|line| line.strip_prefix("Req-Deadline: ")).unwrap();
+        let announced_ms = announced.parse::<f64>().unwrap() * 1e3;
+        assert!(
+            announced_ms > 0.0 && announced_ms <= 20_000.0 + 1.0 - before_ms + 0.5,
+            "{announced_ms} at {before_ms}"
+        );
     });
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -141,7 +141,7 @@
             CoreEvent::LastAnswers => self.handle_input(Input::Stop { streams: false }),
             CoreEvent::QueryStats(to) => {
                 let stats = format!(
-                    "{:?}; pending answers {}, attempt ends {:?}, releases {}, connections: {} open, {} opened",
+                    "{:?}; pending answers {}, attempt ends {:?}, releases {}, connections open {}, opened {}",
                     self.ledger.counts(),
                     self.pending_answers.len(),
                     self.attempt_ends,
