--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -33,8 +33,8 @@
     pub load: Option<LoadReport>,
 }
 
-/// A connection with a body that is still unread when the attempt's result is known. It is drained afterwards so
-/// that the connection can be reused.
+/// A connection with an unread body at the time when the attempt's result is known. The body is drained after
+/// the result is reported, so that the connection can be reused.
 type UnreadBody = Option<(Connection, Framing)>;
 
 impl Attempt {
@@ -64,7 +64,7 @@
         let (pool, request) = (self.pool.clone(), self.request.clone());
         let write_by = self.clock.at(self.sending.write_by_ms.min(self.sending.repeat_by_ms));
         let check = self.write_check(address);
-        let sent = async move {
+        let response = async move {
             let written = async {
                 let mut connection = pool.acquire(address).await?;
                 loop {
@@ -96,7 +96,7 @@
         let (connection, head) = tokio::select! {
             biased;
             _ = self.commands.recv() => return Err(SocketEnd::Stopped),
-            answered = sent => answered?,
+            response = response => response?,
             () = sleep_until(deadline) => return Err(SocketEnd::TimedOut),
         };
         self.load = head.load;
@@ -210,14 +210,14 @@
                 }
             };
             if !matches!(read, Ok(true)) {
-                let started = stream.is_some();
-                return Err(if started { SocketEnd::BrokeAfterFirst } else { SocketEnd::BrokeWithinAnswer });
+                let granted = stream.is_some();
+                return Err(if granted { SocketEnd::BrokeAfterFirst } else { SocketEnd::BrokeWithinAnswer });
             }
         }
     }
 
-    /// Reports the first event to the core and waits until it grants or stops this stream: of several attempts,
-    /// one alone may answer the client.
+    /// Reports the first event to the core and waits until it grants or stops this stream: only one attempt
+    /// of a request may answer the client.
     async fn request_grant(&mut self, started: Instant) -> Result<mpsc::Sender<StreamPart>, SocketEnd> {
         let (completion, seq) = (self.sending.completion, self.sending.seq);
         let took_ms = started.elapsed().as_secs_f64() * 1e3;
@@ -240,7 +240,8 @@
     let key = idempotency_key.as_ref().map_or(String::new(), |key| format!("Idempotency-Key: {key}\r\n"));
     let wait_s = left_ms / 1e3;
     format!(
-        "{method} {target} HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Deadline: {wait_s:.3}\r\n{key}\
+        "{method} {target} HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\n\
+         Req-Deadline: {wait_s:.3}\r\n{key}\
          Content-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         body.len()
     )
--- a/crates/gateway/src/attempt/tests.rs
+++ b/crates/gateway/src/attempt/tests.rs
@@ -160,7 +160,7 @@
 #[test]
 fn a_retry_whose_window_ends_during_connect_is_not_written() {
     local(async {
-        // The window has ended already. Before the connection is up only the check at the write can detect it.
+        // The window has ended already. Until the connection is up, only the check at the write detects it.
         let mut fixture = Fixture::start(|sending| sending.repeat_by_ms = 0.0).await;
         let end = fixture.end().await;
         assert!(
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -24,18 +24,24 @@
 use crate::pool::Pool;
 use crate::servers::{hold_path, Releases, ServerDirectory};
 
+/// Lives as long as the router.
 pub struct Core {
     ledger: Book,
     provision: Rc<Provision>,
     pool: Rc<Pool>,
+    /// Answers that clients wait for. Each is consumed by giving it.
     pending_answers: BTreeMap<CompletionId, Duty<Reply>>,
     requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
+    /// Commands to the running attempts.
     commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
     /// Addresses of the listed workers, and which of them answered recently.
     directory: Rc<RefCell<ServerDirectory>>,
+    /// How many attempts ended in each way.
     attempt_ends: BTreeMap<&'static str, u64>,
     releases: Rc<Releases>,
+    /// The sender of the core's own channel, for the tasks that it starts.
     events: CoreSender,
+    /// Requests to the discovery task to fetch the whole list.
     refetches: mpsc::Sender<Refetch>,
 }
 
@@ -141,7 +147,8 @@
             CoreEvent::LastAnswers => self.handle_input(Input::Stop { streams: false }),
             CoreEvent::QueryStats(to) => {
                 let stats = format!(
-                    "{:?}; pending answers {}, attempt ends {:?}, releases {}, connections open {}, opened {}",
+                    "{:?}; pending answers {}, attempt ends {:?}, releases {}, \
+                     connections {} open and {} opened",
                     self.ledger.counts(),
                     self.pending_answers.len(),
                     self.attempt_ends,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,5 @@
-//! Connections to workers: one request at a time on each, kept and used again, the newest first.
+//! A pool of HTTP/1.1 connections to servers. Each carries one request at a time and is kept for reuse; the
+//! one that was used last is reused first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,18 +25,22 @@
 }
 
 pub struct Pool {
+    /// Idle connections by server, the least recently used first.
     idle: RefCell<BTreeMap<SocketAddr, Vec<Idle>>>,
-    /// Workers that broke a connection when it was used again: for how long theirs may rest, and since when.
-    short: RefCell<BTreeMap<SocketAddr, (f64, Instant)>>,
-    /// Connections that stand or are being made.
-    held: Rc<Cell<usize>>,
-    most: Cell<usize>,
-    connect_ms: Cell<f64>,
+    /// Servers that broke a reused connection: the reduced idle limit of their connections, in ms, and when
+    /// it was set.
+    reduced_idle: RefCell<BTreeMap<SocketAddr, (f64, Instant)>>,
+    /// Connections that are open or being opened.
+    open: Rc<Cell<usize>>,
+    max_open: Cell<usize>,
+    connect_timeout_ms: Cell<f64>,
+    /// After this time a server may close an idle connection.
     idle_ms: Cell<f64>,
+    /// Connection attempts since the start.
     pub opened: Cell<u64>,
 }
 
-/// Counts a connection for as long as it lives.
+/// Counts a connection as open until it is dropped.
 struct Slot(Rc<Cell<usize>>);
 
 impl Drop for Slot {
@@ -44,24 +49,25 @@
     }
 }
 
-/// A connection in use; dropped, it closes.
+/// A connection in use. Dropping it closes it.
 pub struct Connection {
     stream: Stream,
     pub address: SocketAddr,
-    /// How long it had rested, in ms, if it has carried a request before.
+    /// How long it was idle before this use, in ms; none for a new connection.
     pub idle_before_ms: Option<f64>,
     pub bytes: BytesMut,
     slot: Slot,
 }
 
-/// How far a request was written when its connection failed.
+/// The connection failed before the request was written in full.
 pub struct WriteFailed;
 
 impl Connection {
-    /// Writes all of a request.
+    /// Writes a whole request.
     ///
     /// # Errors
-    /// The connection failed before the last byte was taken: the request can't have begun.
+    /// The connection failed before the socket accepted the last byte: the server can't have started the
+    /// request.
     pub async fn write(&mut self, request: &[&[u8]]) -> Result<(), WriteFailed> {
         for part in request {
             self.stream.write_all(part).await.map_err(|_| WriteFailed)?;
@@ -69,15 +75,15 @@
         Ok(())
     }
 
-    /// Whether bytes have come, by the system itself, that were not read yet.
+    /// Whether the kernel has received bytes that were not read yet. Asks the kernel, not the runtime.
     pub fn has_unread(&self) -> bool {
         self.stream.bytes_wait()
     }
 
-    /// Reads more into `bytes`; false at the end of the connection.
+    /// Reads more into `bytes`; false once the server has closed the connection.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection failed.
     pub async fn read(&mut self) -> Result<bool, ()> {
         self.stream.read_some(&mut self.bytes).await.map(|read| read > 0).map_err(|_| ())
     }
@@ -112,7 +118,7 @@
     }
 }
 
-/// Reads a body of at most so many bytes to its end.
+/// Reads a body of at most `max_bytes` to its end.
 ///
 /// # Errors
 /// How the socket ended.
@@ -120,14 +126,14 @@
     stream: &Stream,
     bytes: &mut BytesMut,
     framing: Framing,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<BytesMut, SocketEnd> {
     let mut body = BytesMut::new();
-    let mut chunks = Chunks::new(most);
-    let long = || Err(SocketEnd::Nonsense("the answer is too long".into()));
+    let mut chunks = Chunks::new(max_bytes);
+    let too_long = || Err(SocketEnd::Nonsense("the answer is too long".into()));
     loop {
         match framing {
-            Framing::Length(length) if length > most => return long(),
+            Framing::Length(length) if length > max_bytes => return too_long(),
             Framing::Length(length) if bytes.len() >= length => return Ok(bytes.split_to(length)),
             Framing::Chunked => match chunks.take(bytes, &mut body) {
                 Ok(true) => return Ok(body),
@@ -136,8 +142,8 @@
             },
             _ => {}
         }
-        if bytes.len() + body.len() > most {
-            return long();
+        if bytes.len() + body.len() > max_bytes {
+            return too_long();
         }
         match stream.read_some(bytes).await {
             Ok(0) if framing == Framing::Close => return Ok(bytes.split()),
@@ -148,46 +154,48 @@
 }
 
 impl Pool {
-    pub fn new(most: usize, connect_ms: f64, idle_ms: f64) -> Self {
+    pub fn new(max_open: usize, connect_timeout_ms: f64, idle_ms: f64) -> Self {
         Pool {
             idle: RefCell::default(),
-            short: RefCell::default(),
-            held: Rc::default(),
-            most: Cell::new(most),
-            connect_ms: Cell::new(connect_ms),
+            reduced_idle: RefCell::default(),
+            open: Rc::default(),
+            max_open: Cell::new(max_open),
+            connect_timeout_ms: Cell::new(connect_timeout_ms),
             idle_ms: Cell::new(idle_ms),
             opened: Cell::new(0),
         }
     }
 
-    /// Other bounds and times from now on.
-    pub fn reconfigure(&self, most: usize, connect_ms: f64, idle_ms: f64) {
-        self.most.set(most);
-        self.connect_ms.set(connect_ms);
+    /// Replaces the limits, as after a reload of the settings.
+    pub fn reconfigure(&self, max_open: usize, connect_timeout_ms: f64, idle_ms: f64) {
+        self.max_open.set(max_open);
+        self.connect_timeout_ms.set(connect_timeout_ms);
         self.idle_ms.set(idle_ms);
     }
 
     pub fn connect_timeout_ms(&self) -> f64 {
-        self.connect_ms.get()
+        self.connect_timeout_ms.get()
     }
 
-    /// Connections that stand or are being made, idle ones included.
+    /// Connections that are open or being opened, idle ones included.
     pub fn open_connections(&self) -> usize {
-        self.held.get()
+        self.open.get()
     }
 
-    /// A kept connection on which nothing has come since.
-    fn kept(&self, address: SocketAddr) -> Option<Connection> {
-        let may_rest_ms = self.may_rest_ms(address);
+    /// The idle connection that was used last and on which nothing has arrived since; drops closed ones and
+    /// those that were idle for too long.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        let max_idle_ms = self.max_idle_ms(address);
         let mut idle = self.idle.borrow_mut();
         let kept = idle.get_mut(&address)?;
         let now = Instant::now();
-        let oldest = now.checked_sub(duration(may_rest_ms));
-        let rested = now.checked_sub(duration(REST_MS));
+        let oldest = now.checked_sub(duration(max_idle_ms));
+        let newest = now.checked_sub(duration(REST_MS));
         let mut row = kept.len();
         while row > 0 {
             row -= 1;
-            if rested.is_some_and(|rested| kept[row].since > rested) {
+            // Used so recently that bytes beyond its last answer may still arrive.
+            if newest.is_some_and(|newest| kept[row].since > newest) {
                 continue;
             }
             let idle = kept.remove(row);
@@ -200,15 +208,20 @@
         None
     }
 
-    /// For how long a connection to a worker may rest and be used again, in ms.
-    fn may_rest_ms(&self, address: SocketAddr) -> f64 {
-        let usual_ms = self.idle_ms.get() * WORKER_IDLE;
-        self.short.borrow().get(&address).map_or(usual_ms, |(short_ms, _)| short_ms.min(usual_ms))
+    /// How long a connection to a server may be idle and still be reused, in ms.
+    fn max_idle_ms(&self, address: SocketAddr) -> f64 {
+        let default_ms = self.idle_ms.get() * WORKER_IDLE;
+        self.reduced_idle
+            .borrow()
+            .get(&address)
+            .map_or(default_ms, |(reduced_ms, _)| reduced_ms.min(default_ms))
     }
 
-    /// Reads the head of an answer, and learns where a connection that had rested breaks under its request. Guards
-    /// against workers that close what rests sooner than the settings say: each such break may have run, and counts
-    /// against the worker. Harm: a worker that breaks connections for another cause gets more new ones.
+    /// Reads the head of an answer. If a reused connection breaks before the head, reduces the idle limit for
+    /// that server to half of the time that this connection was idle or half of the present limit, whichever
+    /// is less. Guards against servers that close idle connections sooner than the settings say: each such
+    /// break is a request that may have run, and counts as a failure of the server. Cost: a server that
+    /// breaks connections for another reason gets more new ones.
     ///
     /// # Errors
     /// How the socket ended.
@@ -216,36 +229,36 @@
         let head = connection.head().await;
         if let (Err(SocketEnd::BrokeBeforeAnswer), Some(idle_before_ms)) = (&head, connection.idle_before_ms)
         {
-            let short_ms =
-                (self.may_rest_ms(connection.address) / 2.0).min(idle_before_ms / 2.0).max(REST_MS);
-            self.short.borrow_mut().insert(connection.address, (short_ms, Instant::now()));
+            let reduced_ms =
+                (self.max_idle_ms(connection.address) / 2.0).min(idle_before_ms / 2.0).max(REST_MS);
+            self.reduced_idle.borrow_mut().insert(connection.address, (reduced_ms, Instant::now()));
         }
         head
     }
 
-    /// A kept connection, or a new one.
+    /// An idle connection, or a new one.
     ///
     /// # Errors
-    /// No connection came up in time.
+    /// No connection was established in time, or the connection limit is reached.
     pub async fn acquire(&self, address: SocketAddr) -> Result<Connection, SocketEnd> {
-        match self.kept(address) {
-            Some(kept) => Ok(kept),
+        match self.take_idle(address) {
+            Some(connection) => Ok(connection),
             None => self.connect(address).await,
         }
     }
 
-    /// A new connection.
+    /// A new connection. At the connection limit, an idle connection is closed to make room.
     ///
     /// # Errors
-    /// None came up in time, or there is no descriptor left for it.
+    /// None was established in time, or no file descriptor is left for it.
     pub async fn connect(&self, address: SocketAddr) -> Result<Connection, SocketEnd> {
-        if self.held.get() >= self.most.get() && !self.give_up_one() {
+        if self.open.get() >= self.max_open.get() && !self.close_oldest_idle() {
             return Err(SocketEnd::NoRoom);
         }
-        self.held.set(self.held.get() + 1);
-        let slot = Slot(self.held.clone());
+        self.open.set(self.open.get() + 1);
+        let slot = Slot(self.open.clone());
         self.opened.set(self.opened.get() + 1);
-        match timeout(duration(self.connect_ms.get()), self.connected(address)).await {
+        match timeout(duration(self.connect_timeout_ms.get()), self.open_stream(address)).await {
             Err(_) => Err(SocketEnd::ConnectTimedOut),
             Ok(Ok(stream)) => {
                 Ok(Connection { stream, address, idle_before_ms: None, bytes: BytesMut::new(), slot })
@@ -259,18 +272,20 @@
         }
     }
 
-    /// Connects; where the process has no descriptor left, what rests gives its own.
-    async fn connected(&self, address: SocketAddr) -> std::io::Result<Stream> {
+    /// Connects. If the process has no file descriptor left, closes idle connections to free one.
+    async fn open_stream(&self, address: SocketAddr) -> std::io::Result<Stream> {
         loop {
             match paddleproxy_sockets::connect(address).await {
                 Err(cause)
-                    if Shortage::of(&cause) == Some(Shortage::OwnDescriptors) && self.give_up_one() => {}
+                    if Shortage::of(&cause) == Some(Shortage::OwnDescriptors) && self.close_oldest_idle() => {
+                }
                 done => return done,
             }
         }
     }
 
-    /// Gives a connection back whose answer was read to its end; one that brought more than that closes.
+    /// Returns a connection to the pool after its answer was read to the end. One with bytes beyond the
+    /// answer is closed.
     pub fn put_back(&self, connection: Connection) {
         let Connection { stream, address, bytes, slot, .. } = connection;
         if bytes.is_empty() {
@@ -279,8 +294,8 @@
         }
     }
 
-    /// Closes the idle connection that was used longest ago, of any worker.
-    fn give_up_one(&self) -> bool {
+    /// Closes the least recently used idle connection of any server; false if none is idle.
+    fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let oldest = idle.iter().filter_map(|(address, kept)| Some((kept.first()?.since, *address))).min();
         let Some((_, address)) = oldest else { return false };
@@ -294,10 +309,11 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Closes what has been idle for too long, and what workers closed; called now and then.
+    /// Closes connections that were idle for too long or were closed by the server, and drops expired idle
+    /// limits. Called periodically.
     pub fn sweep(&self) {
-        let lasts = duration(self.idle_ms.get());
-        self.short.borrow_mut().retain(|_, (_, since)| since.elapsed() < lasts);
+        let expiry = duration(self.idle_ms.get());
+        self.reduced_idle.borrow_mut().retain(|_, (_, since)| since.elapsed() < expiry);
         let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE));
         self.idle.borrow_mut().retain(|_, kept| {
             kept.retain(|idle| idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest));
@@ -305,7 +321,7 @@
         });
     }
 
-    /// One small call without a body and its whole answer, within a time.
+    /// Sends a small request without a body and reads the whole answer, within `timeout_ms`.
     ///
     /// # Errors
     /// How the socket ended.
@@ -314,7 +330,7 @@
         address: SocketAddr,
         method: &str,
         path: &str,
-        within_ms: f64,
+        timeout_ms: f64,
     ) -> Result<(AnswerHead, BytesMut), SocketEnd> {
         let request = format!("{method} {path} HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 0\r\n\r\n");
         let exchange = async {
@@ -330,7 +346,7 @@
             }
             Ok((head, body))
         };
-        timeout(duration(within_ms), exchange).await.unwrap_or(Err(SocketEnd::TimedOut))
+        timeout(duration(timeout_ms), exchange).await.unwrap_or(Err(SocketEnd::TimedOut))
     }
 }
 
