--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the tasks and the core: what the core is told, and what a client's connection and an attempt are
-//! handed. Tasks and core import these, not each other.
+//! The messages between the tasks and the core: events for the core, replies for client connections, commands
+//! for attempts. Tasks and core import this module, not each other.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,33 +11,19 @@
 use paddleproxy_routing::SocketEnd;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// What the core is told.
+/// Events for the core.
 pub enum CoreEvent {
-    Arrived {
-        arrival: Arrival,
-        request: Rc<ClientRequest>,
-        pending_answer: Duty<Reply>,
-    },
-    Began {
-        completion: CompletionId,
-        seq: Seq,
-        took_ms: f64,
-    },
-    Ended {
-        completion: CompletionId,
-        seq: Seq,
-        took_ms: f64,
-        end: AttemptEnd,
-    },
-    Left {
-        completion: CompletionId,
-    },
-    Probed {
-        worker: WorkerId,
-        load: Option<LoadReport>,
-        answered: bool,
-        took_ms: f64,
-    },
+    /// A client's request was read in full.
+    Arrived { arrival: Arrival, request: Rc<ClientRequest>, pending_answer: Duty<Reply> },
+    /// An attempt has received the first event of its answer.
+    Began { completion: CompletionId, seq: Seq, took_ms: f64 },
+    /// An attempt has ended.
+    Ended { completion: CompletionId, seq: Seq, took_ms: f64, end: AttemptEnd },
+    /// A client has disconnected before the end of its answer.
+    Left { completion: CompletionId },
+    /// A probe of a server has ended.
+    Probed { worker: WorkerId, load: Option<LoadReport>, answered: bool, took_ms: f64 },
+    /// A server has answered a request to hold a place.
     HoldAnswered {
         completion: CompletionId,
         seq: Seq,
@@ -45,19 +31,21 @@
         request: Rc<ClientRequest>,
         held: bool,
     },
-    /// What discovery says.
+    /// A list from discovery.
     Listed(List),
+    /// Reloaded settings.
     Settings(Rc<Provision>),
-    /// The router ends: what has no answer yet is answered now; streams that run go on.
+    /// The router shuts down: every request without an answer gets its final one now; running streams
+    /// continue.
     LastAnswers,
-    /// Open work, and figures for the log.
+    /// Asks for the number of open requests and releases, and for statistics for the log.
     QueryStats(oneshot::Sender<(usize, String)>),
 }
 
-/// Where tasks send what the core is to know.
+/// The sending half of the core's channel.
 pub type CoreSender = mpsc::Sender<CoreEvent>;
 
-/// What a client asked for, as workers are given it: unchanged.
+/// A client's request in the form in which servers get it: unchanged.
 pub struct ClientRequest {
     pub id: Rc<str>,
     pub method: String,
@@ -65,11 +53,11 @@
     pub idempotency_key: Option<String>,
     pub body: Bytes,
     pub client: Rc<ClientPresence>,
-    /// Gives the bytes back to the total when it ends.
+    /// Holds the body's share of the limit on open bodies until the request is dropped.
     pub _held: BodyBytes,
 }
 
-/// Whether the client that asked is still there: said by its connection, asked by its attempts.
+/// Whether the client of a request is still connected: set by its connection, read by its attempts.
 #[derive(Default)]
 pub struct ClientPresence {
     gone: Cell<bool>,
@@ -95,27 +83,27 @@
     }
 }
 
-/// Bytes of open bodies.
+/// A reservation from the limit on the bytes of all open request bodies. Dropping it returns the bytes.
 pub struct BodyBytes {
     total: Rc<Cell<usize>>,
     bytes: usize,
 }
 
 impl BodyBytes {
-    /// None where the total would pass the bound.
-    pub fn take(total: &Rc<Cell<usize>>, bytes: usize, most: usize) -> Option<BodyBytes> {
-        let sum = total.get().checked_add(bytes).filter(|sum| *sum <= most)?;
+    /// Reserves `bytes`; none if the total would exceed `max_total`.
+    pub fn take(total: &Rc<Cell<usize>>, bytes: usize, max_total: usize) -> Option<BodyBytes> {
+        let sum = total.get().checked_add(bytes).filter(|sum| *sum <= max_total)?;
         total.set(sum);
         Some(BodyBytes { total: total.clone(), bytes })
     }
 }
 
 impl BodyBytes {
-    /// Gives back what turned out not to be needed.
+    /// Reduces the reservation to `bytes`.
     pub fn shrink(&mut self, bytes: usize) {
-        let less = self.bytes.saturating_sub(bytes);
-        self.total.set(self.total.get() - less);
-        self.bytes -= less;
+        let returned = self.bytes.saturating_sub(bytes);
+        self.total.set(self.total.get() - returned);
+        self.bytes -= returned;
     }
 }
 
@@ -125,14 +113,14 @@
     }
 }
 
-/// A piece of a streamed answer for its client.
+/// A part of a streamed answer for the client's connection.
 pub enum StreamPart {
     Events(Bytes),
-    /// The answer is whole. Without it the client's connection breaks off.
+    /// The answer is complete. If the channel closes without it, the client's connection is closed early.
     End,
 }
 
-/// What a client's connection is handed.
+/// The reply to a client's connection.
 pub enum Reply {
     RateLimited { retry_after_ms: f64 },
     Aborted,
@@ -145,13 +133,15 @@
     }
 }
 
-/// What the core tells a dispatch that is out.
+/// Commands for a running attempt.
 pub enum AttemptCommand {
+    /// Its stream is the answer: forward it here.
     Grant(mpsc::Sender<StreamPart>),
+    /// End now and close the connection.
     Stop,
 }
 
-/// How it ended, with what it brought.
+/// How an attempt ended, and what its server reported.
 pub struct AttemptEnd {
     pub end: SocketEnd,
     pub cached_tokens: f64,
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,5 +1,6 @@
-//! Letting go: the calls by which workers are told that what is held for a completion is no longer wanted. Whom, when
-//! and how often is decided in `paddleproxy_routing::letgo`; here are the sockets, the count and the log.
+//! The listed servers with their addresses, and releases: calls that ask a server to free what it holds for a
+//! request that no longer needs it. Which servers are called, when and how often is decided in
+//! `paddleproxy_routing::letgo`; this module does the calls, counts them and logs them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,9 +18,9 @@
 
 use crate::pool::Pool;
 
-/// The listed workers: where each is reached, and who answered of late.
+/// The listed servers: their addresses, which of them drain, and which answered recently.
 pub struct ServerDirectory {
-    dials: BTreeMap<WorkerId, Option<SocketAddr>>,
+    addresses: BTreeMap<WorkerId, Option<SocketAddr>>,
     draining: BTreeSet<WorkerId>,
     pub reachability: Hearing,
 }
@@ -27,16 +28,16 @@
 impl ServerDirectory {
     pub fn new(own_zone: Option<ZoneId>) -> Self {
         ServerDirectory {
-            dials: BTreeMap::new(),
+            addresses: BTreeMap::new(),
             draining: BTreeSet::new(),
             reachability: Hearing::new(own_zone),
         }
     }
 
-    /// Takes over where workers are; what is left of the list is for the decisions.
+    /// Applies a list to the addresses and returns its rows for the decision modules.
     pub fn apply_list(&mut self, list: List, kind: ListKind) -> Arc<[Listing]> {
         if kind != ListKind::Changes {
-            self.dials.clear();
+            self.addresses.clear();
             self.draining.clear();
         }
         for row in &list.rows {
@@ -46,9 +47,9 @@
                 Readiness::Ready | Readiness::Gone => self.draining.remove(&worker),
             };
             if row.listing.readiness == Readiness::Gone {
-                self.dials.remove(&worker);
+                self.addresses.remove(&worker);
             } else {
-                self.dials.insert(worker, row.dial);
+                self.addresses.insert(worker, row.dial);
             }
         }
         let rows: Arc<[Listing]> = list.rows.into_iter().map(|row| row.listing).collect();
@@ -57,14 +58,15 @@
     }
 
     pub fn address(&self, worker: &WorkerId) -> Option<SocketAddr> {
-        self.dials.get(worker).copied().flatten()
+        self.addresses.get(worker).copied().flatten()
     }
 
-    /// Whether it takes new work, by the list, and still at this address.
+    /// Whether, by the list, the server accepts new requests and still has this address.
     pub fn is_ready(&self, worker: &WorkerId, address: SocketAddr) -> bool {
         self.address(worker) == Some(address) && !self.draining.contains(worker)
     }
 
+    /// Records whether a server answered a call.
     pub fn record_call(&mut self, worker: &WorkerId, answered: bool, now_ms: f64) {
         match answered {
             true => self.reachability.answered(worker, now_ms),
@@ -73,72 +75,75 @@
     }
 }
 
-/// Where a place is held and let go of, by the request's id.
+/// The path at which a place on a server is reserved and released for a request id.
 pub fn hold_path(id: &str) -> String {
     format!("/bootstrap/rooms/{id}")
 }
 
-/// Counts since the start.
+/// Releases since the start; the log prints the names of the fields.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
+    /// Releases that a server acknowledged.
     heard: u64,
-    /// Calls for those, and the longest that one took, in ms.
+    /// Calls made for those, and the longest time until an acknowledgement, in ms.
     calls: u64,
     longest_ms: f64,
 }
 
-/// What is being let go of.
+/// Sends releases and counts them. Lives as long as the router.
 pub struct Releases {
     pool: Rc<Pool>,
     directory: Rc<RefCell<ServerDirectory>>,
     clock: Clock,
     seed: u64,
-    out: Cell<usize>,
+    in_flight: Cell<usize>,
     counts: Cell<Counts>,
-    unheard: Unheard,
+    undelivered: Unheard,
 }
 
 impl Releases {
     pub fn new(pool: Rc<Pool>, directory: Rc<RefCell<ServerDirectory>>, clock: Clock, seed: u64) -> Self {
-        let (out, counts, unheard) = (Cell::new(0), Cell::default(), Unheard::default());
-        Releases { pool, directory, clock, seed, out, counts, unheard }
+        let (in_flight, counts, undelivered) = (Cell::new(0), Cell::default(), Unheard::default());
+        Releases { pool, directory, clock, seed, in_flight, counts, undelivered }
     }
 
-    /// Those that no worker has heard yet.
+    /// Releases that no server has acknowledged yet and that are still being tried.
     pub fn in_flight(&self) -> usize {
-        self.out.get()
+        self.in_flight.get()
     }
 
-    /// For the log.
+    /// Statistics for the log.
     pub fn stats(&self) -> String {
-        format!("{:?}, unheard {:?}", self.counts.get(), self.unheard.counts())
+        format!("{:?}, undelivered {:?}", self.counts.get(), self.undelivered.counts())
     }
 
-    /// Tells that what is held for this id goes; beginning with who holds it.
+    /// Starts to release what is held for a request id. The holder is called first; any other server can
+    /// accept the release in its place. `limit_ms` is how long it may stay held, and the timeout of each
+    /// call.
     pub fn begin(self: &Rc<Self>, holder: WorkerId, id: &str, limit_ms: f64) {
         let (releases, path) = (self.clone(), hold_path(id));
         let seed = rank(&WorkerId(id.into()), self.seed);
-        self.out.set(self.out.get() + 1);
+        self.in_flight.set(self.in_flight.get() + 1);
         tokio::task::spawn_local(async move {
-            releases.tell(holder, path, seed, limit_ms).await;
-            releases.out.set(releases.out.get() - 1);
+            releases.deliver(holder, path, seed, limit_ms).await;
+            releases.in_flight.set(releases.in_flight.get() - 1);
         });
     }
 
-    async fn tell(&self, holder: WorkerId, path: String, seed: u64, limit_ms: f64) {
-        let began_ms = self.clock.now_ms();
-        let mut telling = Telling::new(holder, Others::AnyWorker, seed, limit_ms, AGAIN, began_ms);
+    async fn deliver(&self, holder: WorkerId, path: String, seed: u64, limit_ms: f64) {
+        let started_ms = self.clock.now_ms();
+        let mut delivery = Telling::new(holder, Others::AnyWorker, seed, limit_ms, AGAIN, started_ms);
         let next =
-            |telling: &mut Telling, now_ms| telling.next(now_ms, &self.directory.borrow().reachability);
+            |delivery: &mut Telling, now_ms| delivery.next(now_ms, &self.directory.borrow().reachability);
         let call = |worker| self.call(worker, &path, limit_ms);
-        let Some(worker) = letgo::tell(&mut telling, self.clock, next, call).await else {
-            return self.unheard(&path, &telling);
+        let Some(worker) = letgo::tell(&mut delivery, self.clock, next, call).await else {
+            return self.count_undelivered(&path, &delivery);
         };
-        let took_ms = self.clock.now_ms() - began_ms;
-        debug!(path, worker = %worker.0, calls = telling.calls(), took_ms, "let go");
+        let took_ms = self.clock.now_ms() - started_ms;
+        debug!(path, worker = %worker.0, calls = delivery.calls(), took_ms, "release acknowledged");
         let mut counts = self.counts.get();
         counts.heard += 1;
-        counts.calls += u64::from(telling.calls());
+        counts.calls += u64::from(delivery.calls());
         counts.longest_ms = counts.longest_ms.max(took_ms);
         self.counts.set(counts);
     }
@@ -156,21 +161,22 @@
                 Err(_) => Call::Failed(Deaf::Silent),
             },
         };
-        let heard = matches!(answer, Call::Heard);
-        self.directory.borrow_mut().record_call(&worker, heard, self.clock.now_ms());
+        let answered = matches!(answer, Call::Heard);
+        self.directory.borrow_mut().record_call(&worker, answered, self.clock.now_ms());
         (worker, answer)
     }
 
-    fn unheard(&self, path: &str, telling: &Telling) {
-        let cause = telling.deaf().unwrap_or(Deaf::NoWay);
-        if self.unheard.count(cause, self.clock.now_ms()) {
-            let unheard = self.unheard.counts();
+    /// Counts a release that no server acknowledged; the log has a line for it once in a while.
+    fn count_undelivered(&self, path: &str, delivery: &Telling) {
+        let cause = delivery.deaf().unwrap_or(Deaf::NoWay);
+        if self.undelivered.count(cause, self.clock.now_ms()) {
+            let counts = self.undelivered.counts();
             warn!(
                 path,
                 cause = cause.name(),
-                calls = telling.calls(),
-                ?unheard,
-                "nobody heard what is let go of"
+                calls = delivery.calls(),
+                unheard = ?counts,
+                "no server acknowledged the release"
             );
         }
     }
