--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Follows discovery: the whole list, then one watch after the other. Silence, a cut answer and what is no list leave
-//! the last good list in place, and asking goes on.
+//! Follows discovery: fetches the whole list, then watches for changes by one long poll after the other.
+//! After a timeout, a broken connection or an invalid answer the last good list stays, and the calls
+//! continue.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -20,19 +21,20 @@
 use crate::pool::{read_body, read_head};
 use crate::progress::{ListUpdate, Progress};
 
-/// The decisions want the whole list, now.
+/// The decision modules need the whole list at once.
 pub struct Refetch;
 
-/// Where discovery is, and the settings by which its lists are read.
+/// The address of discovery, and the settings by which its lists are parsed.
 #[derive(Clone)]
 pub struct Source {
     pub address: SocketAddr,
     pub provision: Rc<Provision>,
-    /// Bytes that one list may have.
+    /// The maximum size of a list, in bytes.
     pub list_bytes: usize,
 }
 
-/// Where servers' starts are mapped onto the router's clock.
+/// Maps servers' start times, which lists give by the wall clock, onto the router's monotonic clock. Clones
+/// share the mapping.
 #[derive(Clone)]
 pub struct SharedStartTimes {
     times: Rc<RefCell<StartTimes>>,
@@ -41,51 +43,53 @@
 
 impl SharedStartTimes {
     pub fn new(clock: Clock) -> SharedStartTimes {
-        let starts = SharedStartTimes { times: Rc::default(), clock };
-        starts.observe_wall_offset();
-        starts
+        let shared = SharedStartTimes { times: Rc::default(), clock };
+        shared.observe_wall_offset();
+        shared
     }
 
-    /// Looks how far the wall clock is off by now.
+    /// Records the present offset of the wall clock from the router's clock.
     pub fn observe_wall_offset(&self) {
         self.times.borrow_mut().observe_offset(self.clock.wall_offset_ms());
     }
 
-    /// Reads with the starts as they are known, after a look at the clocks.
-    pub fn with_current<T>(&self, read: impl FnOnce(&mut StartTimes, f64) -> T) -> T {
+    /// Calls `parse` with the start times and the present time, after an observation of the offset.
+    pub fn with_current<T>(&self, parse: impl FnOnce(&mut StartTimes, f64) -> T) -> T {
         self.observe_wall_offset();
-        read(&mut self.times.borrow_mut(), self.clock.now_ms())
+        parse(&mut self.times.borrow_mut(), self.clock.now_ms())
     }
 }
 
-/// One call's answer on a connection that stays open.
+/// Does one call on an open connection. Returns the status, the body, and whether the connection can be
+/// reused.
 async fn call(
     stream: &mut Stream,
     address: SocketAddr,
     path: &str,
-    most: usize,
+    max_bytes: usize,
 ) -> Result<(u16, BytesMut, bool), String> {
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     stream.write_all(request.as_bytes()).await.map_err(|cause| cause.to_string())?;
     let mut bytes = BytesMut::new();
-    let said = |end: SocketEnd| format!("{end:?}");
-    let head = read_head(stream, &mut bytes).await.map_err(said)?;
-    let body = read_body(stream, &mut bytes, head.framing, most).await.map_err(|end| match end {
-        SocketEnd::Nonsense(why) => format!("{why}; a list may have {most} bytes"),
-        end => said(end),
+    let describe = |end: SocketEnd| format!("{end:?}");
+    let head = read_head(stream, &mut bytes).await.map_err(describe)?;
+    let body = read_body(stream, &mut bytes, head.framing, max_bytes).await.map_err(|end| match end {
+        SocketEnd::Nonsense(why) => format!("{why}; a list may have {max_bytes} bytes"),
+        end => describe(end),
     })?;
     Ok((head.status, body, head.stays() && bytes.is_empty()))
 }
 
-/// Between an answer without news and the next watch, in ms: well within the time in which a watch goes on.
-const PACE_MS: f64 = 10.0;
+/// Pause between an answer without changes and the next watch, in ms: well below the time within which a
+/// watch must be resumed.
+const WATCH_PAUSE_MS: f64 = 10.0;
 
-/// Never returns while the core lives.
+/// Follows discovery until the core has ended. `first` is notified of the first usable list.
 pub async fn follow(
     mut sources: watch::Receiver<Source>,
     starts: SharedStartTimes,
     core: CoreSender,
-    mut asked: mpsc::Receiver<Refetch>,
+    mut refetches: mpsc::Receiver<Refetch>,
     first: oneshot::Sender<()>,
 ) {
     let mut first = Some(first);
@@ -96,8 +100,8 @@
         let source = sources.borrow_and_update().clone();
         let address = source.address;
         let path = progress.path();
-        let within_ms = progress.timeout_ms();
-        let began = Instant::now();
+        let timeout_ms = progress.timeout_ms();
+        let started = Instant::now();
         let exchange = async {
             let mut open = match stream.take() {
                 Some(open) => open,
@@ -113,37 +117,37 @@
                     return;
                 }
                 if sources.borrow().address != address {
-                    info!(from = %address, to = %sources.borrow().address, "discovery moves");
+                    info!(from = %address, to = %sources.borrow().address, "discovery address changed");
                 }
                 progress.reset();
                 stream = None;
                 continue;
             }
-            Some(Refetch) = asked.recv() => {
+            Some(Refetch) = refetches.recv() => {
                 progress.reset();
                 stream = None;
                 continue;
             }
-            answer = timeout(duration(within_ms), exchange) => match answer {
+            answer = timeout(duration(timeout_ms), exchange) => match answer {
                 Ok(answer) => answer,
                 Err(_) => {
                     progress.timed_out();
-                    Err(format!("no answer in {within_ms:.0} ms"))
+                    Err(format!("no answer in {timeout_ms:.0} ms"))
                 }
             },
         };
         if answer.is_ok() {
-            progress.answered(began.elapsed().as_secs_f64() * 1e3);
+            progress.answered(started.elapsed().as_secs_f64() * 1e3);
         }
-        let list = answer.and_then(|((status, body, stays), open)| {
+        let list = answer.and_then(|((status, body, reusable), open)| {
             if status != 200 {
                 return Err(format!("status {status}"));
             }
-            // Where an answer can't be read, what it told is in the whole list.
-            let read =
+            // If an answer can't be parsed, the whole list is fetched, which contains its changes.
+            let parsed =
                 starts.with_current(|starts, now_ms| List::parse(&body, &source.provision, starts, now_ms));
-            let list = read.inspect_err(|_| progress.mark_unreadable())?;
-            if stays {
+            let list = parsed.inspect_err(|_| progress.mark_unreadable())?;
+            if reusable {
                 stream = Some(open);
             }
             Ok(list)
@@ -151,23 +155,23 @@
         match list {
             Ok(list) => {
                 if std::mem::take(&mut failing) {
-                    info!(%address, version = list.version, "discovery answers again");
+                    info!(%address, version = list.version, "discovery is reachable again");
                 }
-                let worth = progress.apply(&list);
-                match worth {
+                let update = progress.apply(&list);
+                match update {
                     ListUpdate::Changed if core.send(CoreEvent::Listed(list)).await.is_err() => return,
                     ListUpdate::Changed => {}
-                    // One that answers a watch at once, with nothing, is not asked in a loop.
-                    ListUpdate::Unchanged => sleep(duration(PACE_MS)).await,
+                    // Avoids a busy loop with a discovery that answers watches at once and without changes.
+                    ListUpdate::Unchanged => sleep(duration(WATCH_PAUSE_MS)).await,
                     ListUpdate::Unusable => sleep(duration(ASK_AGAIN_MS)).await,
                 }
-                if worth != ListUpdate::Unusable {
+                if update != ListUpdate::Unusable {
                     let _ = first.take().map(|first| first.send(()));
                 }
             }
             Err(why) => {
                 if !std::mem::replace(&mut failing, true) {
-                    warn!(%address, why, "discovery does not answer; the last list stays");
+                    warn!(%address, why, "call to discovery failed; keeping the last list");
                 }
                 sleep(duration(ASK_AGAIN_MS)).await;
             }
--- a/crates/gateway/src/progress.rs
+++ b/crates/gateway/src/progress.rs
@@ -1,114 +1,122 @@
-//! How far this router has followed discovery, free of I/O: which call comes next, and what its answer is worth.
+//! Progress in following discovery, free of I/O: which call comes next, with which timeout, and whether a
+//! list that was read changes anything.
 
 use paddleproxy_platform::List;
 
 use crate::limits::{WATCH_AFTER_SILENCE_MS, WATCH_MS, WATCH_SLACK_MOST_MS, WATCH_SLACK_MS};
 
-/// What a list that was read is worth.
+/// What a list that was read means for the list that is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The decisions are told.
+    /// Pass it on to the core.
     Changed,
     /// Nothing has changed.
     Unchanged,
-    /// Older than what is known, or changes without a list that they build on.
+    /// Older than the known list, or changes without the list to which they apply.
     Unusable,
 }
 
-/// How long an answer may take beyond its wait, in ms: it grows with each call that was silent, and follows what answers
-/// took. Guards against a discovery that is slow or crowded, whose answers would all be given up just before they come.
-/// Harm: one that is gone is asked less often; the bound leaves time for a call that begins just before it is back.
+/// The adaptive timeout of calls to discovery, beyond the time for which a watch is held: doubles with each
+/// call that times out, and follows the time that answers took. Guards against a slow or overloaded
+/// discovery, whose answers would all be abandoned just before they arrive. Cost: a discovery that is down is
+/// called less often; the upper limit leaves time for a call that starts just before it is back.
 #[derive(Debug)]
-struct Patience {
+struct AdaptiveTimeout {
     slack_ms: f64,
+    /// The last call timed out.
     silent: bool,
 }
 
-impl Default for Patience {
+impl Default for AdaptiveTimeout {
     fn default() -> Self {
-        Patience { slack_ms: WATCH_SLACK_MS, silent: false }
+        AdaptiveTimeout { slack_ms: WATCH_SLACK_MS, silent: false }
     }
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     fn timed_out(&mut self) {
         self.silent = true;
         self.slack_ms = (2.0 * self.slack_ms).min(WATCH_SLACK_MOST_MS);
     }
 
-    /// An answer came so long after it was due.
+    /// An answer arrived `late_ms` after the end of its hold time.
     fn answered(&mut self, late_ms: f64) {
         self.silent = false;
         self.slack_ms = (2.0 * late_ms).clamp(WATCH_SLACK_MS, WATCH_SLACK_MOST_MS);
     }
 }
 
-/// Lives as long as discovery is followed.
+/// The state between calls to discovery.
 #[derive(Debug, Default)]
 pub struct Progress {
-    patience: Patience,
-    /// The last version that was told.
+    timeout: AdaptiveTimeout,
+    /// The version of the list that was applied last.
     version: Option<u64>,
-    /// The last answer could not be read. The same watch may bring it again; the whole list holds what it told.
+    /// The last answer could not be read. The same watch may return it again, so the whole list is fetched,
+    /// which contains its changes.
     unreadable: bool,
 }
 
 impl Progress {
-    /// Versions of one discovery say nothing of another's, and rows are read by the settings: all begins anew.
+    /// Starts from the whole list again, for another discovery or new settings: versions of one discovery
+    /// can't be compared with another's, and rows are parsed by the settings. The timeout is kept.
     pub fn reset(&mut self) {
-        *self = Progress { patience: std::mem::take(&mut self.patience), ..Progress::default() };
+        *self = Progress { timeout: std::mem::take(&mut self.timeout), ..Progress::default() };
     }
 
-    /// No answer came within the time.
+    /// A call had no answer within its timeout.
     pub fn timed_out(&mut self) {
-        self.patience.timed_out();
+        self.timeout.timed_out();
     }
 
-    /// An answer came after so many ms.
+    /// A call was answered after `took_ms`.
     pub fn answered(&mut self, took_ms: f64) {
-        self.patience.answered(took_ms - self.hold_ms());
+        self.timeout.answered(took_ms - self.hold_ms());
     }
 
-    /// How long the next call waits for news. After silence it does not wait: what was missed is asked for at once.
+    /// How long discovery may hold the next call until there are changes, in ms. After a timeout the hold
+    /// time is short, so that missed changes arrive at once.
     fn hold_ms(&self) -> f64 {
-        match self.watched() {
+        match self.watch_from() {
             None => 0.0,
-            Some(_) if self.patience.silent => WATCH_AFTER_SILENCE_MS,
+            Some(_) if self.timeout.silent => WATCH_AFTER_SILENCE_MS,
             Some(_) => WATCH_MS,
         }
     }
 
-    /// The answer was no list.
+    /// The last answer was not a valid list.
     pub fn mark_unreadable(&mut self) {
         self.unreadable = true;
     }
 
-    /// The version from which the next call watches; none where it requests for the whole list.
-    fn watched(&self) -> Option<u64> {
+    /// The version from which the next call watches for changes; none if it requests the whole list.
+    fn watch_from(&self) -> Option<u64> {
         self.version.filter(|_| !self.unreadable)
     }
 
+    /// The path of the next call.
     pub fn path(&self) -> String {
-        match self.watched() {
+        match self.watch_from() {
             None => "/catalog/members".to_owned(),
             Some(version) => format!("/catalog/members?from={version}&hold_ms={}", self.hold_ms()),
         }
     }
 
-    /// After so many ms without an answer the call counts as silent.
+    /// The timeout of the next call, in ms.
     pub fn timeout_ms(&self) -> f64 {
-        self.patience.slack_ms + self.hold_ms()
+        self.timeout.slack_ms + self.hold_ms()
     }
 
-    /// Takes in a list that was read. An older version of one discovery never takes the place of a newer one.
+    /// Checks a list that was read against the known version. An older version from the same discovery never
+    /// replaces a newer one.
     pub fn apply(&mut self, list: &List) -> ListUpdate {
         let older = self.version.is_some_and(|known| known > list.version);
         if older || !list.whole && self.version.is_none() {
             return ListUpdate::Unusable;
         }
-        let news = list.whole || !list.rows.is_empty();
+        let changed = list.whole || !list.rows.is_empty();
         (self.version, self.unreadable) = (Some(list.version), false);
-        if news {
+        if changed {
             ListUpdate::Changed
         } else {
             ListUpdate::Unchanged
--- a/crates/gateway/src/progress/tests.rs
+++ b/crates/gateway/src/progress/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `progress`: every order of what may come on a watch.
+//! Tests of `progress`, including every order of four answers that a watch may return.
 
 use super::*;
 use crate::limits::ASK_AGAIN_MS;
@@ -18,67 +18,68 @@
     List { version, whole, rows: vec![Row { listing, dial: None }; rows], unknown: 0 }
 }
 
-/// What discovery does with one call.
+/// How discovery responds to one call.
 #[derive(Clone, Copy, Debug)]
-enum Does {
-    /// Answers the call that it was asked.
-    Answers,
-    /// Answers with the whole list whatever it was asked.
-    AnswersWhole,
-    /// Sends what can't be read.
-    Garbles,
-    /// An answer that was under way for long.
-    AnswersLate,
-    /// Says nothing, or breaks off.
-    Silent,
+enum Response {
+    /// The requested list or changes.
+    Requested,
+    /// The whole list, whatever was requested.
+    Whole,
+    /// Data that can't be read.
+    Unreadable,
+    /// An outdated version, as from an answer that was delayed.
+    Outdated,
+    /// No answer, or a broken connection.
+    None,
 }
 
-const ALL: [Does; 5] = [Does::Answers, Does::AnswersWhole, Does::Garbles, Does::AnswersLate, Does::Silent];
+const ALL: [Response; 5] =
+    [Response::Requested, Response::Whole, Response::Unreadable, Response::Outdated, Response::None];
 
-/// A discovery whose list changes with every call, and what a router knows of it.
+/// A discovery whose list changes with every call, and the router's progress in following it.
 #[derive(Default)]
-struct Play {
+struct Simulation {
     progress: Progress,
-    /// The version that discovery has, and up to which the router was told without a gap.
-    has: u64,
-    told: u64,
+    /// The version that discovery has, and the one up to which the router has all changes.
+    current: u64,
+    known: u64,
 }
 
-impl Play {
-    fn call(&mut self, does: Does) {
-        self.has += 1;
-        let watched = self.progress.watched();
-        let answer = match does {
-            Does::Silent => return,
-            Does::Garbles => return self.progress.mark_unreadable(),
-            Does::AnswersWhole => list(self.has, true, 1),
-            Does::AnswersLate => list(self.has.saturating_sub(2), watched.is_none(), 1),
-            Does::Answers => list(self.has, watched.is_none(), 1),
+impl Simulation {
+    fn call(&mut self, response: Response) {
+        self.current += 1;
+        let from = self.progress.watch_from();
+        let answer = match response {
+            Response::None => return,
+            Response::Unreadable => return self.progress.mark_unreadable(),
+            Response::Whole => list(self.current, true, 1),
+            Response::Outdated => list(self.current.saturating_sub(2), from.is_none(), 1),
+            Response::Requested => list(self.current, from.is_none(), 1),
         };
         if self.progress.apply(&answer) == ListUpdate::Changed {
-            // Changes build on what the call said that it knows; no version goes back.
-            assert!(answer.whole || watched == Some(self.told), "a gap after {}", self.told);
-            assert!(answer.version >= self.told, "{} after {}", answer.version, self.told);
-            self.told = answer.version;
+            // Changes apply to the version that the call named; no version is older than the known one.
+            assert!(answer.whole || from == Some(self.known), "a gap after {}", self.known);
+            assert!(answer.version >= self.known, "{} after {}", answer.version, self.known);
+            self.known = answer.version;
         }
     }
 }
 
-/// Whatever came before in whatever order, one good answer brings the router up to date.
+/// After any sequence of four responses, one good answer brings the router up to date.
 #[test]
-fn after_any_four_calls_one_good_answer_tells_all() {
+fn after_any_four_responses_one_good_answer_brings_the_router_up_to_date() {
     for case in 0..ALL.len().pow(4) {
-        let mut play = Play::default();
-        for place in 0..4 {
-            play.call(ALL[case / ALL.len().pow(place) % ALL.len()]);
+        let mut simulation = Simulation::default();
+        for position in 0..4 {
+            simulation.call(ALL[case / ALL.len().pow(position) % ALL.len()]);
         }
-        play.call(Does::Answers);
-        assert_eq!(play.told, play.has, "case {case}");
+        simulation.call(Response::Requested);
+        assert_eq!(simulation.known, simulation.current, "case {case}");
     }
 }
 
 #[test]
-fn a_discovery_that_moves_is_asked_for_the_whole_and_may_count_lower() {
+fn after_a_change_of_discovery_the_whole_list_is_requested_and_its_version_may_be_lower() {
     let mut progress = Progress::default();
     assert_eq!(progress.apply(&list(900, true, 1)), ListUpdate::Changed);
     assert!(progress.path().contains("from=900"));
@@ -88,19 +89,19 @@
 }
 
 #[test]
-fn what_can_not_be_read_is_asked_for_as_a_whole_list() {
+fn after_an_unreadable_answer_the_whole_list_is_requested() {
     let mut progress = Progress::default();
     progress.apply(&list(4, true, 1));
     progress.mark_unreadable();
     assert_eq!(progress.path(), "/catalog/members");
-    assert_eq!(progress.apply(&list(3, true, 1)), ListUpdate::Unusable, "older than what is known");
+    assert_eq!(progress.apply(&list(3, true, 1)), ListUpdate::Unusable, "older than the known version");
     assert_eq!(progress.path(), "/catalog/members");
     assert_eq!(progress.apply(&list(5, true, 1)), ListUpdate::Changed);
     assert!(progress.path().contains("from=5"));
 }
 
 #[test]
-fn what_is_older_or_builds_on_nothing_changes_nothing() {
+fn older_lists_and_changes_without_a_list_are_unusable() {
     let mut progress = Progress::default();
     assert_eq!(progress.apply(&list(5, false, 1)), ListUpdate::Unusable, "changes without a list");
     assert_eq!(progress.apply(&list(5, true, 1)), ListUpdate::Changed);
@@ -109,36 +110,40 @@
     assert!(progress.path().contains("from=5"));
 }
 
-/// A watch that falls silent as it opens, then one refused call, then the answer: all within the 6 s after which a change
-/// counts as told.
+/// A watch that times out from its start, then one refused call, then the answer: all within the 6 s in which
+/// a change must be known.
 #[test]
-fn a_silent_watch_is_opened_anew_in_time() {
+fn a_watch_that_times_out_is_replaced_in_time() {
     let mut progress = Progress::default();
-    let asked_whole_ms = progress.timeout_ms();
+    let whole_list_ms = progress.timeout_ms();
     progress.apply(&list(1, true, 1));
-    let silent_ms = progress.timeout_ms() + ASK_AGAIN_MS;
-    assert!(silent_ms + ASK_AGAIN_MS + asked_whole_ms < 6000.0, "{silent_ms} and {asked_whole_ms}");
-    // A call that may wait: 2 s after its wait is over.
-    assert!(silent_ms < WATCH_MS + 2000.0);
+    let timed_out_ms = progress.timeout_ms() + ASK_AGAIN_MS;
+    assert!(timed_out_ms + ASK_AGAIN_MS + whole_list_ms < 6000.0, "{timed_out_ms} and {whole_list_ms}");
+    // At most 2 s after the end of the call's hold time.
+    assert!(timed_out_ms < WATCH_MS + 2000.0);
 }
 
 #[test]
-fn a_slow_discovery_is_waited_for_and_a_silent_one_asked_at_once() {
+fn the_timeout_follows_a_slow_discovery_and_a_timeout_shortens_the_hold() {
     let mut progress = Progress::default();
     assert_eq!(progress.timeout_ms(), WATCH_SLACK_MS);
     progress.timed_out();
     progress.timed_out();
     progress.timed_out();
-    assert_eq!(progress.timeout_ms(), WATCH_SLACK_MOST_MS, "it grows, but not without end");
+    assert_eq!(progress.timeout_ms(), WATCH_SLACK_MOST_MS, "the timeout grows up to its limit");
     progress.answered(1600.0);
-    assert!(progress.timeout_ms() > 1600.0, "an answer as slow comes in time");
+    assert!(progress.timeout_ms() > 1600.0, "an equally slow answer arrives in time");
     progress.reset();
-    assert!(progress.timeout_ms() > 1600.0, "a new configuration makes discovery no quicker");
+    assert!(progress.timeout_ms() > 1600.0, "a reset keeps the timeout");
     let list = List { version: 7, whole: true, ..List::default() };
     progress.apply(&list);
     assert!(progress.path().ends_with("from=7&hold_ms=2000"), "{}", progress.path());
     progress.timed_out();
-    assert!(progress.path().ends_with("from=7&hold_ms=100"), "what was missed: {}", progress.path());
+    assert!(
+        progress.path().ends_with("from=7&hold_ms=100"),
+        "missed changes are requested at once: {}",
+        progress.path()
+    );
     progress.answered(130.0);
     assert_eq!(progress.timeout_ms(), WATCH_MS + WATCH_SLACK_MS);
 }
