--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -1,5 +1,5 @@
-//! What may come between two steps of a request, forced: a stand-in acts on the very byte that it receives, on blocking
-//! sockets of the test, so that both sides have acted when the router looks again.
+//! Races between the steps of a request, forced to happen. A scripted server acts as soon as it receives a
+//! byte, on blocking sockets of the test, so both sides have acted before the router runs again.
 
 mod common;
 
@@ -19,7 +19,7 @@
     vec![Step::Say(text.into())]
 }
 
-/// A client that closes when it is told to, without a turn of the router in between.
+/// A client that closes on command, without the router running in between.
 #[derive(Clone, Default)]
 struct Client(Rc<RefCell<Option<Blocking>>>);
 
@@ -31,23 +31,24 @@
         *self.0.borrow_mut() = Some(stream);
     }
 
-    fn closes(&self) -> Rc<dyn Fn()> {
+    fn close_action(&self) -> Rc<dyn Fn()> {
         let stream = self.0.clone();
         Rc::new(move || drop(stream.borrow_mut().take()))
     }
 
-    fn open(&self) -> bool {
+    fn is_open(&self) -> bool {
         self.0.borrow().is_some()
     }
 }
 
-/// Where calling off is not allowed, what was sent runs on; what was not sent must not be.
-fn no_cancels(config: &mut Value) {
+/// Without cancellation, a request that was sent runs to its end, so a request whose client is gone must not
+/// be sent.
+fn disallow_cancel(config: &mut Value) {
     config["settings"]["caps"]["cancel"] = false.into();
 }
 
-/// Asks for another completion with its own conversation and waits for the answer: whatever was to happen has happened.
-async fn passes(platform: &Platform, id: &str) {
+/// Sends another request and waits for its answer: by then all earlier events were handled.
+async fn assert_served(platform: &Platform, id: &str) {
     assert!(body(&platform.ask(id).await).1);
 }
 
@@ -56,142 +57,146 @@
 }
 
 #[test]
-fn a_client_that_closes_right_behind_its_request_is_not_served() {
+fn a_client_that_closes_right_after_its_request_is_not_served() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
-        let platform = Platform::with(&[&worker], no_cancels).await;
+        let platform = Platform::with(&[&worker], disallow_cancel).await;
         let client = Client::default();
         client.send(&platform, &completion("gone", "", "{}"));
-        client.closes()();
-        passes(&platform, "a1").await;
+        client.close_action()();
+        assert_served(&platform, "a1").await;
         assert_eq!(ids(&worker), ["a1"]);
     });
 }
 
 #[test]
-fn a_client_that_closes_as_the_connection_comes_up_is_not_served() {
+fn a_client_that_closes_during_the_connect_to_the_server_is_not_served() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
-        let platform = Platform::with(&[&worker], no_cancels).await;
+        let platform = Platform::with(&[&worker], disallow_cancel).await;
         let client = Client::default();
-        *worker.on_connect.borrow_mut() = Some(client.closes());
+        *worker.on_connect.borrow_mut() = Some(client.close_action());
         client.send(&platform, &completion("gone", "", "{}"));
-        wait_while(|| client.open()).await;
+        wait_while(|| client.is_open()).await;
         *worker.on_connect.borrow_mut() = None;
-        passes(&platform, "a1").await;
+        assert_served(&platform, "a1").await;
         assert_eq!(ids(&worker), ["a1"]);
     });
 }
 
-/// Both orders: the close comes before the probe's answer, or right behind it.
+/// In both orders: the client closes right before the probe's answer or right after it.
 #[test]
-fn a_client_that_closes_with_the_answer_to_a_probe_is_not_served() {
+fn a_client_that_closes_at_the_answer_to_a_probe_is_not_served() {
     for closes_first in [true, false] {
         local(async {
             let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
             let platform = Platform::with(&[&worker], |config| {
-                no_cancels(config);
+                disallow_cancel(config);
                 config["settings"]["caps"]["probes"] = true.into();
             })
             .await;
             let client = Client::default();
-            *worker.on_probe.borrow_mut() = Some((closes_first, client.closes()));
+            *worker.on_probe.borrow_mut() = Some((closes_first, client.close_action()));
             client.send(&platform, &completion("gone", "", "{}"));
-            wait_while(|| client.open()).await;
+            wait_while(|| client.is_open()).await;
             *worker.on_probe.borrow_mut() = None;
-            passes(&platform, "a1").await;
+            assert_served(&platform, "a1").await;
             assert_eq!(ids(&worker), ["a1"], "closes first: {closes_first}");
         });
     }
 }
 
 #[test]
-fn a_client_that_closes_with_the_failure_of_an_attempt_is_not_tried_again() {
+fn a_request_whose_client_closes_at_the_failure_of_an_attempt_is_not_retried() {
     for closes_first in [true, false] {
         local(async {
             let client = Client::default();
             let error = Step::Say(plain("500 Oh", "", "{}"));
-            let closes = Step::Do(client.closes());
-            let steps = if closes_first { vec![closes, error] } else { vec![error, closes] };
+            let close = Step::Do(client.close_action());
+            let steps = if closes_first { vec![close, error] } else { vec![error, close] };
             let script = move |seen: &Seen, _: usize| match seen.id.as_str() {
                 "gone" => steps.clone(),
                 _ => say(good()),
             };
-            let one = Worker::start("w-1", "combined", script.clone()).await;
-            let two = Worker::start("w-2", "combined", script).await;
-            let platform = Platform::with(&[&one, &two], no_cancels).await;
+            let first = Worker::start("w-1", "combined", script.clone()).await;
+            let second = Worker::start("w-2", "combined", script).await;
+            let platform = Platform::with(&[&first, &second], disallow_cancel).await;
             client.send(&platform, &completion("gone", "", "{}"));
-            wait_while(|| client.open()).await;
-            passes(&platform, "a1").await;
-            let tried = [ids(&one), ids(&two)].concat();
-            assert_eq!(tried.iter().filter(|id| *id == "gone").count(), 1, "{tried:?}");
+            wait_while(|| client.is_open()).await;
+            assert_served(&platform, "a1").await;
+            let attempts = [ids(&first), ids(&second)].concat();
+            assert_eq!(attempts.iter().filter(|id| *id == "gone").count(), 1, "{attempts:?}");
         });
     }
 }
 
-/// The state that the read left is let go of at once: nobody comes for it.
+/// The state that the read left at its server is released at once, since no write will fetch it.
 #[test]
-fn a_client_that_closes_between_read_and_write_is_not_written_for() {
+fn a_request_whose_client_closes_between_read_and_write_is_not_written() {
     for closes_first in [true, false] {
         local(async {
             let client = Client::default();
             let read = Step::Say(plain("202 Read", "", "{\"cached_tokens\":4096}"));
-            let closes = Step::Do(client.closes());
-            let steps = if closes_first { vec![closes, read] } else { vec![read, closes] };
+            let close = Step::Do(client.close_action());
+            let steps = if closes_first { vec![close, read] } else { vec![read, close] };
             let reader = Worker::start("r-1", "prefill", move |_, _| steps.clone()).await;
             let home = Worker::start("w-1", "combined", |_, _| say(good())).await;
-            let platform = Platform::with(&[&reader, &home], no_cancels).await;
+            let platform = Platform::with(&[&reader, &home], disallow_cancel).await;
             client.send(&platform, &prompt("gone", 9000, "", "{}"));
-            wait_while(|| client.open()).await;
+            wait_while(|| client.is_open()).await;
             wait_while(|| reader.calls("DELETE").is_empty() && home.calls("DELETE").is_empty()).await;
-            passes(&platform, "a1").await;
+            assert_served(&platform, "a1").await;
             assert_eq!(ids(&home), ["a1"], "closes first: {closes_first}");
         });
     }
 }
 
-/// The second request waits behind the answer to the first: that time is its client's, and no server is told that there
-/// is more.
+/// A pipelined request waits for the answer to the one before it. The waiting time counts against its
+/// client's timeout, so the deadline announced to the server must be reduced by it.
 #[test]
-fn a_request_sent_ahead_has_only_the_time_that_its_client_has() {
+fn the_deadline_of_a_pipelined_request_excludes_its_waiting_time() {
     local(async {
-        let since = Rc::new(RefCell::new(None::<Instant>));
+        let sent_at = Rc::new(RefCell::new(None::<Instant>));
         let answered_ms = Rc::new(RefCell::new(0.0));
-        let (from, done) = (since.clone(), answered_ms.clone());
+        let (start, answered) = (sent_at.clone(), answered_ms.clone());
         let worker = Worker::start("w-1", "combined", move |seen, _| {
-            let (from, done) = (from.clone(), done.clone());
-            let answered = Step::Do(Rc::new(move || {
-                *done.borrow_mut() = from.borrow().unwrap().elapsed().as_secs_f64() * 1e3;
+            let (start, answered) = (start.clone(), answered.clone());
+            let record_time = Step::Do(Rc::new(move || {
+                *answered.borrow_mut() = start.borrow().unwrap().elapsed().as_secs_f64() * 1e3;
             }));
             match seen.id.as_str() {
-                "a1" => vec![Step::Wait(300), answered, Step::Say(good())],
+                "a1" => vec![Step::Wait(300), record_time, Step::Say(good())],
                 _ => say(good()),
             }
         })
         .await;
-        // A target so far off that an attempt's time is all that its client has.
+        // A latency target so long that only the client's timeout limits an attempt.
         let slow = |config: &mut Value| config["settings"]["services"][0]["slo_s"] = 9.0.into();
         let platform = Platform::with(&[&worker], slow).await;
         let mut client = TcpStream::connect(platform.clients).await.unwrap();
-        let ahead = completion("a1", "", "{}") + &completion("a2", "Connection: close\r\n", "{}");
-        *since.borrow_mut() = Some(Instant::now());
-        client.write_all(ahead.as_bytes()).await.unwrap();
+        let pipelined = completion("a1", "", "{}") + &completion("a2", "Connection: close\r\n", "{}");
+        *sent_at.borrow_mut() = Some(Instant::now());
+        client.write_all(pipelined.as_bytes()).await.unwrap();
         client.read_to_end(&mut Vec::new()).await.unwrap();
-        let told = |id: &str| {
+        let deadline_ms = |id: &str| {
             let asked = worker.asked();
-            let seen = asked.iter().find(|seen| seen.id == id).unwrap_or_else(|| panic!("{id} never came"));
+            let seen = asked
+                .iter()
+                .find(|seen| seen.id == id)
+                .unwrap_or_else(|| panic!("the server never received {id}"));
             seen.deadline.parse::<f64>().unwrap() * 1e3
         };
-        let passed_ms = *answered_ms.borrow();
-        assert!(passed_ms >= 300.0 && told("a1") <= 8000.0);
-        // Both came in one piece, within the time in which two reads count as one.
-        assert!(told("a2") <= 8000.0 - passed_ms + 20.0, "{} after {passed_ms}", told("a2"));
+        let waited_ms = *answered_ms.borrow();
+        assert!(waited_ms >= 300.0 && deadline_ms("a1") <= 8000.0);
+        // Both requests arrived in one segment, within the time in which two reads count as one.
+        assert!(deadline_ms("a2") <= 8000.0 - waited_ms + 20.0, "{} after {waited_ms}", deadline_ms("a2"));
     });
 }
 
-/// A stream that its server breaks off ends with all that was passed on before, not with a reset that takes it away.
+/// If a server breaks off a stream, the client must still receive all that was forwarded before: the router
+/// closes the connection without a reset, which would discard it.
 #[test]
-fn a_stream_that_breaks_off_keeps_what_was_passed_on() {
+fn a_broken_stream_ends_with_all_that_was_forwarded() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
             vec![Step::Say(format!("{HEAD}{}", chunk(FIRST))), Step::Wait(20), Step::Close]
@@ -199,18 +204,18 @@
         .await;
         let platform = Platform::start(&[&worker]).await;
         let mut client = TcpStream::connect(platform.clients).await.unwrap();
-        // Bytes behind the request that nobody reads would turn a plain close into a reset.
-        let ahead = completion("a1", "", "{}") + &"x".repeat(60_000);
-        client.write_all(ahead.as_bytes()).await.unwrap();
+        // Unread bytes after the request would turn a plain close into a reset.
+        let request = completion("a1", "", "{}") + &"x".repeat(60_000);
+        client.write_all(request.as_bytes()).await.unwrap();
         let mut answer = Vec::new();
-        client.read_to_end(&mut answer).await.expect("an end, no reset");
+        client.read_to_end(&mut answer).await.expect("the connection closes without a reset");
         assert_eq!(body(&String::from_utf8(answer).unwrap()), (FIRST.to_owned(), false));
     });
 }
 
-/// A second word to stop, and a new configuration behind the first, change nothing: what is open gets its answer.
+/// Further stop and reload signals during a shutdown change nothing: open requests are answered.
 #[test]
-fn further_signals_after_the_first_word_to_stop_lose_nothing() {
+fn further_signals_during_a_shutdown_lose_no_request() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Wait(900), Step::Say(good())]).await;
         let slow = |config: &mut Value| config["settings"]["services"][0]["slo_s"] = 9.0.into();
@@ -219,7 +224,7 @@
         client.write_all(completion("a1", "Connection: close\r\n", "{}").as_bytes()).await.unwrap();
         wait_while(|| worker.asked().is_empty()).await;
         for signal in [Signal::Stop, Signal::Stop, Signal::Reload, Signal::Stop] {
-            // Nobody may be there to take the later ones.
+            // Later signals may have no receiver any more.
             let _ = platform.signals.try_send(signal);
         }
         let mut answer = Vec::new();
@@ -229,9 +234,9 @@
     });
 }
 
-/// A new configuration and the word to stop in one moment, in both orders.
+/// Reload and stop signals at the same time, in both orders.
 #[test]
-fn a_new_configuration_together_with_the_word_to_stop_loses_nothing() {
+fn simultaneous_reload_and_stop_lose_no_request() {
     for signals in [[Signal::Reload, Signal::Stop], [Signal::Stop, Signal::Reload]] {
         local(async {
             let worker =
@@ -252,7 +257,8 @@
     }
 }
 
-/// Another customer's settings: other classes, kinds, zones, limits and effects, fewer of each or more.
+/// Settings of another customer, which differ from `settings()` in classes, kinds, zones, limits and effects,
+/// and in how many there are of each.
 fn other_settings() -> Value {
     json!({
         "balancers": 4, "slot_no": 2, "my_zone": "north", "localities": ["south", "north"],
@@ -263,18 +269,19 @@
         "caps": { "cancel": false, "second_copies": false, "retry_after": false, "max_retry_after_s": 0.0,
                   "max_attempts": 2, "conn_idle_s": 9.0, "connect_timeout_s": 0.7, "probes": false },
         "report": { "how": "none" },
-        "family_info": { "aim_us_per_1000_prompt_tokens": [5.0], "holds_allowed": false, "kv_tokens": [90000.0],
-                         "pin_limit_s": 0.2, "role_by_kind": ["both"], "self_prefill": false },
+        "family_info": { "aim_us_per_1000_prompt_tokens": [5.0], "holds_allowed": false,
+                         "kv_tokens": [90000.0], "pin_limit_s": 0.2, "role_by_kind": ["both"],
+                         "self_prefill": false },
         "invariants": { "answer_slack_s": 0.004, "cold_s": 4.0, "cold_share": 0.5, "fall_multiple": 4.0,
                         "fall_s": 1.0, "must_ask_in_s": 3.0 },
         "resolution_s": 0.004
     })
 }
 
-/// Goes from one customer's settings to another's while requests of the first are open at every stage, and finds nothing of
-/// the first in what comes after.
+/// A reload from one customer's settings to another's while requests of the first are open: later requests
+/// must be served by the new settings alone.
 #[test]
-fn nothing_of_one_customers_settings_is_left_after_another_s() {
+fn a_reload_for_another_customer_leaves_no_old_settings() {
     local(async {
         let error = plain("500 Oh", "", "{}");
         let answer = error.clone();
@@ -290,43 +297,47 @@
         let mut config = platform.config.clone();
         config["settings"] = other_settings();
         std::fs::write(&platform.file, config.to_string()).unwrap();
-        // The same list, in the other customer's names, under the same version.
-        let mut theirs = list(1, &[&worker]);
-        theirs["hosts"][0]["class"] = "whole".into();
-        theirs["hosts"][0]["site"] = "north".into();
-        *platform.discovery.says.borrow_mut() = theirs.to_string();
+        // The same list with the other customer's names, under the same version.
+        let mut renamed = list(1, &[&worker]);
+        renamed["hosts"][0]["class"] = "whole".into();
+        renamed["hosts"][0]["site"] = "north".into();
+        *platform.discovery.says.borrow_mut() = renamed.to_string();
         let calls = platform.discovery.calls.borrow().len();
         platform.signals.send(Signal::Reload).await.unwrap();
         wait_while(|| platform.discovery.calls.borrow().len() < calls + 2).await;
-        assert_eq!(platform.discovery.calls.borrow()[calls], "/catalog/members", "the list is read anew");
-        // Open since before: its class is no row of the new settings, and its effect is still its own.
+        assert_eq!(
+            platform.discovery.calls.borrow()[calls],
+            "/catalog/members",
+            "the whole list is fetched again"
+        );
+        // The request was open before the reload: the new settings lack its class, but it keeps its effect.
         let mut answered = Vec::new();
         open.read_to_end(&mut answered).await.unwrap();
         let answered = String::from_utf8(answered).unwrap();
-        assert!(answered.starts_with("HTTP/1.1 429 "), "repeatable work may be tried again: {answered}");
-        // Names of the first are no names any more, and those of the second are.
+        assert!(answered.starts_with("HTTP/1.1 429 "), "the client may retry repeatable work: {answered}");
+        // Names from the old settings are rejected, those from the new ones accepted.
         let old = platform.ask("a1").await;
         assert!(old.starts_with("HTTP/1.1 400 ") && old.contains("Req-Kind"), "{old}");
-        let named = |id: &str, owner: &str| {
+        let request = |id: &str, owner: &str| {
             completion(id, "Connection: close\r\n", "{}")
                 .replace("Req-Kind: chat", "Req-Kind: brief")
                 .replace("acme", owner)
         };
-        let theirs = |id: &str| named(id, "initech");
-        let owner = raw(platform.clients, named("b0", "acme").as_bytes()).await;
+        let new_request = |id: &str| request(id, "initech");
+        let owner = raw(platform.clients, request("b0", "acme").as_bytes()).await;
         assert!(owner.starts_with("HTTP/1.1 400 ") && owner.contains("Req-Owner"), "{owner}");
-        let served = raw(platform.clients, theirs("b1").as_bytes()).await;
+        let served = raw(platform.clients, new_request("b1").as_bytes()).await;
         assert!(body(&served).1, "{served}");
         let asked = worker.asked();
         let deadline: f64 = asked.last().unwrap().deadline.parse().unwrap();
-        assert!(deadline <= 3.0, "its class's own deadline binds: {deadline}");
-        // What may run once is not sent again, and no time to come back is named where that is not allowed.
+        assert!(deadline <= 3.0, "the deadline of the new class applies: {deadline}");
+        // Work that may run only once is not retried; no `Retry-After` is sent if the settings disallow it.
         worker.now(move |_, _| say(error.clone()));
-        let failed = raw(platform.clients, theirs("b2").as_bytes()).await;
+        let failed = raw(platform.clients, new_request("b2").as_bytes()).await;
         assert!(failed.starts_with("HTTP/1.1 502 "), "{failed}");
         assert_eq!(worker.asked().iter().filter(|seen| seen.id == "b2").count(), 1);
         worker.now(|_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", "")));
-        let refused = raw(platform.clients, theirs("b3").as_bytes()).await;
+        let refused = raw(platform.clients, new_request("b3").as_bytes()).await;
         assert!(refused.starts_with("HTTP/1.1 429 ") && !refused.contains("Retry-After"), "{refused}");
     });
 }
--- a/crates/gateway/tests/workers.rs
+++ b/crates/gateway/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Each thing that a worker can send back, as the client meets it.
+//! What the client gets for each kind of response that a server may send, valid or not.
 
 mod common;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_completion_goes_on_unchanged_and_so_do_its_events() {
+fn a_request_and_its_events_are_forwarded_unchanged() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
             let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
@@ -42,14 +42,15 @@
         assert_eq!((asked[0].id.as_str(), asked[0].body.as_slice()), ("a1", text.as_bytes()));
         let deadline: f64 = asked[0].deadline.parse().unwrap();
         assert!(deadline > 0.0 && deadline <= 8.0, "{deadline}");
-        // The same connection serves the next.
+        // The next request reuses the connection.
         sleep(ms(10)).await;
         assert!(body(&platform.ask("a2").await).1);
         assert_eq!((worker.asked().len(), worker.connections.get()), (2, 1));
     });
 }
 
-/// Servers drop repeats by the key that the client chose: every attempt has to carry it, a read too.
+/// Servers discard duplicates by the idempotency key that the client chose, so every attempt must carry it,
+/// reads included.
 #[test]
 fn every_attempt_carries_the_clients_idempotency_key() {
     local(async {
@@ -66,17 +67,13 @@
         let answer = raw(platform.clients, long.as_bytes()).await;
         assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{answer}");
         let asked = [&reader, &first, &second].map(|worker| worker.asked()).concat();
-        assert!(asked.len() >= 3, "a read, an attempt that failed and its repeat: {asked:?}");
+        assert!(asked.len() >= 3, "a read, an attempt that failed and its retry: {asked:?}");
         for seen in asked {
             let fields: Vec<_> = seen.head.lines().filter(|line| line.starts_with("Idempotency")).collect();
             assert_eq!(fields, [key.trim_end()], "{}", seen.head);
-            assert!(
-                seen.head.contains(&format!("\r\n{key}")),
-                "its line ends as every other does: {:?}",
-                seen.head
-            );
+            assert!(seen.head.contains(&format!("\r\n{key}")), "the field ends with CRLF: {:?}", seen.head);
         }
-        // A class without keys is sent none.
+        // A request whose client sent no key is forwarded without one.
         assert!(body(&platform.ask("a2").await).1);
         let keyless = [&reader, &first, &second].map(|worker| worker.asked()).concat();
         let keyless = keyless.iter().filter(|seen| seen.id == "a2");
@@ -85,54 +82,54 @@
     });
 }
 
-/// What ends a dispatch before its first event, and is tried elsewhere.
+/// Failures before the first event of an attempt: the request is retried on the other server.
 #[test]
-fn what_fails_before_the_first_event_is_tried_elsewhere() {
+fn a_failure_before_the_first_event_is_retried_elsewhere() {
     let noise: Vec<u8> = (0..2000u32).map(|byte| (byte * 7 % 251) as u8).collect();
     let cases: Vec<(&str, Vec<Step>)> = vec![
         ("error", say(plain("500 Oh", "", "{}"))),
         ("full", say(plain("503 Full", "Srv-Declined: 1\r\n", "{}"))),
-        ("over", say(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
+        ("too late", say(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
         ("no state", say(plain("410 Gone", "Srv-Declined: 1\r\n", "{}"))),
-        ("503 without a word", say(plain("503 Eh", "", ""))),
-        ("reset", vec![Step::Close]),
-        ("cut within the head", vec![Step::Say(HEAD[..30].into()), Step::Close]),
-        ("cut before an event", vec![Step::Say(format!("{HEAD}{}", chunk(&FIRST[..9]))), Step::Close]),
+        ("503 without Srv-Declined", say(plain("503 Eh", "", ""))),
+        ("closed", vec![Step::Close]),
+        ("closed within the head", vec![Step::Say(HEAD[..30].into()), Step::Close]),
+        ("closed before an event", vec![Step::Say(format!("{HEAD}{}", chunk(&FIRST[..9]))), Step::Close]),
         ("noise", vec![Step::Bytes(noise), Step::Hang]),
+        ("endless head", vec![Step::Say("HTTP/1.1 200 OK\r\nX: ".into()), Step::Flood(vec![b'a'; 4096])]),
+        ("endless interim answers", vec![Step::Flood(b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100))]),
+        ("invalid chunk size", vec![Step::Say(format!("{HEAD}zz\r\n{FIRST}")), Step::Hang]),
+        ("3 GB chunk", vec![Step::Say(format!("{HEAD}b2d05e00\r\n")), Step::Flood(vec![b'a'; 65536])]),
+        ("chunk longer than its size", vec![Step::Say(format!("{HEAD}5\r\n{FIRST}\r\n")), Step::Hang]),
+        ("no event", say(format!("{HEAD}0\r\n\r\n"))),
+        ("not chunked", say(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
         (
-            "a head that does not end",
-            vec![Step::Say("HTTP/1.1 200 OK\r\nX: ".into()), Step::Flood(vec![b'a'; 4096])],
+            "Content-Length and chunked",
+            say(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST)),
         ),
-        ("interim answers without end", vec![Step::Flood(b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100))]),
-        ("a size that is none", vec![Step::Say(format!("{HEAD}zz\r\n{FIRST}")), Step::Hang]),
-        ("3 GB", vec![Step::Say(format!("{HEAD}b2d05e00\r\n")), Step::Flood(vec![b'a'; 65536])]),
-        ("a chunk that does not fit", vec![Step::Say(format!("{HEAD}5\r\n{FIRST}\r\n")), Step::Hang]),
-        ("no event at all", say(format!("{HEAD}0\r\n\r\n"))),
-        ("no chunks", say(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
-        ("both lengths", say(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST))),
-        ("silence", vec![Step::Hang]),
+        ("no answer", vec![Step::Hang]),
     ];
     for (name, steps) in cases {
         local(async {
-            // Whoever is asked first fails; the second try is good, wherever it goes.
-            let tries = std::rc::Rc::new(std::cell::Cell::new(0));
-            let script = |tries: std::rc::Rc<std::cell::Cell<u32>>, steps: Vec<Step>| {
+            // The first attempt fails and the second succeeds, on whichever server.
+            let attempts = std::rc::Rc::new(std::cell::Cell::new(0));
+            let script = |attempts: std::rc::Rc<std::cell::Cell<u32>>, steps: Vec<Step>| {
                 move |_: &Seen, _: usize| {
-                    tries.set(tries.get() + 1);
-                    if tries.get() == 1 {
+                    attempts.set(attempts.get() + 1);
+                    if attempts.get() == 1 {
                         steps.clone()
                     } else {
                         say(good())
                     }
                 }
             };
-            let one = Worker::start("w-1", "combined", script(tries.clone(), steps.clone())).await;
-            let two = Worker::start("w-2", "combined", script(tries.clone(), steps.clone())).await;
-            let platform = Platform::start(&[&one, &two]).await;
+            let first = Worker::start("w-1", "combined", script(attempts.clone(), steps.clone())).await;
+            let second = Worker::start("w-2", "combined", script(attempts.clone(), steps.clone())).await;
+            let platform = Platform::start(&[&first, &second]).await;
             let answer = platform.ask("a1").await;
             assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{name}: {answer}");
-            assert_eq!(tries.get(), 2, "{name}");
-            // What was spoilt is not used again.
+            assert_eq!(attempts.get(), 2, "{name}");
+            // A broken connection is not reused.
             for id in ["a2", "a3"] {
                 assert!(body(&platform.ask(id).await).1, "{name}");
             }
@@ -141,19 +138,19 @@
 }
 
 #[test]
-fn who_can_not_be_reached_is_passed_by_and_nobody_left_is_rate_limited_at_once() {
+fn without_a_reachable_server_a_request_is_rate_limited_at_once() {
     local(async {
-        // An address on which nobody listens.
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        // An address without a listener.
+        let closed_port = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
         let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
         let platform = Platform::with(&[&worker], |config| {
-            config["known"]["hosts"][0]["dial"] = gone.to_string().into();
+            config["known"]["hosts"][0]["dial"] = closed_port.to_string().into();
         })
         .await;
         platform.discovery.say(
             serde_json::json!({ "seq": 2, "whole": true, "hosts": [
-                { "host": "w-1", "dial": gone.to_string(), "site": "a", "class": "combined", "block": 0,
-                  "health": "ready" }] })
+                { "host": "w-1", "dial": closed_port.to_string(), "site": "a", "class": "combined",
+                  "block": 0, "health": "ready" }] })
             .to_string(),
         );
         sleep(ms(50)).await;
@@ -161,28 +158,28 @@
         let answer = platform.ask("a1").await;
         assert!(answer.starts_with("HTTP/1.1 429 "), "{answer}");
         assert!(answer.contains("Retry-After: 0.400\r\n"), "{answer}");
-        assert!(began.elapsed() < ms(5000), "an answer that is known is not held back");
+        assert!(began.elapsed() < ms(5000), "the answer is not delayed");
         assert_eq!(worker.asked().len(), 0);
     });
 }
 
-/// What ends a stream that has begun: the client's connection ends, without the last chunk.
+/// Failures after the first event: the client's connection is closed without the last chunk.
 #[test]
-fn a_stream_that_is_spoilt_later_breaks_off() {
-    let begun = || Step::Say(format!("{HEAD}{}", chunk(FIRST)));
+fn a_failure_after_the_first_event_breaks_the_stream_off() {
+    let started = || Step::Say(format!("{HEAD}{}", chunk(FIRST)));
     let cases: Vec<(&str, Vec<Step>)> = vec![
-        ("reset", vec![begun(), Step::Close]),
-        ("a size that is none", vec![begun(), Step::Say("what\r\n".into()), Step::Hang]),
-        ("a chunk that does not fit", vec![begun(), Step::Say(format!("3\r\n{LAST}\r\n")), Step::Hang]),
-        ("3 GB", vec![begun(), Step::Say("b2d05e00\r\n".into()), Step::Flood(vec![b'a'; 65536])]),
-        ("noise in a chunk", vec![begun(), Step::Say(chunk("\u{1}\u{2}noise\n")), Step::Hang]),
-        ("an end within an event", vec![begun(), Step::Say(format!("{}0\r\n\r\n", chunk(&LAST[..20])))]),
-        ("silence", vec![begun(), Step::Hang]),
+        ("closed", vec![started(), Step::Close]),
+        ("invalid chunk size", vec![started(), Step::Say("what\r\n".into()), Step::Hang]),
+        ("chunk longer than its size", vec![started(), Step::Say(format!("3\r\n{LAST}\r\n")), Step::Hang]),
+        ("3 GB chunk", vec![started(), Step::Say("b2d05e00\r\n".into()), Step::Flood(vec![b'a'; 65536])]),
+        ("invalid event in a chunk", vec![started(), Step::Say(chunk("\u{1}\u{2}noise\n")), Step::Hang]),
+        ("end within an event", vec![started(), Step::Say(format!("{}0\r\n\r\n", chunk(&LAST[..20])))]),
+        ("no further event", vec![started(), Step::Hang]),
     ];
     for (name, steps) in cases {
         local(async {
             let mut steps = steps.clone();
-            // What comes with the first event in one piece is looked at before that is handed on.
+            // Bytes in the same segment as the first event would be checked before that event is forwarded.
             steps.insert(1, Step::Wait(50));
             let worker = Worker::start("w-1", "combined", move |_, _| steps.clone()).await;
             let platform = Platform::start(&[&worker]).await;
@@ -190,28 +187,23 @@
             let answer = platform.ask("a1").await;
             assert_eq!(body(&answer), (FIRST.to_owned(), false), "{name}: {answer}");
             assert!(began.elapsed() < ms(4900), "{name}: it took {:?}", began.elapsed());
-            assert_eq!(worker.asked().len(), 1, "{name}: a stream that has begun is the answer");
+            assert_eq!(worker.asked().len(), 1, "{name}: a stream that has started is not retried");
         });
     }
 }
 
 #[test]
-fn a_second_answer_behind_the_first_goes_to_nobody() {
+fn a_second_answer_on_a_connection_is_discarded() {
     local(async {
-        let other = good().replace("oqvh", "evil");
-        let worker =
-            Worker::start(
-                "w-1",
-                "combined",
-                move |_, asked| {
-                    if asked == 0 {
-                        say(good() + &other)
-                    } else {
-                        say(good())
-                    }
-                },
-            )
-            .await;
+        let unrequested = good().replace("oqvh", "evil");
+        let worker = Worker::start("w-1", "combined", move |_, asked| {
+            if asked == 0 {
+                say(good() + &unrequested)
+            } else {
+                say(good())
+            }
+        })
+        .await;
         let platform = Platform::start(&[&worker]).await;
         for id in ["a1", "a2"] {
             assert_eq!(body(&platform.ask(id).await), (format!("{FIRST}{LAST}"), true));
@@ -221,7 +213,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_at_a_reader_and_written_elsewhere() {
+fn a_prompt_is_read_by_a_reader_and_written_by_its_home() {
     local(async {
         let reader =
             Worker::start("r-1", "prefill", |_, _| say(plain("202 Read", "", "{\"cached_tokens\":4096}")))
@@ -233,16 +225,16 @@
         assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{answer}");
         assert_eq!((reader.asked().len(), home.asked().len()), (1, 1));
         assert_eq!((reader.asked()[0].id.as_str(), home.asked()[0].id.as_str()), ("a1", "a1"));
-        // The state that a stream took is gone: nobody is told to let go of it.
+        // The write has consumed the state, so no release is sent.
         sleep(ms(30)).await;
         assert_eq!(reader.calls("DELETE").len() + home.calls("DELETE").len(), 0);
     });
 }
 
 #[test]
-fn what_is_held_is_let_go_of_by_whoever_takes_the_call() {
+fn state_that_a_broken_read_may_have_left_is_released() {
     local(async {
-        // The read breaks off after it may have finished, and its worker hears no call.
+        // The connection breaks when the read may have finished, so its state is released.
         let reader = Worker::start("r-1", "prefill", |_, _| vec![Step::Wait(40), Step::Close]).await;
         let home =
             Worker::start("w-1", "combined", |_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", ""))).await;
@@ -253,13 +245,13 @@
         sleep(ms(100)).await;
         let mut calls = reader.calls("DELETE");
         calls.extend(home.calls("DELETE"));
-        assert!(!calls.is_empty(), "nothing was let go of");
+        assert!(!calls.is_empty(), "no release was sent");
         assert!(calls.iter().all(|call| call == "/bootstrap/rooms/a1"), "{calls:?}");
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_heard_at_once() {
+fn a_client_disconnect_is_detected_at_once() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform =
@@ -272,14 +264,14 @@
         let began = Instant::now();
         wait_while(|| worker.closed.get() == 0).await;
         assert!(began.elapsed() < ms(5000), "{:?}", began.elapsed());
-        // Its id is free again.
+        // Its request id can be used again.
         worker.now(|_, _| say(good()));
         assert!(body(&platform.ask("a1").await).1);
     });
 }
 
 #[test]
-fn a_client_that_leaves_within_its_stream_ends_it() {
+fn a_client_disconnect_during_a_stream_ends_the_attempt() {
     local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
             let event = format!("{HEAD}{}", chunk(FIRST));
@@ -299,9 +291,10 @@
     });
 }
 
-/// A worker that closes what has rested sooner than the settings say costs one break, not one each time.
+/// A server that closes idle connections sooner than the settings say causes one failed request, not one
+/// after each idle time.
 #[test]
-fn connections_rest_for_less_where_one_broke_after_a_rest() {
+fn the_idle_limit_is_reduced_after_a_reused_connection_broke() {
     local(async {
         let used = std::rc::Rc::new(std::cell::RefCell::new(std::collections::BTreeSet::new()));
         let worker = Worker::start("w-1", "combined", move |seen, _| {
@@ -314,11 +307,11 @@
         .await;
         let platform = Platform::start(&[&worker]).await;
         let mut statuses = Vec::new();
-        // Rests far longer than half the one at which the connection broke.
-        for (id, rest) in [("a1", 50), ("a2", 400), ("a3", 400), ("a4", 0)] {
+        // Idle times far longer than half of the one after which the connection broke.
+        for (id, idle_ms) in [("a1", 50), ("a2", 400), ("a3", 400), ("a4", 0)] {
             let answer = platform.ask(id).await;
             statuses.push(answer[9..12].to_owned());
-            sleep(ms(rest)).await;
+            sleep(ms(idle_ms)).await;
         }
         assert_eq!(statuses, ["200", "429", "200", "200"]);
         assert_eq!(worker.connections.get(), 3);
