--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -187,18 +187,18 @@
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         let max_idle_ms = self.max_idle_ms(address);
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
+        let pooled = idle.get_mut(&address)?;
         let now = Instant::now();
         let oldest = now.checked_sub(duration(max_idle_ms));
         let newest = now.checked_sub(duration(REST_MS));
-        let mut row = kept.len();
+        let mut row = pooled.len();
         while row > 0 {
             row -= 1;
             // Used so recently that bytes beyond its last answer may still arrive.
-            if newest.is_some_and(|newest| kept[row].since > newest) {
+            if newest.is_some_and(|newest| pooled[row].since > newest) {
                 continue;
             }
-            let idle = kept.remove(row);
+            let idle = pooled.remove(row);
             if idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest) {
                 let Idle { stream, since, slot } = idle;
                 let idle_before_ms = Some(since.elapsed().as_secs_f64() * 1e3);
@@ -297,10 +297,11 @@
     /// Closes the least recently used idle connection of any server; false if none is idle.
     fn close_oldest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(address, kept)| Some((kept.first()?.since, *address))).min();
+        let oldest =
+            idle.iter().filter_map(|(address, pooled)| Some((pooled.first()?.since, *address))).min();
         let Some((_, address)) = oldest else { return false };
-        idle.get_mut(&address).is_some_and(|kept| {
-            kept.remove(0);
+        idle.get_mut(&address).is_some_and(|pooled| {
+            pooled.remove(0);
             true
         })
     }
@@ -315,9 +316,9 @@
         let expiry = duration(self.idle_ms.get());
         self.reduced_idle.borrow_mut().retain(|_, (_, since)| since.elapsed() < expiry);
         let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE));
-        self.idle.borrow_mut().retain(|_, kept| {
-            kept.retain(|idle| idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest));
-            !kept.is_empty()
+        self.idle.borrow_mut().retain(|_, pooled| {
+            pooled.retain(|idle| idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest));
+            !pooled.is_empty()
         });
     }
 
--- a/crates/gateway/tests/races.rs
+++ b/crates/gateway/tests/races.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-fn say(text: impl Into<String>) -> Vec<Step> {
+fn reply(text: impl Into<String>) -> Vec<Step> {
     vec![Step::Say(text.into())]
 }
 
@@ -59,7 +59,7 @@
 #[test]
 fn a_client_that_closes_right_after_its_request_is_not_served() {
     local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+        let worker = Worker::start("w-1", "combined", |_, _| reply(good())).await;
         let platform = Platform::with(&[&worker], disallow_cancel).await;
         let client = Client::default();
         client.send(&platform, &completion("gone", "", "{}"));
@@ -72,7 +72,7 @@
 #[test]
 fn a_client_that_closes_during_the_connect_to_the_server_is_not_served() {
     local(async {
-        let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+        let worker = Worker::start("w-1", "combined", |_, _| reply(good())).await;
         let platform = Platform::with(&[&worker], disallow_cancel).await;
         let client = Client::default();
         *worker.on_connect.borrow_mut() = Some(client.close_action());
@@ -89,7 +89,7 @@
 fn a_client_that_closes_at_the_answer_to_a_probe_is_not_served() {
     for closes_first in [true, false] {
         local(async {
-            let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+            let worker = Worker::start("w-1", "combined", |_, _| reply(good())).await;
             let platform = Platform::with(&[&worker], |config| {
                 disallow_cancel(config);
                 config["settings"]["caps"]["probes"] = true.into();
@@ -116,7 +116,7 @@
             let steps = if closes_first { vec![close, error] } else { vec![error, close] };
             let script = move |seen: &Seen, _: usize| match seen.id.as_str() {
                 "gone" => steps.clone(),
-                _ => say(good()),
+                _ => reply(good()),
             };
             let first = Worker::start("w-1", "combined", script.clone()).await;
             let second = Worker::start("w-2", "combined", script).await;
@@ -140,7 +140,7 @@
             let close = Step::Do(client.close_action());
             let steps = if closes_first { vec![close, read] } else { vec![read, close] };
             let reader = Worker::start("r-1", "prefill", move |_, _| steps.clone()).await;
-            let home = Worker::start("w-1", "combined", |_, _| say(good())).await;
+            let home = Worker::start("w-1", "combined", |_, _| reply(good())).await;
             let platform = Platform::with(&[&reader, &home], disallow_cancel).await;
             client.send(&platform, &prompt("gone", 9000, "", "{}"));
             wait_while(|| client.is_open()).await;
@@ -166,7 +166,7 @@
             }));
             match seen.id.as_str() {
                 "a1" => vec![Step::Wait(300), record_time, Step::Say(good())],
-                _ => say(good()),
+                _ => reply(good()),
             }
         })
         .await;
@@ -179,8 +179,8 @@
         client.write_all(pipelined.as_bytes()).await.unwrap();
         client.read_to_end(&mut Vec::new()).await.unwrap();
         let deadline_ms = |id: &str| {
-            let asked = worker.asked();
-            let seen = asked
+            let received = worker.asked();
+            let seen = received
                 .iter()
                 .find(|seen| seen.id == id)
                 .unwrap_or_else(|| panic!("the server never received {id}"));
@@ -287,7 +287,7 @@
         let answer = error.clone();
         let worker = Worker::start("w-1", "combined", move |seen, _| match seen.id.as_str() {
             "open" => vec![Step::Wait(400), Step::Say(answer.clone())],
-            _ => say(good()),
+            _ => reply(good()),
         })
         .await;
         let platform = Platform::start(&[&worker]).await;
@@ -328,15 +328,15 @@
         assert!(owner.starts_with("HTTP/1.1 400 ") && owner.contains("Req-Owner"), "{owner}");
         let served = raw(platform.clients, new_request("b1").as_bytes()).await;
         assert!(body(&served).1, "{served}");
-        let asked = worker.asked();
-        let deadline: f64 = asked.last().unwrap().deadline.parse().unwrap();
+        let received = worker.asked();
+        let deadline: f64 = received.last().unwrap().deadline.parse().unwrap();
         assert!(deadline <= 3.0, "the deadline of the new class applies: {deadline}");
         // Work that may run only once is not retried; no `Retry-After` is sent if the settings disallow it.
-        worker.now(move |_, _| say(error.clone()));
+        worker.now(move |_, _| reply(error.clone()));
         let failed = raw(platform.clients, new_request("b2").as_bytes()).await;
         assert!(failed.starts_with("HTTP/1.1 502 "), "{failed}");
         assert_eq!(worker.asked().iter().filter(|seen| seen.id == "b2").count(), 1);
-        worker.now(|_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", "")));
+        worker.now(|_, _| reply(plain("503 Full", "Srv-Declined: 1\r\n", "")));
         let refused = raw(platform.clients, new_request("b3").as_bytes()).await;
         assert!(refused.starts_with("HTTP/1.1 429 ") && !refused.contains("Retry-After"), "{refused}");
     });
--- a/crates/gateway/tests/releases.rs
+++ b/crates/gateway/tests/releases.rs
@@ -11,12 +11,12 @@
 
 const HOLD_PATH: &str = "/bootstrap/rooms/a1";
 
-fn say(text: impl Into<String>) -> Vec<Step> {
+fn reply(text: impl Into<String>) -> Vec<Step> {
     vec![Step::Say(text.into())]
 }
 
 fn finished_read() -> Vec<Step> {
-    say(plain("202 Read", "", "{\"cached_tokens\":0}"))
+    reply(plain("202 Read", "", "{\"cached_tokens\":0}"))
 }
 
 fn long_request() -> String {
@@ -82,10 +82,16 @@
     local(async {
         // The reader accepts one read only, so there is one state and one release.
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
-        let once = move |_: &Seen, asked: usize| if asked == 0 { finished_read() } else { say(full.clone()) };
+        let once = move |_: &Seen, received: usize| {
+            if received == 0 {
+                finished_read()
+            } else {
+                reply(full.clone())
+            }
+        };
         let reader = Worker::start("r-1", "prefill", once).await;
         let gone = plain("410 Gone", "Srv-Declined: 1\r\n", "{}");
-        let home = Worker::start("w-1", "combined", move |_, _| say(gone.clone())).await;
+        let home = Worker::start("w-1", "combined", move |_, _| reply(gone.clone())).await;
         let platform = Platform::start(&[&reader, &home]).await;
         let answer = raw(platform.clients, long_request().as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 429 "), "{answer}");
@@ -131,7 +137,7 @@
     local(async {
         let reader = Worker::start("r-1", "prefill", |_, _| vec![Step::Wait(20), Step::Close]).await;
         let full = plain("503 Full", "Srv-Declined: 1\r\n", "");
-        let home = Worker::start("w-1", "combined", move |_, _| say(full.clone())).await;
+        let home = Worker::start("w-1", "combined", move |_, _| reply(full.clone())).await;
         let both = [reader.clone(), home.clone()];
         both.iter().for_each(|worker| worker.deaf.set(true));
         let platform = Platform::start(&[&reader, &home]).await;
--- a/crates/gateway/tests/workers.rs
+++ b/crates/gateway/tests/workers.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-fn say(text: impl Into<String>) -> Vec<Step> {
+fn reply(text: impl Into<String>) -> Vec<Step> {
     vec![Step::Say(text.into())]
 }
 
@@ -33,14 +33,14 @@
         let answer = raw(platform.clients, completion("a1", "Connection: close\r\n", text).as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
         assert_eq!(body(&answer), (format!("{FIRST}: Srv-Load: TEXT queue=nonsense\n\n{LAST}"), true));
-        let asked = worker.asked();
-        assert_eq!(asked.len(), 1);
+        let received = worker.asked();
+        assert_eq!(received.len(), 1);
         assert_eq!(
-            (asked[0].method.as_str(), asked[0].target.as_str()),
+            (received[0].method.as_str(), received[0].target.as_str()),
             ("POST", "/v1/chat/completions?trace=1")
         );
-        assert_eq!((asked[0].id.as_str(), asked[0].body.as_slice()), ("a1", text.as_bytes()));
-        let deadline: f64 = asked[0].deadline.parse().unwrap();
+        assert_eq!((received[0].id.as_str(), received[0].body.as_slice()), ("a1", text.as_bytes()));
+        let deadline: f64 = received[0].deadline.parse().unwrap();
         assert!(deadline > 0.0 && deadline <= 8.0, "{deadline}");
         // The next request reuses the connection.
         sleep(ms(10)).await;
@@ -55,9 +55,9 @@
 fn every_attempt_carries_the_clients_idempotency_key() {
     local(async {
         let read = plain("202 Read", "", "{\"cached_tokens\":4096}");
-        let reader = Worker::start("r-1", "prefill", move |_, _| say(read.clone())).await;
-        let first = Worker::start("w-1", "combined", |_, _| say(plain("500 Oh", "", "{}"))).await;
-        let second = Worker::start("w-2", "decode", |_, _| say(good())).await;
+        let reader = Worker::start("r-1", "prefill", move |_, _| reply(read.clone())).await;
+        let first = Worker::start("w-1", "combined", |_, _| reply(plain("500 Oh", "", "{}"))).await;
+        let second = Worker::start("w-2", "decode", |_, _| reply(good())).await;
         let platform = Platform::with(&[&reader, &first, &second], |config| {
             config["settings"]["services"][0]["idempotency"] = "by_key".into();
         })
@@ -66,9 +66,9 @@
         let long = prompt("a1", 9000, &format!("{key}Connection: close\r\n"), "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
         assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{answer}");
-        let asked = [&reader, &first, &second].map(|worker| worker.asked()).concat();
-        assert!(asked.len() >= 3, "a read, an attempt that failed and its retry: {asked:?}");
-        for seen in asked {
+        let received = [&reader, &first, &second].map(|worker| worker.asked()).concat();
+        assert!(received.len() >= 3, "a read, an attempt that failed and its retry: {received:?}");
+        for seen in received {
             let fields: Vec<_> = seen.head.lines().filter(|line| line.starts_with("Idempotency")).collect();
             assert_eq!(fields, [key.trim_end()], "{}", seen.head);
             assert!(seen.head.contains(&format!("\r\n{key}")), "the field ends with CRLF: {:?}", seen.head);
@@ -87,11 +87,11 @@
 fn a_failure_before_the_first_event_is_retried_elsewhere() {
     let noise: Vec<u8> = (0..2000u32).map(|byte| (byte * 7 % 251) as u8).collect();
     let cases: Vec<(&str, Vec<Step>)> = vec![
-        ("error", say(plain("500 Oh", "", "{}"))),
-        ("full", say(plain("503 Full", "Srv-Declined: 1\r\n", "{}"))),
-        ("too late", say(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
-        ("no state", say(plain("410 Gone", "Srv-Declined: 1\r\n", "{}"))),
-        ("503 without Srv-Declined", say(plain("503 Eh", "", ""))),
+        ("error", reply(plain("500 Oh", "", "{}"))),
+        ("full", reply(plain("503 Full", "Srv-Declined: 1\r\n", "{}"))),
+        ("too late", reply(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
+        ("no state", reply(plain("410 Gone", "Srv-Declined: 1\r\n", "{}"))),
+        ("503 without Srv-Declined", reply(plain("503 Eh", "", ""))),
         ("closed", vec![Step::Close]),
         ("closed within the head", vec![Step::Say(HEAD[..30].into()), Step::Close]),
         ("closed before an event", vec![Step::Say(format!("{HEAD}{}", chunk(&FIRST[..9]))), Step::Close]),
@@ -101,11 +101,11 @@
         ("invalid chunk size", vec![Step::Say(format!("{HEAD}zz\r\n{FIRST}")), Step::Hang]),
         ("3 GB chunk", vec![Step::Say(format!("{HEAD}b2d05e00\r\n")), Step::Flood(vec![b'a'; 65536])]),
         ("chunk longer than its size", vec![Step::Say(format!("{HEAD}5\r\n{FIRST}\r\n")), Step::Hang]),
-        ("no event", say(format!("{HEAD}0\r\n\r\n"))),
-        ("not chunked", say(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
+        ("no event", reply(format!("{HEAD}0\r\n\r\n"))),
+        ("not chunked", reply(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
         (
             "Content-Length and chunked",
-            say(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST)),
+            reply(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST)),
         ),
         ("no answer", vec![Step::Hang]),
     ];
@@ -119,7 +119,7 @@
                     if attempts.get() == 1 {
                         steps.clone()
                     } else {
-                        say(good())
+                        reply(good())
                     }
                 }
             };
@@ -142,7 +142,7 @@
     local(async {
         // An address without a listener.
         let closed_port = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let worker = Worker::start("w-1", "combined", |_, _| say(good())).await;
+        let worker = Worker::start("w-1", "combined", |_, _| reply(good())).await;
         let platform = Platform::with(&[&worker], |config| {
             config["known"]["hosts"][0]["dial"] = closed_port.to_string().into();
         })
@@ -196,11 +196,11 @@
 fn a_second_answer_on_a_connection_is_discarded() {
     local(async {
         let unrequested = good().replace("oqvh", "evil");
-        let worker = Worker::start("w-1", "combined", move |_, asked| {
-            if asked == 0 {
-                say(good() + &unrequested)
+        let worker = Worker::start("w-1", "combined", move |_, received| {
+            if received == 0 {
+                reply(good() + &unrequested)
             } else {
-                say(good())
+                reply(good())
             }
         })
         .await;
@@ -216,9 +216,9 @@
 fn a_prompt_is_read_by_a_reader_and_written_by_its_home() {
     local(async {
         let reader =
-            Worker::start("r-1", "prefill", |_, _| say(plain("202 Read", "", "{\"cached_tokens\":4096}")))
+            Worker::start("r-1", "prefill", |_, _| reply(plain("202 Read", "", "{\"cached_tokens\":4096}")))
                 .await;
-        let home = Worker::start("w-1", "combined", |_, _| say(good())).await;
+        let home = Worker::start("w-1", "combined", |_, _| reply(good())).await;
         let platform = Platform::start(&[&reader, &home]).await;
         let long = prompt("a1", 9000, "Connection: close\r\n", "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
@@ -237,7 +237,8 @@
         // The connection breaks when the read may have finished, so its state is released.
         let reader = Worker::start("r-1", "prefill", |_, _| vec![Step::Wait(40), Step::Close]).await;
         let home =
-            Worker::start("w-1", "combined", |_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", ""))).await;
+            Worker::start("w-1", "combined", |_, _| reply(plain("503 Full", "Srv-Declined: 1\r\n", "")))
+                .await;
         let platform = Platform::start(&[&reader, &home]).await;
         let long = prompt("a1", 9000, "Connection: close\r\n", "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
@@ -265,7 +266,7 @@
         wait_while(|| worker.closed.get() == 0).await;
         assert!(began.elapsed() < ms(5000), "{:?}", began.elapsed());
         // Its request id can be used again.
-        worker.now(|_, _| say(good()));
+        worker.now(|_, _| reply(good()));
         assert!(body(&platform.ask("a1").await).1);
     });
 }
@@ -299,7 +300,7 @@
         let used = std::rc::Rc::new(std::cell::RefCell::new(std::collections::BTreeSet::new()));
         let worker = Worker::start("w-1", "combined", move |seen, _| {
             if used.borrow_mut().insert(seen.connection) {
-                say(good())
+                reply(good())
             } else {
                 vec![Step::Close]
             }
