--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -339,7 +339,11 @@
             client: client.clone(),
             _held: body_quota,
         };
-        if frontend.core.send(CoreEvent::Arrived { arrival, request: Rc::new(request), duty }).await.is_err()
+        if frontend
+            .core
+            .send(CoreEvent::Arrived { arrival, request: Rc::new(request), pending_answer: duty })
+            .await
+            .is_err()
         {
             return Ok(Err(SHUTTING_DOWN));
         }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -10,11 +10,11 @@
 use tokio::net::TcpListener;
 use tokio::time::{sleep, Instant};
 
-use crate::discovery::Starts;
+use crate::discovery::SharedStartTimes;
 
-fn read(path: &Path, starts: &Starts) -> Result<Config> {
+fn read(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
     let text = std::fs::read(path).with_context(|| format!("configuration {}", path.display()))?;
-    starts.read(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
+    starts.with_current(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
 }
 
 /// How long reading the configuration is retried at start, in ms: nothing can run without it.
@@ -36,7 +36,7 @@
 /// The error of the last attempt.
 async fn read_with_retries(
     path: &Path,
-    starts: &Starts,
+    starts: &SharedStartTimes,
     within_ms: f64,
     is_transient: impl Fn(&anyhow::Error) -> bool,
 ) -> Result<Config> {
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// A configuration that can't be read or is incomplete, or an address that can't be bound.
-pub async fn listen(path: &Path, starts: &Starts) -> Result<(Config, TcpListener)> {
+pub async fn listen(path: &Path, starts: &SharedStartTimes) -> Result<(Config, TcpListener)> {
     let config = read_with_retries(path, starts, START_RETRY_LIMIT_MS, is_transient).await?;
     let listen = config.listen;
     let listener = bind(listen).await.with_context(|| format!("listening on {listen}"))?;
@@ -66,6 +66,6 @@
 ///
 /// # Errors
 /// The error of the last attempt.
-pub async fn reload(path: &Path, starts: &Starts) -> Result<Config> {
+pub async fn reload(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
     read_with_retries(path, starts, RELOAD_RETRY_LIMIT_MS, |_| true).await
 }
--- a/crates/gateway/src/frontend/tests.rs
+++ b/crates/gateway/src/frontend/tests.rs
@@ -47,10 +47,10 @@
         let count = arrived.clone();
         tokio::task::spawn_local(async move {
             while let Some(event) = events.recv().await {
-                let CoreEvent::Arrived { duty, .. } = event else { continue };
+                let CoreEvent::Arrived { pending_answer, .. } = event else { continue };
                 count.set(count.get() + 1);
                 let _ = enabled.wait_for(|enabled| *enabled).await;
-                duty.give(Reply::RateLimited { retry_after_ms: 100.0 });
+                pending_answer.give(Reply::RateLimited { retry_after_ms: 100.0 });
             }
         });
         let frontend = Rc::new(Frontend::new(Clock::start(), core, provision, shares, lifecycle_changes));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -27,7 +27,7 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-use crate::discovery::Starts;
+use crate::discovery::SharedStartTimes;
 use crate::running::Running;
 
 /// A signal from outside to a running router.
@@ -74,7 +74,7 @@
     ready: impl FnOnce(SocketAddr),
 ) -> Result<()> {
     let clock = Clock::start();
-    let starts = Starts::new(clock);
+    let starts = SharedStartTimes::new(clock);
     let (config, listener) = tokio::select! {
         biased;
         () = stop_requested(&mut signals) => {
--- a/crates/gateway/tests/workers.rs
+++ b/crates/gateway/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Each thing that a worker can send back, as the client meets it.
+//! What the client gets for each kind of response that a server may send, valid or not.
 
 mod common;
 
@@ -7,12 +7,12 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-fn say(text: impl Into<String>) -> Vec<Step> {
+fn reply(text: impl Into<String>) -> Vec<Step> {
     vec![Step::Send(text.into())]
 }
 
 #[test]
-fn a_completion_goes_on_unchanged_and_so_do_its_events() {
+fn a_request_and_its_events_are_forwarded_unchanged() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
             let interim = "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n";
@@ -33,30 +33,31 @@
         let answer = raw(platform.clients, completion("a1", "Connection: close\r\n", text).as_bytes()).await;
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
         assert_eq!(body(&answer), (format!("{FIRST}: Srv-Load: TEXT queue=nonsense\n\n{LAST}"), true));
-        let asked = worker.completion_requests();
-        assert_eq!(asked.len(), 1);
+        let received = worker.completion_requests();
+        assert_eq!(received.len(), 1);
         assert_eq!(
-            (asked[0].method.as_str(), asked[0].target.as_str()),
+            (received[0].method.as_str(), received[0].target.as_str()),
             ("POST", "/v1/chat/completions?trace=1")
         );
-        assert_eq!((asked[0].id.as_str(), asked[0].body.as_slice()), ("a1", text.as_bytes()));
-        let deadline: f64 = asked[0].deadline.parse().unwrap();
+        assert_eq!((received[0].id.as_str(), received[0].body.as_slice()), ("a1", text.as_bytes()));
+        let deadline: f64 = received[0].deadline.parse().unwrap();
         assert!(deadline > 0.0 && deadline <= 8.0, "{deadline}");
-        // The same connection serves the next.
+        // The next request reuses the connection.
         sleep(ms(10)).await;
         assert!(body(&platform.complete("a2").await).1);
         assert_eq!((worker.completion_requests().len(), worker.connections.get()), (2, 1));
     });
 }
 
-/// Servers drop repeats by the key that the client chose: every attempt has to carry it, a read too.
+/// Servers discard duplicates by the idempotency key that the client chose, so every attempt must carry it,
+/// reads included.
 #[test]
 fn every_attempt_carries_the_clients_idempotency_key() {
     run_local(async {
         let read = plain("202 Read", "", "{\"cached_tokens\":4096}");
-        let reader = Worker::start("r-1", "prefill", move |_, _| say(read.clone())).await;
-        let first = Worker::start("w-1", "combined", |_, _| say(plain("500 Oh", "", "{}"))).await;
-        let second = Worker::start("w-2", "decode", |_, _| say(full_answer())).await;
+        let reader = Worker::start("r-1", "prefill", move |_, _| reply(read.clone())).await;
+        let first = Worker::start("w-1", "combined", |_, _| reply(plain("500 Oh", "", "{}"))).await;
+        let second = Worker::start("w-2", "decode", |_, _| reply(full_answer())).await;
         let platform = Platform::with(&[&reader, &first, &second], |config| {
             config["settings"]["services"][0]["idempotency"] = "by_key".into();
         })
@@ -65,18 +66,14 @@
         let long = prompt("a1", 9000, &format!("{key}Connection: close\r\n"), "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
         assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{answer}");
-        let asked = [&reader, &first, &second].map(|worker| worker.completion_requests()).concat();
-        assert!(asked.len() >= 3, "a read, an attempt that failed and its repeat: {asked:?}");
-        for seen in asked {
+        let received = [&reader, &first, &second].map(|worker| worker.completion_requests()).concat();
+        assert!(received.len() >= 3, "a read, an attempt that failed and its retry: {received:?}");
+        for seen in received {
             let fields: Vec<_> = seen.head.lines().filter(|line| line.starts_with("Idempotency")).collect();
             assert_eq!(fields, [key.trim_end()], "{}", seen.head);
-            assert!(
-                seen.head.contains(&format!("\r\n{key}")),
-                "its line ends as every other does: {:?}",
-                seen.head
-            );
+            assert!(seen.head.contains(&format!("\r\n{key}")), "the field ends with CRLF: {:?}", seen.head);
         }
-        // A class without keys is sent none.
+        // A request whose client sent no key is forwarded without one.
         assert!(body(&platform.complete("a2").await).1);
         let keyless = [&reader, &first, &second].map(|worker| worker.completion_requests()).concat();
         let keyless = keyless.iter().filter(|seen| seen.id == "a2");
@@ -85,54 +82,54 @@
     });
 }
 
-/// What ends a dispatch before its first event, and is tried elsewhere.
+/// Failures before the first event of an attempt: the request is retried on the other server.
 #[test]
-fn what_fails_before_the_first_event_is_tried_elsewhere() {
+fn a_failure_before_the_first_event_is_retried_elsewhere() {
     let noise: Vec<u8> = (0..2000u32).map(|byte| (byte * 7 % 251) as u8).collect();
     let cases: Vec<(&str, Vec<Step>)> = vec![
-        ("error", say(plain("500 Oh", "", "{}"))),
-        ("full", say(plain("503 Full", "Srv-Declined: 1\r\n", "{}"))),
-        ("over", say(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
-        ("no state", say(plain("410 Gone", "Srv-Declined: 1\r\n", "{}"))),
-        ("503 without a word", say(plain("503 Eh", "", ""))),
-        ("reset", vec![Step::Close]),
-        ("cut within the head", vec![Step::Send(HEAD[..30].into()), Step::Close]),
-        ("cut before an event", vec![Step::Send(format!("{HEAD}{}", chunk(&FIRST[..9]))), Step::Close]),
+        ("error", reply(plain("500 Oh", "", "{}"))),
+        ("full", reply(plain("503 Full", "Srv-Declined: 1\r\n", "{}"))),
+        ("too late", reply(plain("504 Over", "Srv-Declined: 1\r\n", "{}"))),
+        ("no state", reply(plain("410 Gone", "Srv-Declined: 1\r\n", "{}"))),
+        ("503 without Srv-Declined", reply(plain("503 Eh", "", ""))),
+        ("closed", vec![Step::Close]),
+        ("closed within the head", vec![Step::Send(HEAD[..30].into()), Step::Close]),
+        ("closed before an event", vec![Step::Send(format!("{HEAD}{}", chunk(&FIRST[..9]))), Step::Close]),
         ("noise", vec![Step::Bytes(noise), Step::Hang]),
+        ("endless head", vec![Step::Send("HTTP/1.1 200 OK\r\nX: ".into()), Step::Flood(vec![b'a'; 4096])]),
+        ("endless interim answers", vec![Step::Flood(b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100))]),
+        ("invalid chunk size", vec![Step::Send(format!("{HEAD}zz\r\n{FIRST}")), Step::Hang]),
+        ("3 GB chunk", vec![Step::Send(format!("{HEAD}b2d05e00\r\n")), Step::Flood(vec![b'a'; 65536])]),
+        ("chunk longer than its size", vec![Step::Send(format!("{HEAD}5\r\n{FIRST}\r\n")), Step::Hang]),
+        ("no event", reply(format!("{HEAD}0\r\n\r\n"))),
+        ("not chunked", reply(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
         (
-            "a head that does not end",
-            vec![Step::Send("HTTP/1.1 200 OK\r\nX: ".into()), Step::Flood(vec![b'a'; 4096])],
+            "Content-Length and chunked",
+            reply(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST)),
         ),
-        ("interim answers without end", vec![Step::Flood(b"HTTP/1.1 100 Continue\r\n\r\n".repeat(100))]),
-        ("a size that is none", vec![Step::Send(format!("{HEAD}zz\r\n{FIRST}")), Step::Hang]),
-        ("3 GB", vec![Step::Send(format!("{HEAD}b2d05e00\r\n")), Step::Flood(vec![b'a'; 65536])]),
-        ("a chunk that does not fit", vec![Step::Send(format!("{HEAD}5\r\n{FIRST}\r\n")), Step::Hang]),
-        ("no event at all", say(format!("{HEAD}0\r\n\r\n"))),
-        ("no chunks", say(plain("200 OK", "Content-Type: text/event-stream\r\n", FIRST))),
-        ("both lengths", say(HEAD.replace("\r\n\r\n", "\r\nContent-Length: 5\r\n\r\n") + &chunk(FIRST))),
-        ("silence", vec![Step::Hang]),
+        ("no answer", vec![Step::Hang]),
     ];
     for (name, steps) in cases {
         run_local(async {
-            // Whoever is asked first fails; the second try is good, wherever it goes.
-            let tries = std::rc::Rc::new(std::cell::Cell::new(0));
-            let script = |tries: std::rc::Rc<std::cell::Cell<u32>>, steps: Vec<Step>| {
+            // The first attempt fails and the second succeeds, on whichever server.
+            let attempts = std::rc::Rc::new(std::cell::Cell::new(0));
+            let script = |attempts: std::rc::Rc<std::cell::Cell<u32>>, steps: Vec<Step>| {
                 move |_: &RecordedRequest, _: usize| {
-                    tries.set(tries.get() + 1);
-                    if tries.get() == 1 {
+                    attempts.set(attempts.get() + 1);
+                    if attempts.get() == 1 {
                         steps.clone()
                     } else {
-                        say(full_answer())
+                        reply(full_answer())
                     }
                 }
             };
-            let one = Worker::start("w-1", "combined", script(tries.clone(), steps.clone())).await;
-            let two = Worker::start("w-2", "combined", script(tries.clone(), steps.clone())).await;
-            let platform = Platform::start(&[&one, &two]).await;
+            let first = Worker::start("w-1", "combined", script(attempts.clone(), steps.clone())).await;
+            let second = Worker::start("w-2", "combined", script(attempts.clone(), steps.clone())).await;
+            let platform = Platform::start(&[&first, &second]).await;
             let answer = platform.complete("a1").await;
             assert_eq!(body(&answer), (format!("{FIRST}{LAST}"), true), "{name}: {answer}");
-            assert_eq!(tries.get(), 2, "{name}");
-            // What was spoilt is not used again.
+            assert_eq!(attempts.get(), 2, "{name}");
+            // A broken connection is not reused.
             for id in ["a2", "a3"] {
                 assert!(body(&platform.complete(id).await).1, "{name}");
             }
@@ -141,19 +138,19 @@
 }
 
 #[test]
-fn who_can_not_be_reached_is_passed_by_and_nobody_left_is_rate_limited_at_once() {
+fn without_a_reachable_server_a_request_is_rate_limited_at_once() {
     run_local(async {
-        // An address on which nobody listens.
-        let gone = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
-        let worker = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
+        // An address without a listener.
+        let closed_port = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+        let worker = Worker::start("w-1", "combined", |_, _| reply(full_answer())).await;
         let platform = Platform::with(&[&worker], |config| {
-            config["known"]["hosts"][0]["dial"] = gone.to_string().into();
+            config["known"]["hosts"][0]["dial"] = closed_port.to_string().into();
         })
         .await;
         platform.discovery.publish(
             serde_json::json!({ "seq": 2, "whole": true, "hosts": [
-                { "host": "w-1", "dial": gone.to_string(), "site": "a", "class": "combined", "block": 0,
-                  "health": "ready" }] })
+                { "host": "w-1", "dial": closed_port.to_string(), "site": "a", "class": "combined",
+                  "block": 0, "health": "ready" }] })
             .to_string(),
         );
         sleep(ms(50)).await;
@@ -161,28 +158,28 @@
         let answer = platform.complete("a1").await;
         assert!(answer.starts_with("HTTP/1.1 429 "), "{answer}");
         assert!(answer.contains("Retry-After: 0.400\r\n"), "{answer}");
-        assert!(began.elapsed() < ms(5000), "an answer that is known is not held back");
+        assert!(began.elapsed() < ms(5000), "the answer is not delayed");
         assert_eq!(worker.completion_requests().len(), 0);
     });
 }
 
-/// What ends a stream that has begun: the client's connection ends, without the last chunk.
+/// Failures after the first event: the client's connection is closed without the last chunk.
 #[test]
-fn a_stream_that_is_spoilt_later_breaks_off() {
-    let begun = || Step::Send(format!("{HEAD}{}", chunk(FIRST)));
+fn a_failure_after_the_first_event_breaks_the_stream_off() {
+    let started = || Step::Send(format!("{HEAD}{}", chunk(FIRST)));
     let cases: Vec<(&str, Vec<Step>)> = vec![
-        ("reset", vec![begun(), Step::Close]),
-        ("a size that is none", vec![begun(), Step::Send("what\r\n".into()), Step::Hang]),
-        ("a chunk that does not fit", vec![begun(), Step::Send(format!("3\r\n{LAST}\r\n")), Step::Hang]),
-        ("3 GB", vec![begun(), Step::Send("b2d05e00\r\n".into()), Step::Flood(vec![b'a'; 65536])]),
-        ("noise in a chunk", vec![begun(), Step::Send(chunk("\u{1}\u{2}noise\n")), Step::Hang]),
-        ("an end within an event", vec![begun(), Step::Send(format!("{}0\r\n\r\n", chunk(&LAST[..20])))]),
-        ("silence", vec![begun(), Step::Hang]),
+        ("closed", vec![started(), Step::Close]),
+        ("invalid chunk size", vec![started(), Step::Send("what\r\n".into()), Step::Hang]),
+        ("chunk longer than its size", vec![started(), Step::Send(format!("3\r\n{LAST}\r\n")), Step::Hang]),
+        ("3 GB chunk", vec![started(), Step::Send("b2d05e00\r\n".into()), Step::Flood(vec![b'a'; 65536])]),
+        ("invalid event in a chunk", vec![started(), Step::Send(chunk("\u{1}\u{2}noise\n")), Step::Hang]),
+        ("end within an event", vec![started(), Step::Send(format!("{}0\r\n\r\n", chunk(&LAST[..20])))]),
+        ("no further event", vec![started(), Step::Hang]),
     ];
     for (name, steps) in cases {
         run_local(async {
             let mut steps = steps.clone();
-            // What comes with the first event in one piece is looked at before that is handed on.
+            // Bytes in the same segment as the first event would be checked before that event is forwarded.
             steps.insert(1, Step::Wait(50));
             let worker = Worker::start("w-1", "combined", move |_, _| steps.clone()).await;
             let platform = Platform::start(&[&worker]).await;
@@ -193,21 +190,21 @@
             assert_eq!(
                 worker.completion_requests().len(),
                 1,
-                "{name}: a stream that has begun is the answer"
+                "{name}: a stream that has started is not retried"
             );
         });
     }
 }
 
 #[test]
-fn a_second_answer_behind_the_first_goes_to_nobody() {
+fn a_second_answer_on_a_connection_is_discarded() {
     run_local(async {
-        let other = full_answer().replace("oqvh", "evil");
-        let worker = Worker::start("w-1", "combined", move |_, asked| {
-            if asked == 0 {
-                say(full_answer() + &other)
+        let unrequested = full_answer().replace("oqvh", "evil");
+        let worker = Worker::start("w-1", "combined", move |_, received| {
+            if received == 0 {
+                reply(full_answer() + &unrequested)
             } else {
-                say(full_answer())
+                reply(full_answer())
             }
         })
         .await;
@@ -220,12 +217,12 @@
 }
 
 #[test]
-fn a_prompt_is_read_at_a_reader_and_written_elsewhere() {
+fn a_prompt_is_read_by_a_reader_and_written_by_its_home() {
     run_local(async {
         let reader =
-            Worker::start("r-1", "prefill", |_, _| say(plain("202 Read", "", "{\"cached_tokens\":4096}")))
+            Worker::start("r-1", "prefill", |_, _| reply(plain("202 Read", "", "{\"cached_tokens\":4096}")))
                 .await;
-        let home = Worker::start("w-1", "combined", |_, _| say(full_answer())).await;
+        let home = Worker::start("w-1", "combined", |_, _| reply(full_answer())).await;
         let platform = Platform::start(&[&reader, &home]).await;
         let long = prompt("a1", 9000, "Connection: close\r\n", "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
@@ -235,19 +232,20 @@
             (reader.completion_requests()[0].id.as_str(), home.completion_requests()[0].id.as_str()),
             ("a1", "a1")
         );
-        // The state that a stream took is gone: nobody is told to let go of it.
+        // The write has consumed the state, so no release is sent.
         sleep(ms(30)).await;
         assert_eq!(reader.calls("DELETE").len() + home.calls("DELETE").len(), 0);
     });
 }
 
 #[test]
-fn what_is_held_is_let_go_of_by_whoever_takes_the_call() {
+fn state_that_a_broken_read_may_have_left_is_released() {
     run_local(async {
-        // The read breaks off after it may have finished, and its worker hears no call.
+        // The connection breaks when the read may have finished, so its state is released.
         let reader = Worker::start("r-1", "prefill", |_, _| vec![Step::Wait(40), Step::Close]).await;
         let home =
-            Worker::start("w-1", "combined", |_, _| say(plain("503 Full", "Srv-Declined: 1\r\n", ""))).await;
+            Worker::start("w-1", "combined", |_, _| reply(plain("503 Full", "Srv-Declined: 1\r\n", "")))
+                .await;
         let platform = Platform::start(&[&reader, &home]).await;
         let long = prompt("a1", 9000, "Connection: close\r\n", "{}");
         let answer = raw(platform.clients, long.as_bytes()).await;
@@ -255,13 +253,13 @@
         sleep(ms(100)).await;
         let mut calls = reader.calls("DELETE");
         calls.extend(home.calls("DELETE"));
-        assert!(!calls.is_empty(), "nothing was let go of");
+        assert!(!calls.is_empty(), "no release was sent");
         assert!(calls.iter().all(|call| call == "/bootstrap/rooms/a1"), "{calls:?}");
     });
 }
 
 #[test]
-fn a_client_that_leaves_is_heard_at_once() {
+fn a_client_disconnect_is_detected_at_once() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| vec![Step::Hang]).await;
         let platform =
@@ -274,14 +272,14 @@
         let began = Instant::now();
         wait_while(|| worker.closed.get() == 0).await;
         assert!(began.elapsed() < ms(5000), "{:?}", began.elapsed());
-        // Its id is free again.
-        worker.set_script(|_, _| say(full_answer()));
+        // Its request id can be used again.
+        worker.set_script(|_, _| reply(full_answer()));
         assert!(body(&platform.complete("a1").await).1);
     });
 }
 
 #[test]
-fn a_client_that_leaves_within_its_stream_ends_it() {
+fn a_client_disconnect_during_a_stream_ends_the_attempt() {
     run_local(async {
         let worker = Worker::start("w-1", "combined", |_, _| {
             let event = format!("{HEAD}{}", chunk(FIRST));
@@ -301,14 +299,15 @@
     });
 }
 
-/// A worker that closes what has rested sooner than the settings say costs one break, not one each time.
+/// A server that closes idle connections sooner than the settings say causes one failed request, not one
+/// after each idle time.
 #[test]
-fn connections_rest_for_less_where_one_broke_after_a_rest() {
+fn the_idle_limit_is_reduced_after_a_reused_connection_broke() {
     run_local(async {
         let used = std::rc::Rc::new(std::cell::RefCell::new(std::collections::BTreeSet::new()));
         let worker = Worker::start("w-1", "combined", move |seen, _| {
             if used.borrow_mut().insert(seen.connection) {
-                say(full_answer())
+                reply(full_answer())
             } else {
                 vec![Step::Close]
             }
@@ -316,11 +315,11 @@
         .await;
         let platform = Platform::start(&[&worker]).await;
         let mut statuses = Vec::new();
-        // Rests far longer than half the one at which the connection broke.
-        for (id, rest) in [("a1", 50), ("a2", 400), ("a3", 400), ("a4", 0)] {
+        // Idle times far longer than half of the one after which the connection broke.
+        for (id, idle_ms) in [("a1", 50), ("a2", 400), ("a3", 400), ("a4", 0)] {
             let answer = platform.complete(id).await;
             statuses.push(answer[9..12].to_owned());
-            sleep(ms(rest)).await;
+            sleep(ms(idle_ms)).await;
         }
         assert_eq!(statuses, ["200", "429", "200", "200"]);
         assert_eq!(worker.connections.get(), 3);
