--- a/crates/bench/src/module.rs
+++ b/crates/bench/src/module.rs
@@ -42,14 +42,15 @@
             prefix_tokens: 0.0,
             max_tokens: 4.0,
             answer_hint_ms: None,
-            near: None,
+            home_zone: None,
             client_retry: false,
             resumed: false,
         };
         control.handle(now_ms, &Event::Arrived(arrival), &mut actions);
         control.handle(now_ms, &Event::Began { completion, seq, took_ms: 1.0 }, &mut actions);
         let (outcome, kept_tokens) = (Outcome::Finished, 0.0);
-        let ended = Event::Ended { completion, seq, took_ms: 1.0, over: true, outcome, kept_tokens };
+        let ended =
+            Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: kept_tokens };
         control.handle(now_ms, &ended, &mut actions);
         actions.clear();
     }
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -320,7 +320,7 @@
                     prefix_tokens,
                     max_tokens,
                     answer_hint_ms: hint.filter(|_| bits & 1 != 0).map(|hint| hint * 1e3),
-                    near: None,
+                    home_zone: None,
                     client_retry: bits & 2 != 0,
                     resumed: bits & 16 != 0,
                 })
@@ -341,7 +341,7 @@
                 let remark: f64 = fields.optional_number("remark")?.unwrap_or(0.0);
                 *load = self.load(worker, fields)?;
                 let outcome = outcome(code, remark)?;
-                Event::Ended { completion, seq, took_ms, over, outcome, kept_tokens: remark }
+                Event::Ended { completion, seq, took_ms, done: over, outcome, cached_tokens: remark }
             }
             "HOLD_RESULT" => Event::HoldAnswered {
                 completion: CompletionId(fields.number("call")?),
@@ -361,7 +361,7 @@
                 let peer = PeerId(fields.number("origin_peer")?);
                 let payload = fields.optional().unwrap_or("");
                 let payload = STANDARD.decode(payload).map_err(|_| anyhow!("field payload: not base64"))?;
-                Event::Told { peer, payload }
+                Event::PeerMessage { peer, payload }
             }
             _ => {
                 let handle = fields.text("handle")?;
@@ -455,7 +455,7 @@
         Action::Probe { worker } => writeln!(output, "INSPECT\t{who}\t{}", worker.0),
         Action::CloseIdle { worker } => writeln!(output, "HANG_UP\t{who}\t{}", worker.0),
         Action::MoveStream { completion } => writeln!(output, "MIGRATE\t{who}\t{}", completion.0),
-        Action::Tell { peer, payload } => {
+        Action::SendToPeer { peer, payload } => {
             let to = peer.map_or_else(|| "*".to_owned(), |peer| peer.0.to_string());
             let payload = if payload.is_empty() { "-".to_owned() } else { STANDARD.encode(payload) };
             writeln!(output, "ANNOUNCE\t{who}\t{to}\t{payload}")
--- a/crates/emulator/src/policies.rs
+++ b/crates/emulator/src/policies.rs
@@ -192,7 +192,7 @@
                     open.state_at = None;
                 }
             }
-            Event::Ended { completion, seq, over, outcome, .. } => {
+            Event::Ended { completion, seq, done: over, outcome, .. } => {
                 let Some(open) = self.open.get_mut(completion) else { return };
                 let worker = open.out.get_mut(seq.0 as usize).and_then(Option::take);
                 if let Some(worker) = &worker {
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -126,7 +126,7 @@
             prefix_tokens: if shared { s.beginning.1 } else { 0.0 },
             max_tokens: load.answer_tokens as f64,
             answer_hint_ms: None,
-            near: None,
+            home_zone: None,
             client_retry: false,
             resumed: false,
         };
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use paddleproxy::interface::{CompletionId, Kept, ListKind, LoadReport, Role, Seq, WorkerId};
+use paddleproxy::interface::{CacheEntry, CompletionId, ListKind, LoadReport, Role, Seq, WorkerId};
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
 use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
 use paddleproxy_routing::{
@@ -519,7 +519,7 @@
 
 fn report_of(load: &Load) -> LoadReport {
     LoadReport {
-        in_hand: Some(load.in_hand),
+        active_requests: Some(load.in_hand),
         queue: Some(load.queue),
         slots_share: Some(load.slots_share),
         latency_ms: None,
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -33,7 +33,7 @@
     }
 
     /// What a router that starts believes of what its store holds.
-    pub(super) fn believed(&self, router: usize) -> Vec<Kept> {
+    pub(super) fn believed(&self, router: usize) -> Vec<CacheEntry> {
         const HOUR_MS: f64 = 3_600_000.0;
         let late_ms = match self.options.memory {
             Memory::Nothing => return Vec::new(),
@@ -52,7 +52,7 @@
             }
             row
         };
-        rows.into_iter().map(lies).map(Kept::from).collect()
+        rows.into_iter().map(lies).map(CacheEntry::from).collect()
     }
 
     pub(super) fn kill_router(&mut self, router: usize) {
--- a/crates/failover/tests/desks.rs
+++ b/crates/failover/tests/desks.rs
@@ -337,7 +337,7 @@
             kinds: vec![KindSettings { role: Role::Mixed, memory_tokens: 160_000.0 }],
             ..helpers::settings()
         };
-        let sent = helpers::goes(rows, settings, 300, 100.0, None, 0.0);
+        let sent = helpers::first_dispatches(rows, settings, 300, 100.0, None, 0.0);
         assert_eq!(sent.len(), 300);
         for (session, worker) in sent {
             let zone = homes.origin(SessionId(session)).unwrap();
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -5,7 +5,7 @@
 /// Takes one named value; unknown names say nothing.
 pub fn set(load: &mut LoadReport, name: &str, value: f64) {
     match name {
-        "busy_reqs" | "inflight" => load.in_hand = Some(value),
+        "busy_reqs" | "inflight" => load.active_requests = Some(value),
         "pending" | "queue" => load.queue = Some(value),
         "cpu_share" | "util" => load.slots_share = Some(value),
         "svc_ms" | "latency_ms" => load.latency_ms = Some(value),
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -99,7 +99,7 @@
         prefix_tokens,
         max_tokens,
         answer_hint_ms: cost_ms,
-        near: None,
+        home_zone: None,
         client_retry: retry == Some("1"),
         resumed: retry == Some("again"),
     })
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -206,8 +206,8 @@
         cold_ms: conf.invariants.cold_s * 1e3,
         // There a weight is a number for comparing, by size or load, that may change with each list.
         weights_act: false,
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     };
     Ok(Provision {
         settings,
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -186,7 +186,7 @@
             Told::Arrived { completion, facts, received_ms, ask, owed } => {
                 let mut arrival = facts.arrival(completion, received_ms);
                 if let Some(desk) = &self.desk {
-                    arrival.near = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
+                    arrival.home_zone = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
                     let target_ms = failover::target_ms(&self.base, &arrival);
                     self.targets.insert(completion, target_ms);
                 }
@@ -364,7 +364,7 @@
             return;
         }
         let load = LoadReport {
-            in_hand: load.metric(wire::IN_HAND),
+            active_requests: load.metric(wire::IN_HAND),
             queue: load.metric(wire::QUEUE),
             slots_share: load.application_utilization,
             latency_ms: None,
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -99,7 +99,7 @@
         floor: peers.floor,
         remember_ms: peers.remember_ms,
         things,
-        pieces: paddleproxy::control::at_once(decisions, places),
+        pieces: paddleproxy::control::slow_start_router_limit(decisions, places),
     };
     let about = about(settings, peers, peers.listen);
     let alone = Peers::new(0.0, rules.clone(), about, Vec::new(), Life(1), 0);
@@ -121,7 +121,7 @@
     Settings {
         routers: granted.routers.max(1),
         own_number: granted.rank.min(granted.routers.max(1) - 1),
-        fresh_part: Some(granted.shares.first().copied().unwrap_or(0.0)),
+        slow_start_share: Some(granted.shares.first().copied().unwrap_or(0.0)),
         ..base.clone()
     }
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -5,7 +5,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use paddleproxy::interface::{Kept, PrefixId, SessionId, WorkerId};
+use paddleproxy::interface::{CacheEntry, PrefixId, SessionId, WorkerId};
 use paddleproxy_store::format::{Kind, Op};
 use paddleproxy_store::retention;
 use paddleproxy_store::store::{Options, Store};
@@ -39,10 +39,10 @@
 
 impl Left {
     /// What of it may be believed, given the processes that run now.
-    pub fn believed(&self, now_ms: f64, starts: &std::collections::BTreeMap<String, u64>) -> Vec<Kept> {
+    pub fn believed(&self, now_ms: f64, starts: &std::collections::BTreeMap<String, u64>) -> Vec<CacheEntry> {
         let entries = self.kept.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
         let rows = retention::believe(now_ms, &retention::TRUST, starts, retention::stored(entries));
-        rows.into_iter().map(Kept::from).collect()
+        rows.into_iter().map(CacheEntry::from).collect()
     }
 }
 
--- a/crates/routing/src/facts.rs
+++ b/crates/routing/src/facts.rs
@@ -195,7 +195,7 @@
             prefix_tokens: self.prefix_tokens,
             max_tokens: self.max_tokens,
             answer_hint_ms: None,
-            near: None,
+            home_zone: None,
             client_retry: false,
             resumed: false,
         }
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -70,7 +70,7 @@
     },
     Due(Due),
     /// What an earlier run knew as kept at servers.
-    Recovered(Vec<Kept>),
+    Recovered(Vec<CacheEntry>),
     /// Other settings from now on; open completions keep the rows that they began under.
     Settings {
         settings: Box<Settings>,
@@ -573,7 +573,14 @@
         }
         entry.ran_before |= stage != Stage::Read && !never_ran(result);
         let over = entry.over();
-        self.events.push_back(Event::Ended { completion, seq, took_ms, over, outcome: result, kept_tokens });
+        self.events.push_back(Event::Ended {
+            completion,
+            seq,
+            took_ms,
+            done: over,
+            outcome: result,
+            cached_tokens: kept_tokens,
+        });
         self.touched.insert(completion);
     }
 
@@ -717,7 +724,7 @@
                 effects
                     .push(Effect::Note("a running stream can't be moved: no server here resumes one".into()));
             }
-            Action::Tell { .. } => {
+            Action::SendToPeer { .. } => {
                 effects.push(Effect::Note("nothing is told to other routers: they share nothing".into()));
             }
             Action::Log(text) => effects.push(Effect::Note(text)),
@@ -738,7 +745,8 @@
         let Some(entry) = self.open.get_mut(&completion) else {
             self.counts.moot += 1;
             let (seq, outcome) = (Seq(0), Outcome::Moot);
-            let ended = Event::Ended { completion, seq, took_ms: 0.0, over: true, outcome, kept_tokens: 0.0 };
+            let ended =
+                Event::Ended { completion, seq, took_ms: 0.0, done: true, outcome, cached_tokens: 0.0 };
             self.events.push_back(ended);
             return;
         };
@@ -772,7 +780,8 @@
             self.counts.moot += u64::from(moot);
             let outcome = if moot { Outcome::Moot } else { Outcome::NoState };
             let over = entry.over();
-            let ended = Event::Ended { completion, seq, took_ms: 0.0, over, outcome, kept_tokens: 0.0 };
+            let ended =
+                Event::Ended { completion, seq, took_ms: 0.0, done: over, outcome, cached_tokens: 0.0 };
             self.events.push_back(ended);
             return;
         }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -36,8 +36,8 @@
         cold_share: 0.3,
         cold_ms: 12_000.0,
         weights_act: false,
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     }
 }
 
@@ -67,7 +67,7 @@
         prefix_tokens: 0.0,
         max_tokens: 10.0,
         answer_hint_ms: None,
-        near: None,
+        home_zone: None,
         client_retry: false,
         resumed: false,
     }
--- a/crates/routing/tests/ledger.rs
+++ b/crates/routing/tests/ledger.rs
@@ -55,8 +55,8 @@
         cold_share: 0.3,
         cold_ms: 12_000.0,
         weights_act: false,
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     }
 }
 
@@ -99,7 +99,7 @@
             prefix_tokens: 0.0,
             max_tokens: 20.0,
             answer_hint_ms: None,
-            near: None,
+            home_zone: None,
             client_retry: false,
             resumed: false,
         };
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -248,8 +248,8 @@
         cold_share: limits.need::<Share>("cold-share").0,
         cold_ms: limits.need::<Millis>("cold").0,
         weights_act: limits.maybe("weights").unwrap_or(true),
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     };
     let reports = limits.maybe("reports").unwrap_or(true);
     let roles: Vec<_> = decisions.kinds.iter().map(|kind| kind.role).collect();
@@ -292,7 +292,7 @@
         top.problem_of("failover", "'failover' needs 'peers': a plan is what fellows agree on");
     }
     if let Some(failover) = &failover {
-        decisions.far = failover.map.far();
+        decisions.zone_distances = failover.map.far();
     }
     let rules = top.need_block("requests").map(|block| finish(block, requests));
     let front = top.need_block("front").map(|block| finish(block, |block| front(block, answer_slack_ms)));
--- a/crates/settings/tests/zones.rs
+++ b/crates/settings/tests/zones.rs
@@ -21,9 +21,9 @@
     assert_eq!(failover.map.costs, [[0.0, 1.0, 3.0], [1.0, 0.0, 10.0], [3.0, 10.0, 0.0]]);
     assert_eq!((failover.reserve, failover.out, failover.back), (0.25, 0.5, 0.2));
     assert!(!failover.alone && !failover.told);
-    assert_eq!(good.router.decisions.far, [[0, 1, 2], [1, 0, 2], [1, 2, 0]]);
+    assert_eq!(good.router.decisions.zone_distances, [[0, 1, 2], [1, 0, 2], [1, 2, 0]]);
     // Without it the decisions know of no distance.
-    assert!(day("").unwrap().router.decisions.far.is_empty());
+    assert!(day("").unwrap().router.decisions.zone_distances.is_empty());
 }
 
 #[test]
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -67,13 +67,13 @@
     pub age_ms: f64,
 }
 
-impl From<Believed> for interface::Kept {
+impl From<Believed> for interface::CacheEntry {
     fn from(row: Believed) -> Self {
         let (session, prefix) = match row.text {
             Text::Session(number) => (Some(SessionId(number)), None),
             Text::Prefix(number) => (None, Some(PrefixId(number))),
         };
-        interface::Kept { worker: row.server, session, prefix, tokens: row.tokens, age_ms: row.age_ms }
+        interface::CacheEntry { worker: row.server, session, prefix, tokens: row.tokens, age_ms: row.age_ms }
     }
 }
 
--- a/src/control.rs
+++ b/src/control.rs
@@ -205,7 +205,7 @@
 }
 
 /// Routers that may send to a worker that just started at the same time, of so many.
-pub fn at_once(s: &Settings, routers: usize) -> usize {
+pub fn slow_start_router_limit(s: &Settings, routers: usize) -> usize {
     (s.cold_share * FALL_SHARE * s.fall_multiple / BURST * routers as f64).max(1.0) as usize
 }
 
@@ -236,10 +236,10 @@
             Event::Listed { kind, rows } => self.listed(*kind, rows, actions),
             Event::Arrived(facts) => self.arrived(facts, actions),
             Event::Began { completion, seq, .. } => self.began(*completion, *seq, actions),
-            Event::Ended { completion, seq, over, outcome, kept_tokens, .. } => {
+            Event::Ended { completion, seq, done, outcome, cached_tokens, .. } => {
                 let at = self.completions.get(completion).and_then(|c| c.dispatches.get(seq.0 as usize));
                 let at = at.map(|d| d.worker.clone());
-                self.ended(*completion, *seq, *over, *outcome, *kept_tokens);
+                self.ended(*completion, *seq, *done, *outcome, *cached_tokens);
                 self.reconcile(*completion, actions);
                 at.into_iter().for_each(|worker| self.call_back(&worker, actions));
             }
--- a/src/control/kept.rs
+++ b/src/control/kept.rs
@@ -28,7 +28,7 @@
     }
 
     /// An entry of an earlier run; it never counts as newer than what this one saw of the worker.
-    pub(super) fn recover(&mut self, kept: &Kept) {
+    pub(super) fn recover(&mut self, kept: &CacheEntry) {
         let text = kept.session.map(Text::Session).or(kept.prefix.map(Text::Prefix));
         let Some((text, w)) = text.zip(self.workers.get(&kept.worker)) else { return };
         let at_ms = (self.now_ms - kept.age_ms).max(w.forgot_ms);
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -22,7 +22,7 @@
     pub(super) fn home(&self, c: &Completion) -> Home {
         let homes = self.usable(c, Scope::All, &[Role::Mixed]);
         let weighted = self.weighted(&homes);
-        let off = |slot: &Slot| c.facts.near.is_some_and(|near| near != slot.zone);
+        let off = |slot: &Slot| c.facts.home_zone.is_some_and(|near| near != slot.zone);
         let last = self.last_home_of_beginning(c, &homes, weighted);
         let within = |slot: &Slot, (key, last): (u64, Place)| Place::of(slot, key, weighted) <= last;
         let few = |slot: &Slot| last.is_some_and(|last| within(slot, last));
@@ -107,7 +107,7 @@
         // session's last one, so that it is not read from its beginning. Harm: hot sessions stay together.
         let own = self.keepers(c);
         let home_zone = home.id.as_ref().map(|home| self.workers[home].listing.zone.0);
-        let far = |slot: &Slot| self.settings.far.get(home_zone?)?.get(slot.zone.0);
+        let far = |slot: &Slot| self.settings.zone_distances.get(home_zone?)?.get(slot.zone.0);
         let away = self.goes_away(c, home);
         let choice =
             |slot: &Slot| (away == (Some(slot.cell) == home.cell), far(slot), !own.contains(&slot.id));
--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -18,7 +18,7 @@
         let allowed = share * FALL_SHARE * s.fall_multiple;
         let budget = mean * allowed * routers as f64;
         // Where routers agreed who holds which part, no clock decides: those with none send nothing.
-        if let Some(part) = s.fresh_part {
+        if let Some(part) = s.slow_start_share {
             return part > 0.0 && sent + 1.0 <= (budget * part).max(1.0);
         }
         // Who sends under one dispatch in a turn can't send its share four times over; but a text that
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,9 +105,9 @@
     /// Whether a worker's weight sets its share of homes; else it says nothing here.
     pub weights_act: bool,
     /// The own part of what all routers together may send to fresh workers, as they agreed; absent: by turns.
-    pub fresh_part: Option<f64>,
+    pub slow_start_share: Option<f64>,
     /// How far each zone is from each, as the order in which overflow goes there; empty: all the same.
-    pub far: Vec<Vec<u8>>,
+    pub zone_distances: Vec<Vec<u8>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -160,7 +160,7 @@
 /// What a worker said of itself; late and noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    pub in_hand: Option<f64>,
+    pub active_requests: Option<f64>,
     pub queue: Option<f64>,
     pub slots_share: Option<f64>,
     pub latency_ms: Option<f64>,
@@ -182,14 +182,14 @@
     pub max_tokens: f64,
     pub answer_hint_ms: Option<f64>,
     /// Zone that its session's home moved to, as routers agreed; absent: home is where its hash says.
-    pub near: Option<ZoneId>,
+    pub home_zone: Option<ZoneId>,
     pub client_retry: bool,
     pub resumed: bool,
 }
 
 /// Tokens of a text that a worker is held to keep.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct CacheEntry {
     pub worker: WorkerId,
     /// One of the two.
     pub session: Option<SessionId>,
@@ -222,9 +222,9 @@
         completion: CompletionId,
         seq: Seq,
         took_ms: f64,
-        over: bool,
+        done: bool,
         outcome: Outcome,
-        kept_tokens: f64,
+        cached_tokens: f64,
     },
     Reported {
         worker: WorkerId,
@@ -245,12 +245,12 @@
         completion: CompletionId,
     },
     TimerFired(Timer),
-    Told {
+    PeerMessage {
         peer: PeerId,
         payload: Vec<u8>,
     },
     /// What an earlier run knew as kept at workers that are listed now, weighed already.
-    Recovered(Vec<Kept>),
+    Recovered(Vec<CacheEntry>),
     /// Other settings from now on. Rows that were there stay what and where they were; further ones may follow.
     Settings(Box<Settings>),
 }
@@ -269,6 +269,6 @@
     Probe { worker: WorkerId },
     CloseIdle { worker: WorkerId },
     MoveStream { completion: CompletionId },
-    Tell { peer: Option<PeerId>, payload: Vec<u8> },
+    SendToPeer { peer: Option<PeerId>, payload: Vec<u8> },
     Log(String),
 }
--- a/tests/beginnings.rs
+++ b/tests/beginnings.rs
@@ -49,10 +49,17 @@
     fn ended(&mut self, outcome: Outcome, kept_tokens: f64) {
         let (completion, seq) = (CompletionId(self.completions), Seq(0));
         let over = outcome == Outcome::Finished;
-        self.tell(Event::Ended { completion, seq, took_ms: 1.0, over, outcome, kept_tokens });
+        self.tell(Event::Ended {
+            completion,
+            seq,
+            took_ms: 1.0,
+            done: over,
+            outcome,
+            cached_tokens: kept_tokens,
+        });
         self.tell(Event::Expired { completion });
         let (seq, outcome) = (Seq(1), Outcome::Cancelled);
-        self.tell(Event::Ended { completion, seq, took_ms: 1.0, over: true, outcome, kept_tokens: 0.0 });
+        self.tell(Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: 0.0 });
     }
 
     /// A completion that is over at once; where it went.
--- a/tests/cut.rs
+++ b/tests/cut.rs
@@ -46,7 +46,14 @@
                         let (seq, outcome) = (Seq(0), Outcome::Finished);
                         let kept_tokens = 0.0;
                         let (completion, took_ms, over) = (id, 50.0, true);
-                        let ended = Event::Ended { completion, seq, took_ms, over, outcome, kept_tokens };
+                        let ended = Event::Ended {
+                            completion,
+                            seq,
+                            took_ms,
+                            done: over,
+                            outcome,
+                            cached_tokens: kept_tokens,
+                        };
                         control.handle(now_ms, &ended, &mut Vec::new());
                     }
                     Action::RateLimit { .. } | Action::Abort { .. } => open = false,
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -109,9 +109,9 @@
                         completion,
                         seq,
                         took_ms: in_ms,
-                        over: outcome == Outcome::Finished,
+                        done: outcome == Outcome::Finished,
                         outcome,
-                        kept_tokens: 0.0,
+                        cached_tokens: 0.0,
                     };
                     ends.push((now_ms + in_ms, ended));
                 }
@@ -172,9 +172,9 @@
         completion: CompletionId(1),
         seq: Seq(0),
         took_ms: 5.0,
-        over: false,
+        done: false,
         outcome: Outcome::Error,
-        kept_tokens: 0.0,
+        cached_tokens: 0.0,
     };
     actions.clear();
     control.handle(15.0, &ended, &mut actions);
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -73,8 +73,8 @@
         cold_share: 0.3,
         cold_ms: 12_000.0,
         weights_act: false,
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     }
 }
 
@@ -91,14 +91,14 @@
         prefix_tokens: 0.0,
         max_tokens: 10.0,
         answer_hint_ms: None,
-        near,
+        home_zone: near,
         client_retry: false,
         resumed: false,
     }
 }
 
 /// Where the first dispatch of so many sessions goes, each over before the next arrives, so many ms apart.
-pub fn goes(
+pub fn first_dispatches(
     rows: Vec<Listing>,
     settings: Settings,
     sessions: u32,
@@ -123,7 +123,7 @@
             }
         }
         let (completion, seq, outcome) = (CompletionId(id), Seq(0), Outcome::Finished);
-        let over = Event::Ended { completion, seq, took_ms: 1.0, over: true, outcome, kept_tokens: 0.0 };
+        let over = Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: 0.0 };
         control.handle(now_ms, &over, &mut actions);
     }
     goes
@@ -189,9 +189,9 @@
             completion: CompletionId(id),
             seq: Seq(seq),
             took_ms: took,
-            over: outcome == Outcome::Finished,
+            done: outcome == Outcome::Finished,
             outcome,
-            kept_tokens: kept,
+            cached_tokens: kept,
         };
         self.play(&format!("ended {id}.{seq} {outcome:?}, {kept} kept"), event)
     }
--- a/tests/largest.rs
+++ b/tests/largest.rs
@@ -92,9 +92,9 @@
                 completion,
                 seq,
                 took_ms,
-                over,
+                done: over,
                 outcome,
-                kept_tokens: 0.0,
+                cached_tokens: 0.0,
             };
             let reads = to.0.starts_with('r');
             // A writer that takes a state only streams.
@@ -167,9 +167,9 @@
             completion: CompletionId(id),
             seq: Seq(seq),
             took_ms: 5.0,
-            over: outcome == Outcome::Finished,
+            done: outcome == Outcome::Finished,
             outcome,
-            kept_tokens: 0.0,
+            cached_tokens: 0.0,
         };
         for id in 0..8 {
             told(10.0, arrived(id, usual_tokens));
--- a/tests/near.rs
+++ b/tests/near.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use helpers::{goes, row, settings};
+use helpers::{first_dispatches, row, settings};
 use paddleproxy::interface::*;
 
 /// Where each session's first dispatch goes.
@@ -14,7 +14,14 @@
     near: Option<ZoneId>,
     prompt_tokens: f64,
 ) -> BTreeMap<u64, String> {
-    let goes = goes(names.iter().map(|name| row(name)).collect(), settings, 400, prompt_tokens, near, 0.0);
+    let goes = first_dispatches(
+        names.iter().map(|name| row(name)).collect(),
+        settings,
+        400,
+        prompt_tokens,
+        near,
+        0.0,
+    );
     assert_eq!(goes.len(), 400, "some went nowhere");
     goes
 }
@@ -58,7 +65,7 @@
         "by hash alone all readers are used"
     );
     let far = vec![vec![0, 3, 1, 2], vec![1, 0, 2, 3], vec![1, 2, 0, 3], vec![1, 2, 3, 0]];
-    let near = first(&names, Settings { far, ..settings() }, None, 9000.0);
+    let near = first(&names, Settings { zone_distances: far, ..settings() }, None, 9000.0);
     assert!(near.values().all(|reader| reader == "r2a"), "{near:?}");
 }
 
@@ -68,7 +75,7 @@
     let names = ["m0a", "m0b", "m0c", "r0a", "w0a", "m1a", "r1a", "r1b", "r1c", "w1a"];
     let at_r0a = |apart_ms| {
         let rows = names.iter().map(|name| row(name)).collect();
-        let goes = goes(rows, settings(), 400, 9000.0, None, apart_ms);
+        let goes = first_dispatches(rows, settings(), 400, 9000.0, None, apart_ms);
         goes.values().filter(|reader| *reader == "r0a").count()
     };
     let (often, seldom) = (at_r0a(0.0), at_r0a(60_000.0));
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -42,9 +42,9 @@
                         completion,
                         seq: Seq(seq),
                         took_ms: 5.0,
-                        over: outcome == Outcome::Finished,
+                        done: outcome == Outcome::Finished,
                         outcome,
-                        kept_tokens: 0.0,
+                        cached_tokens: 0.0,
                     });
                     seq += 1;
                 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -43,8 +43,8 @@
         cold_share: 0.3,
         cold_ms: 12_000.0,
         weights_act: false,
-        fresh_part: None,
-        far: Vec::new(),
+        slow_start_share: None,
+        zone_distances: Vec::new(),
     }
 }
 
@@ -102,7 +102,7 @@
             prefix_tokens: 100.0,
             max_tokens: 100.0,
             answer_hint_ms: None,
-            near: None,
+            home_zone: None,
             client_retry: false,
             resumed: false,
         };
@@ -123,9 +123,9 @@
                 completion,
                 seq,
                 took_ms: 2.0,
-                over: !reads,
+                done: !reads,
                 outcome,
-                kept_tokens: 0.0,
+                cached_tokens: 0.0,
             });
         }
         went
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -105,9 +105,9 @@
             completion,
             seq: Seq(0),
             took_ms: ANSWER_MS,
-            over: true,
+            done: true,
             outcome: Outcome::Finished,
-            kept_tokens: 0.0,
+            cached_tokens: 0.0,
         };
         self.control.handle(now_ms, &ended, &mut Vec::new());
     }
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use helpers::{goes, row, settings};
+use helpers::{first_dispatches, row, settings};
 use paddleproxy::interface::*;
 
 /// Homes of many sessions, by worker, where each worker has its weight.
@@ -10,7 +10,7 @@
     let rows = weights.iter().map(|(name, weight)| Listing { weight: *weight, ..row(name) });
     let settings = Settings { weights_act, ..settings() };
     let mut homes = std::collections::BTreeMap::<String, Vec<u64>>::new();
-    for (session, worker) in goes(rows.collect(), settings, 3000, 100.0, None, 0.0) {
+    for (session, worker) in first_dispatches(rows.collect(), settings, 3000, 100.0, None, 0.0) {
         homes.entry(worker).or_default().push(session);
     }
     homes
