--- a/src/control/roster.rs
+++ b/src/control/roster.rs
@@ -1,9 +1,9 @@
-//! The listed workers by role, each role in the order of names, with what every decision looks at of all of
-//! them, closely packed: a decision looks through whole roles several times, and a list may be long.
+//! The listed workers by role, ordered by name, with the fields that every decision scans in a compact form:
+//! a decision scans whole roles several times, and a list may be long.
 
 use super::*;
 
-/// What is looked at of each worker.
+/// The fields of a worker that decisions scan.
 pub(super) struct Slot {
     pub id: WorkerId,
     pub name_hash: NameHash,
@@ -13,11 +13,11 @@
     pub zone: ZoneId,
     pub kind: KindId,
     pub ready: bool,
-    /// Whether it may be distrusted; if not, it is not.
-    pub doubted: bool,
+    /// Whether its failure score may be above 0; if not set, the score is 0.
+    pub has_failures: bool,
 }
 
-/// Which workers of a role are looked through.
+/// Which workers of a role are scanned.
 #[derive(Clone, Copy)]
 pub(super) enum Scope {
     All,
@@ -42,13 +42,13 @@
     }
 }
 
-/// Made anew with each list.
+/// Rebuilt with each list.
 #[derive(Default)]
 pub(super) struct Roster {
     slots: ByRole<Vec<Slot>>,
-    /// Rows of each cell's workers.
+    /// Indices into `slots` of each cell's workers.
     cells: BTreeMap<CellId, ByRole<Vec<usize>>>,
-    /// Ready workers that write: how many started long ago, and when the others did.
+    /// Ready workers that write: the number without a start time, and the start times of the others.
     settled_writers: usize,
     started_writers: Vec<f64>,
 }
@@ -74,13 +74,13 @@
                 zone,
                 kind,
                 ready,
-                doubted: w.distrust.value != 0.0,
+                has_failures: w.failure_score.value != 0.0,
             });
         }
         roster
     }
 
-    /// Those of a role and a scope, by name.
+    /// The workers of a role within a scope, ordered by name.
     pub fn each(&self, role: Role, scope: Scope) -> impl Iterator<Item = &Slot> {
         let slots = self.slots.get(role);
         let (all, cell) = match scope {
@@ -90,24 +90,24 @@
         all.iter().chain(cell.into_iter().flat_map(move |rows| rows.get(role)).map(|row| &slots[*row]))
     }
 
-    /// All, by name.
+    /// All workers, ordered by name.
     pub fn all(&self) -> Vec<&Slot> {
         let mut all: Vec<_> = self.slots.0.iter().flatten().collect();
         all.sort_unstable_by(|a, b| a.id.cmp(&b.id));
         all
     }
 
-    /// Ready workers that write, without those that are fresh.
-    pub fn warm_writers(&self, is_fresh: impl Fn(f64) -> bool) -> usize {
-        let started = self.started_writers.iter().filter(|started_ms| !is_fresh(**started_ms));
+    /// Number of ready workers that write and are not in slow start.
+    pub fn warm_writers(&self, in_slow_start: impl Fn(f64) -> bool) -> usize {
+        let started = self.started_writers.iter().filter(|started_ms| !in_slow_start(**started_ms));
         self.settled_writers + started.count()
     }
 
-    /// The worker may be distrusted from now on.
-    pub fn doubt(&mut self, id: &WorkerId) {
+    /// Marks a worker whose failure score is above 0.
+    pub fn mark_failing(&mut self, id: &WorkerId) {
         for slots in &mut self.slots.0 {
             if let Ok(row) = slots.binary_search_by(|slot| slot.id.cmp(id)) {
-                slots[row].doubted = true;
+                slots[row].has_failures = true;
             }
         }
     }
--- a/src/decay.rs
+++ b/src/decay.rs
@@ -1,4 +1,4 @@
-//! Values that fade with time. Arithmetic alone: time constants and meaning are the caller's.
+//! Values and counts that decay with time. The caller supplies time constants and meaning.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 }
 
 impl Decaying {
-    /// What is left of the value at `now_ms`, if it halves every `half_ms`.
+    /// The value at `now_ms` with the half-life `half_ms`.
     pub fn at(&self, now_ms: f64, half_ms: f64) -> f64 {
         if self.value == 0.0 {
             return 0.0;
@@ -18,16 +18,16 @@
         self.value * 0.5f64.powf((now_ms - self.at_ms) / half_ms.max(1.0))
     }
 
-    /// Counts one more at `now_ms`.
+    /// Adds 1 at `now_ms`.
     pub fn count(&mut self, now_ms: f64, half_ms: f64) {
         *self = Decaying { value: self.at(now_ms, half_ms) + 1.0, at_ms: now_ms };
     }
 }
 
-/// Keys that a [`DecayingCounts`] holds at most.
+/// Maximum number of keys in a [`DecayingCounts`].
 const KEYS_MAX: usize = 1 << 16;
 
-/// Counts by key that fade; at a bound on their number all begin anew.
+/// Decaying counts by key. At the maximum number of keys all counts are reset.
 pub(crate) struct DecayingCounts<K>(BTreeMap<K, Decaying>);
 
 impl<K> Default for DecayingCounts<K> {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Means by key that each new value moves by a part of its distance; the first value is the first mean.
+/// Exponentially weighted moving means by key. The first value is the first mean.
 pub(crate) struct MovingMeans<K>(BTreeMap<K, f64>);
 
 impl<K> Default for MovingMeans<K> {
@@ -59,16 +59,16 @@
 }
 
 impl<K: Ord> MovingMeans<K> {
-    /// Takes in a value and returns the mean as it was before.
-    pub fn take(&mut self, key: K, value: f64, part: f64) -> f64 {
+    /// Adds a value with the given weight and returns the mean before it.
+    pub fn update(&mut self, key: K, value: f64, weight: f64) -> f64 {
         let mean = self.0.entry(key).or_insert(value);
         let before = *mean;
-        *mean += part * (value - before);
+        *mean += weight * (value - before);
         before
     }
 }
 
-/// A count that goes up and down, with its exponentially weighted mean over time.
+/// A count that rises and falls, with its exponentially weighted mean over time.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct SmoothedCount {
     pub value: f64,
@@ -82,7 +82,7 @@
         self.value + (self.mean - self.value) * (-(now_ms - self.at_ms) / over_ms.max(1.0)).exp()
     }
 
-    /// Changes the count at `now_ms`; it never falls below 0.
+    /// Changes the count at `now_ms`; the count never falls below 0.
     pub fn add(&mut self, change: f64, now_ms: f64, over_ms: f64) {
         let mean = self.mean(now_ms, over_ms);
         let value = (self.value + change).max(0.0);
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,8 +1,8 @@
-//! The hash by which every router orders workers alike.
+//! The rendezvous hash: every router orders workers identically by it.
 
 use crate::interface::WorkerId;
 
-/// The hash of a worker's name: FNV-1a. It stays as long as the name does.
+/// FNV-1a hash of a worker's name, computed once per worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NameHash(u64);
 
@@ -13,14 +13,14 @@
         }))
     }
 
-    /// The worker's weight for a key.
+    /// The worker's score for a key; the highest ranks first.
     pub fn rank(self, key: u64) -> u64 {
         mix(self.0, key)
     }
 }
 
-/// The weight of a worker for a key in rendezvous hashing: the hash of its name, mixed with the key. It is the same in
-/// every process and version.
+/// The score of a worker for a key in rendezvous hashing: the hash of its name, mixed with the key. It is
+/// the same in every process and version.
 pub fn rank(worker: &WorkerId, key: u64) -> u64 {
     NameHash::of(worker).rank(key)
 }
