--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -1,11 +1,11 @@
-//! The rule on effects over generated days: once an attempt may have run, a keyed request goes on only within its group and
-//! its window, a request that must not run twice goes nowhere else; reads are attempts too.
+//! The rule on effects, on generated traffic: once an attempt may have run, a tokened request is retried only
+//! within its group and window, and a non-idempotent request not at all. Reads are attempts too.
 
 mod helpers;
 
 use std::collections::BTreeMap;
 
-use helpers::{facts, row, settings, worker};
+use helpers::{arrival, row, settings, worker};
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
@@ -23,19 +23,19 @@
     WorkloadSettings { effect, group, window_ms: WINDOW_MS, ..settings().workloads[0].clone() }
 }
 
-/// One attempt as a judge remembers it.
+/// One attempt as the test records it.
 struct Attempt {
     at: Listing,
     sent_ms: f64,
     may_have_run: bool,
 }
 
-/// What one request's attempts did.
+/// A request and its attempts so far.
 struct Request {
     effect: Effect,
     group: Group,
     attempts: Vec<Attempt>,
-    refused: bool,
+    rate_limited: bool,
 }
 
 impl Request {
@@ -51,8 +51,8 @@
     }
 }
 
-/// Plays one generated stretch and returns how many attempts followed one that may have run.
-fn play(seed: u64, effect: Effect, group: Group) -> usize {
+/// Runs generated traffic and returns the number of retries after an attempt that may have run.
+fn simulate(seed: u64, effect: Effect, group: Group) -> usize {
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = Settings { workloads: vec![workload(effect, group)], second_copies: false, ..settings() };
     let mut control = Control::new(settings, seed);
@@ -62,7 +62,7 @@
     control.handle(0.0, &whole, &mut actions);
     let mut requests = BTreeMap::<CompletionId, Request>::new();
     let mut ends: Vec<(f64, Event)> = Vec::new();
-    let (mut now_ms, mut arrived, mut followed) = (0.0, 0, 0);
+    let (mut now_ms, mut arrived, mut retries) = (0.0, 0, 0);
     while arrived < 60 || !ends.is_empty() {
         let next = (0..ends.len()).min_by(|a, b| ends[*a].0.total_cmp(&ends[*b].0));
         let event = match next.filter(|next| arrived == 60 || ends[*next].0 < now_ms + 40.0) {
@@ -77,9 +77,9 @@
                 let tokens = if rng.bool() { 800.0 } else { 7000.0 };
                 let arrival = Arrival {
                     client_timeout_ms: now_ms + 4000.0,
-                    ..facts(arrived, u64::from(arrived) * 7919, tokens, None)
+                    ..arrival(arrived, u64::from(arrived) * 7919, tokens, None)
                 };
-                let request = Request { effect, group, attempts: Vec::new(), refused: false };
+                let request = Request { effect, group, attempts: Vec::new(), rate_limited: false };
                 requests.insert(arrival.completion, request);
                 Event::Arrived(arrival)
             }
@@ -98,13 +98,13 @@
                     let request = requests.get_mut(&completion).unwrap();
                     assert!(
                         request.allows(&at, now_ms),
-                        "seed {seed}, {effect:?} {group:?}: {completion:?} goes on to {at:?} at {now_ms}"
+                        "seed {seed}, {effect:?} {group:?}: {completion:?} retried at {at:?} after {now_ms} ms"
                     );
-                    followed += usize::from(request.attempts.iter().any(|earlier| earlier.may_have_run));
+                    retries += usize::from(request.attempts.iter().any(|earlier| earlier.may_have_run));
                     let reads = at.kind == KindId(0);
                     request.attempts.push(Attempt { at, sent_ms: now_ms, may_have_run: !reads });
                     let seq = Seq(request.attempts.len() as u32 - 1);
-                    let (in_ms, outcome) = end(&mut rng, reads);
+                    let (in_ms, outcome) = random_outcome(&mut rng, reads);
                     let ended = Event::Ended {
                         completion,
                         seq,
@@ -119,37 +119,38 @@
                     let request = requests.get_mut(&completion).unwrap();
                     let may_have_run = request.attempts.iter().any(|attempt| attempt.may_have_run);
                     let anywhere = effect == Effect::Tokened && group == Group::All;
-                    assert!(!may_have_run || anywhere, "seed {seed}: {completion:?} is told to come again");
-                    assert!(!std::mem::replace(&mut request.refused, true));
+                    assert!(!may_have_run || anywhere, "seed {seed}: {completion:?} is rate-limited");
+                    assert!(!std::mem::replace(&mut request.rate_limited, true));
                 }
                 _ => {}
             }
         }
     }
-    followed
+    retries
 }
 
-fn end(rng: &mut fastrand::Rng, reads: bool) -> (f64, Outcome) {
+fn random_outcome(rng: &mut fastrand::Rng, reads: bool) -> (f64, Outcome) {
     let good = if reads { Outcome::Read } else { Outcome::Finished };
     let outcomes = [good, good, Outcome::Error, Outcome::Broken, Outcome::Full, Outcome::ConnectFailed];
     (rng.f64() * 500.0, outcomes[rng.usize(..outcomes.len())])
 }
 
 #[test]
-fn keyed_requests_go_on_within_their_group_and_window() {
+fn tokened_requests_are_retried_within_their_group_and_window() {
     for group in [Group::Cell, Group::Zone, Group::All] {
-        let followed: usize = (0..150).map(|seed| play(seed, Effect::Tokened, group)).sum();
-        assert!(followed > 500, "{group:?}: {followed} attempts followed one that may have run");
+        let retries: usize = (0..150).map(|seed| simulate(seed, Effect::Tokened, group)).sum();
+        assert!(retries > 500, "{group:?}: {retries} retries after an attempt that may have run");
     }
 }
 
 #[test]
-fn what_must_not_run_twice_is_not_sent_again() {
-    let followed: usize = (0..150).map(|seed| play(seed, Effect::NonIdempotent, Group::All)).sum();
-    assert_eq!(followed, 0);
+fn non_idempotent_requests_are_not_retried_after_a_possible_run() {
+    let retries: usize = (0..150).map(|seed| simulate(seed, Effect::NonIdempotent, Group::All)).sum();
+    assert_eq!(retries, 0);
 }
 
-/// Met on a keyed class of one cell: the attempt at home failed, and the prompt was read anew at another cell's reader.
+/// Regression: the attempt of a tokened request with group `Cell` failed at home, and the prompt was read
+/// again by a reader of another cell.
 #[test]
 fn a_read_is_bound_to_the_group_of_an_attempt_that_may_have_run() {
     let settings = Settings { workloads: vec![workload(Effect::Tokened, Group::Cell)], ..settings() };
@@ -157,8 +158,8 @@
     let rows: Vec<_> = ["m0a", "m0b", "r1a", "w1a"].map(listing).into();
     let mut actions = Vec::new();
     control.handle(0.0, &Event::Listed { kind: ListKind::Whole, rows: rows.into() }, &mut actions);
-    // Home keeps nothing of it but it is short enough; then it turns out to be long for the one that stands in.
-    control.handle(10.0, &Event::Arrived(facts(1, 5, 2400.0, None)), &mut actions);
+    // The prompt is short enough to be read at home without any cached tokens; for the next home it is long.
+    control.handle(10.0, &Event::Arrived(arrival(1, 5, 2400.0, None)), &mut actions);
     let sent = |actions: &[Action]| {
         let to = actions.iter().rev().find_map(|action| match action {
             Action::Dispatch { worker, .. } => Some(worker.clone()),
--- a/tests/size.rs
+++ b/tests/fleet_size.rs
@@ -1,4 +1,5 @@
-//! What a decision costs as the list of servers grows: a router's own traffic is the same, whatever the fleet's size.
+//! The cost of a decision as the worker list grows: a router's own traffic does not depend on the fleet's
+//! size.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +7,7 @@
 use paddleproxy::Control;
 
 const REQUESTS: u32 = 400;
-const CELL: usize = 20;
+const CELL_WORKERS: usize = 20;
 
 fn settings(routers: usize) -> Settings {
     let workload = WorkloadSettings {
@@ -48,20 +49,20 @@
     }
 }
 
-fn list(servers: usize) -> Vec<Listing> {
+fn list(workers: usize) -> Vec<Listing> {
     let row = |row: usize| Listing {
         worker: WorkerId(format!("server-{row:05}").into()),
-        zone: ZoneId(row / CELL % 3),
+        zone: ZoneId(row / CELL_WORKERS % 3),
         kind: KindId([0, 1, 2, 2, 2][row % 5]),
-        cell: CellId((row / CELL) as u32),
+        cell: CellId((row / CELL_WORKERS) as u32),
         readiness: Readiness::Ready,
         weight: 1.0,
         started_ms: None,
     };
-    (0..servers).map(row).collect()
+    (0..workers).map(row).collect()
 }
 
-/// One router's decisions over so many servers, and the outcomes that its attempts have.
+/// A router's scheduler over a list of workers, and the outcomes of its attempts.
 struct Router {
     control: Control,
     rows: Vec<Listing>,
@@ -70,15 +71,15 @@
 }
 
 impl Router {
-    fn new(servers: usize) -> Router {
-        let (control, rows) = (Control::new(settings(servers), 7), list(servers));
+    fn new(workers: usize) -> Router {
+        let (control, rows) = (Control::new(settings(workers), 7), list(workers));
         let mut router = Router { control, rows, now_ms: 0.0, actions: Vec::new() };
         let rows = router.rows.clone().into();
-        router.tell(Event::Listed { kind: ListKind::Whole, rows });
+        router.handle(Event::Listed { kind: ListKind::Whole, rows });
         router
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         self.now_ms += 1.0;
         self.control.handle(self.now_ms, &event, &mut self.actions);
         std::mem::take(&mut self.actions)
@@ -88,7 +89,7 @@
         self.rows.iter().find(|row| row.worker == *worker).map_or(2, |row| row.kind.0)
     }
 
-    /// One request to its end; where its attempts went.
+    /// Runs one request to its end; returns the workers of its attempts.
     fn serve(&mut self, number: u32) -> Vec<WorkerId> {
         let completion = CompletionId(number);
         let arrival = Arrival {
@@ -106,20 +107,20 @@
             client_retry: false,
             resumed: false,
         };
-        let mut actions = self.tell(Event::Arrived(arrival));
-        let mut went = Vec::new();
+        let mut actions = self.handle(Event::Arrived(arrival));
+        let mut dispatched_to = Vec::new();
         while let Some(worker) = actions.iter().find_map(|action| match action {
             Action::Dispatch { worker, .. } => Some(worker.clone()),
             _ => None,
         }) {
-            let seq = Seq(went.len() as u32);
+            let seq = Seq(dispatched_to.len() as u32);
             let reads = self.role(&worker) == 0;
-            went.push(worker);
+            dispatched_to.push(worker);
             if !reads {
-                self.tell(Event::Began { completion, seq, took_ms: 1.0 });
+                self.handle(Event::Began { completion, seq, took_ms: 1.0 });
             }
             let outcome = if reads { Outcome::Read } else { Outcome::Finished };
-            actions = self.tell(Event::Ended {
+            actions = self.handle(Event::Ended {
                 completion,
                 seq,
                 took_ms: 2.0,
@@ -128,10 +129,10 @@
                 cached_tokens: 0.0,
             });
         }
-        went
+        dispatched_to
     }
 
-    fn took(&mut self) -> Duration {
+    fn serve_all(&mut self) -> Duration {
         let began = Instant::now();
         for number in 0..REQUESTS {
             assert!(!self.serve(number).is_empty());
@@ -140,14 +141,14 @@
     }
 }
 
-/// The least of several runs, so that a machine that is busy for a moment does not count.
-fn least(run: impl Fn() -> Duration) -> Duration {
+/// The fastest of several runs, to exclude short periods of other load on the machine.
+fn fastest(run: impl Fn() -> Duration) -> Duration {
     (0..5).map(|_| run()).min().unwrap()
 }
 
-/// What the plainest rendezvous hash costs: one pass over all servers for each request.
-fn hashed(servers: usize) -> Duration {
-    let rows = list(servers);
+/// The cost of a plain rendezvous hash: one pass over all workers per request.
+fn hash_time(workers: usize) -> Duration {
+    let rows = list(workers);
     let began = Instant::now();
     for number in 0..REQUESTS {
         let key = u64::from(number);
@@ -157,15 +158,15 @@
     began.elapsed()
 }
 
-/// A request takes two decisions here, and each looks through the list a few times. Anything that grows faster than the
-/// list, or compares servers by looking through it, takes hundreds of times as long.
+/// A request takes two decisions here, and each scans the list a few times. An algorithm that grows faster
+/// than the list, or scans it to compare two workers, takes hundreds of times as long.
 #[test]
-fn a_decision_over_sixteen_times_the_servers_costs_a_few_times_as_much() {
-    for servers in [200, 3200] {
-        let (served, hashed) = (least(|| Router::new(servers).took()), least(|| hashed(servers)));
+fn the_cost_of_a_decision_grows_no_faster_than_the_list() {
+    for workers in [200, 3200] {
+        let (served, hashed) = (fastest(|| Router::new(workers).serve_all()), fastest(|| hash_time(workers)));
         let each_us = |took: Duration| took.as_secs_f64() * 1e6 / f64::from(REQUESTS);
         let figures = format!(
-            "{servers} servers: {:.1} us a request, {:.1} for one pass of hashes",
+            "{workers} workers: {:.1} us per request, {:.1} us for one pass of hashes",
             each_us(served),
             each_us(hashed)
         );
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! Plays events to one router and prints what it decides.
-#![allow(dead_code)] // No test uses all of them.
+//! Passes events to the scheduler of one router and records its decisions.
+#![allow(dead_code)] // No single test uses all helpers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,11 +7,12 @@
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
-pub struct Play {
+/// A scheduler with a clock that tests advance, and the trace of its events and actions.
+pub struct Scenario {
     control: Control,
     now_ms: f64,
     trace: String,
-    /// The beginning that all its prompts share.
+    /// The prefix that all prompts share.
     prefix: Option<PrefixId>,
 }
 
@@ -19,7 +20,7 @@
     WorkerId(Arc::from(name))
 }
 
-/// A worker whose first letter tells its role (r, w or m) and whose second its cell.
+/// A listed worker. The first character of its name is its role (r, w or m), the second its cell and zone.
 pub fn row(name: &str) -> Listing {
     let (role, cell) = name.split_at(1);
     let cell = cell[..1].parse().unwrap();
@@ -78,8 +79,8 @@
     }
 }
 
-/// A completion of workload 0 that came at 0; its client waits 4 s.
-pub fn facts(completion: u32, session: u64, prompt_tokens: f64, near: Option<ZoneId>) -> Arrival {
+/// A completion of workload 0 that arrives at time 0 with a client timeout of 4 s.
+pub fn arrival(completion: u32, session: u64, prompt_tokens: f64, home_zone: Option<ZoneId>) -> Arrival {
     Arrival {
         completion: CompletionId(completion),
         workload: WorkloadId(0),
@@ -91,54 +92,56 @@
         prefix_tokens: 0.0,
         max_tokens: 10.0,
         answer_hint_ms: None,
-        home_zone: near,
+        home_zone,
         client_retry: false,
         resumed: false,
     }
 }
 
-/// Where the first dispatch of so many sessions goes, each over before the next arrives, so many ms apart.
+/// The worker of each session's first dispatch. Sessions arrive `apart_ms` apart, each after the previous
+/// completion has finished.
 pub fn first_dispatches(
     rows: Vec<Listing>,
     settings: Settings,
     sessions: u32,
     prompt_tokens: f64,
-    near: Option<ZoneId>,
+    home_zone: Option<ZoneId>,
     apart_ms: f64,
 ) -> BTreeMap<u64, String> {
     let mut control = Control::new(settings, 7);
     let mut actions = Vec::new();
     control.handle(0.0, &Event::Listed { kind: ListKind::Whole, rows: rows.into() }, &mut actions);
-    let mut goes = BTreeMap::new();
+    let mut first_workers = BTreeMap::new();
     for id in 1..=sessions {
         let session = u64::from(id) * 7919;
         actions.clear();
         let now_ms = f64::from(id) * apart_ms;
-        let mut facts = facts(id, session, prompt_tokens, near);
-        facts.client_timeout_ms += now_ms;
-        control.handle(now_ms, &Event::Arrived(facts), &mut actions);
+        let mut arrival = arrival(id, session, prompt_tokens, home_zone);
+        arrival.client_timeout_ms += now_ms;
+        control.handle(now_ms, &Event::Arrived(arrival), &mut actions);
         for action in &actions {
             if let Action::Dispatch { worker, .. } = action {
-                goes.insert(session, worker.0.to_string());
+                first_workers.insert(session, worker.0.to_string());
             }
         }
         let (completion, seq, outcome) = (CompletionId(id), Seq(0), Outcome::Finished);
-        let over = Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: 0.0 };
-        control.handle(now_ms, &over, &mut actions);
+        let ended = Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: 0.0 };
+        control.handle(now_ms, &ended, &mut actions);
     }
-    goes
+    first_workers
 }
 
-impl Play {
-    /// A router that has run for a while and whose saved list names these workers.
+impl Scenario {
+    /// A router at 100 s on its clock whose saved list contains these workers.
     pub fn new(settings: Settings, workers: &[&str]) -> Self {
         let control = Control::new(settings, 7);
-        let mut play = Play { control, now_ms: 100_000.0, trace: String::new(), prefix: Some(PrefixId(9)) };
-        play.list(ListKind::Saved, workers.iter().map(|name| row(name)).collect());
-        play
+        let mut scenario =
+            Scenario { control, now_ms: 100_000.0, trace: String::new(), prefix: Some(PrefixId(9)) };
+        scenario.list(ListKind::Saved, workers.iter().map(|name| row(name)).collect());
+        scenario
     }
 
-    /// From now on prompts share no beginning.
+    /// From now on prompts share no prefix.
     pub fn without_prefix(&mut self) -> &mut Self {
         self.prefix = None;
         self
@@ -151,84 +154,88 @@
 
     pub fn list(&mut self, kind: ListKind, rows: Vec<Listing>) -> &mut Self {
         let names: Vec<_> = rows.iter().map(|row| format!("{} {:?}", row.worker.0, row.readiness)).collect();
-        self.play(&format!("list {}", names.join(", ")), Event::Listed { kind, rows: rows.into() })
+        self.handle(&format!("list {}", names.join(", ")), Event::Listed { kind, rows: rows.into() })
     }
 
-    /// A completion of workload 0; its client waits 4 s.
+    /// A completion of workload 0 with a client timeout of 4 s.
     pub fn arrive(&mut self, id: u32, session: u64, prompt: f64) -> &mut Self {
         self.arrive_as(0, id, session, prompt)
     }
 
     pub fn arrive_as(&mut self, workload: usize, id: u32, session: u64, prompt: f64) -> &mut Self {
-        self.arrival(workload, id, session, prompt)
+        self.arrive_with(workload, id, session, prompt)
     }
 
-    fn arrival(&mut self, workload: usize, id: u32, session: u64, prompt: f64) -> &mut Self {
-        let facts = Arrival {
+    fn arrive_with(&mut self, workload: usize, id: u32, session: u64, prompt: f64) -> &mut Self {
+        let arrival = Arrival {
             workload: WorkloadId(workload),
             prefix: self.prefix,
             client_timeout_ms: self.now_ms + 4000.0,
             prefix_tokens: 1000.0,
             max_tokens: 200.0,
-            ..facts(id, session, prompt, None)
+            ..arrival(id, session, prompt, None)
         };
-        self.play(&format!("arrive {id}, session {session}, {prompt} tokens"), Event::Arrived(facts))
+        self.handle(&format!("arrive {id}, session {session}, {prompt} tokens"), Event::Arrived(arrival))
     }
 
     pub fn began(&mut self, id: u32, seq: u32) -> &mut Self {
         let event = Event::Began { completion: CompletionId(id), seq: Seq(seq), took_ms: 50.0 };
-        self.play(&format!("began {id}.{seq}"), event)
+        self.handle(&format!("began {id}.{seq}"), event)
     }
 
-    pub fn ended(&mut self, id: u32, seq: u32, outcome: Outcome, kept_tokens: f64) -> &mut Self {
-        self.ended_after(id, seq, outcome, kept_tokens, 50.0)
+    pub fn ended(&mut self, id: u32, seq: u32, outcome: Outcome, cached_tokens: f64) -> &mut Self {
+        self.ended_after(id, seq, outcome, cached_tokens, 50.0)
     }
 
-    pub fn ended_after(&mut self, id: u32, seq: u32, outcome: Outcome, kept: f64, took: f64) -> &mut Self {
+    pub fn ended_after(&mut self, id: u32, seq: u32, outcome: Outcome, cached: f64, took: f64) -> &mut Self {
         let event = Event::Ended {
             completion: CompletionId(id),
             seq: Seq(seq),
             took_ms: took,
             done: outcome == Outcome::Finished,
             outcome,
-            cached_tokens: kept,
+            cached_tokens: cached,
         };
-        self.play(&format!("ended {id}.{seq} {outcome:?}, {kept} kept"), event)
+        self.handle(&format!("ended {id}.{seq} {outcome:?}, {cached} cached"), event)
     }
 
     pub fn expire(&mut self, id: u32) -> &mut Self {
-        self.play(&format!("expired {id}"), Event::Expired { completion: CompletionId(id) })
+        self.handle(&format!("expired {id}"), Event::Expired { completion: CompletionId(id) })
     }
 
     pub fn timer(&mut self, id: u32) -> &mut Self {
-        self.play(&format!("timer {id}"), Event::TimerFired(Timer::Completion(CompletionId(id))))
+        self.handle(&format!("timer {id}"), Event::TimerFired(Timer::Completion(CompletionId(id))))
     }
 
-    /// The answer to a probe, with a report of what waits there to be read.
+    /// The answer to a probe, with a report of the tokens that wait to be read.
     pub fn probed(&mut self, name: &str, waiting_kilotokens: f64) -> &mut Self {
         let load = LoadReport { waiting_kilotokens: Some(waiting_kilotokens), ..LoadReport::default() };
-        self.play(
-            &format!("{name} has {waiting_kilotokens}k"),
+        self.handle(
+            &format!("{name} reports {waiting_kilotokens}k tokens waiting"),
             Event::Reported { worker: worker(name), load },
         );
         let event = Event::Probed { worker: worker(name), answered: true, took_ms: 2.0 };
-        self.play(&format!("probed {name}"), event)
+        self.handle(&format!("probed {name}"), event)
     }
 
-    /// The answer to a probe: nothing waits, and so much of its slots is in use.
+    /// The answer to a probe, with a report of an empty queue and this share of the slots in use.
     pub fn probed_idle(&mut self, name: &str, share: f64) -> &mut Self {
         let load = LoadReport { queue: Some(0.0), slots_share: Some(share), ..LoadReport::default() };
-        self.play(&format!("{name} uses {share}"), Event::Reported { worker: worker(name), load });
+        self.handle(
+            &format!("{name} reports {share} of its slots in use"),
+            Event::Reported { worker: worker(name), load },
+        );
         let event = Event::Probed { worker: worker(name), answered: true, took_ms: 2.0 };
-        self.play(&format!("probed {name}"), event)
+        self.handle(&format!("probed {name}"), event)
     }
 
+    /// An unanswered probe.
     pub fn silent(&mut self, name: &str) -> &mut Self {
         let event = Event::Probed { worker: worker(name), answered: false, took_ms: 250.0 };
-        self.play(&format!("no answer from {name}"), event)
+        self.handle(&format!("no answer from {name}"), event)
     }
 
-    fn play(&mut self, what: &str, event: Event) -> &mut Self {
+    fn handle(&mut self, what: &str, event: Event) -> &mut Self {
         let mut actions = Vec::new();
         self.control.handle(self.now_ms, &event, &mut actions);
         self.trace.push_str(&format!("{:>6} {what}\n", self.now_ms - 100_000.0));
@@ -240,7 +247,7 @@
                 Action::Cancel { completion, seq } => format!("cancel {}.{}", completion.0, seq.0),
                 Action::Release { completion } => format!("release {}", completion.0),
                 Action::RateLimit { completion, retry_after_ms } => {
-                    format!("rate-limit {}, come back in {retry_after_ms} ms", completion.0)
+                    format!("rate-limit {}, retry after {retry_after_ms} ms", completion.0)
                 }
                 Action::Abort { completion } => format!("abort {}", completion.0),
                 Action::Arm { in_ms, .. } => format!("timer in {in_ms:.0} ms"),
--- a/tests/cut.rs
+++ b/tests/partition.rs
@@ -1,8 +1,8 @@
-//! A router that is cut off from other zones asks their workers in vain; its own zone serves all the same.
+//! Network partition: a router gets no probe answers from the other zones but still serves in its own.
 
 mod helpers;
 
-use helpers::{facts, row, settings};
+use helpers::{arrival, row, settings};
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
@@ -15,9 +15,9 @@
     names.map(|name| row(&name)).collect()
 }
 
-/// What became of completions, 3 s apart: how many were sent to workers of each zone, and how many probes that took.
-/// `answers` says which workers answer a probe; the others' probes time out after 250 ms.
-fn plays(prompt_tokens: f64, answers: impl Fn(&Listing) -> bool) -> ([usize; ZONES], usize) {
+/// Runs completions 3 s apart; returns the number of dispatches to each zone and the number of probes.
+/// `answers` selects the workers that answer a probe; probes of the others time out after 250 ms.
+fn simulate(prompt_tokens: f64, answers: impl Fn(&Listing) -> bool) -> ([usize; ZONES], usize) {
     let rows = workers();
     let listed = |worker: &WorkerId| rows.iter().find(|row| row.worker == *worker).unwrap();
     let mut control = Control::new(Settings { probes_allowed: true, ..settings() }, 7);
@@ -27,7 +27,7 @@
     let (mut zones, mut probes) = ([0; ZONES], 0);
     for id in (1..=60).map(CompletionId) {
         let mut now_ms = f64::from(id.0) * 3000.0;
-        let mut arrival = facts(id.0, u64::from(id.0) * 7919, prompt_tokens, None);
+        let mut arrival = arrival(id.0, u64::from(id.0) * 7919, prompt_tokens, None);
         arrival.client_timeout_ms += now_ms;
         control.handle(now_ms, &Event::Arrived(arrival), &mut actions);
         let (mut unanswered, mut due_ms, mut open) = (Vec::new(), now_ms, true);
@@ -44,16 +44,9 @@
                         zones[listed(&worker).zone.0] += 1;
                         (now_ms, open) = (now_ms + 50.0, false);
                         let (seq, outcome) = (Seq(0), Outcome::Finished);
-                        let kept_tokens = 0.0;
-                        let (completion, took_ms, over) = (id, 50.0, true);
-                        let ended = Event::Ended {
-                            completion,
-                            seq,
-                            took_ms,
-                            done: over,
-                            outcome,
-                            cached_tokens: kept_tokens,
-                        };
+                        let cached_tokens = 0.0;
+                        let (completion, took_ms, done) = (id, 50.0, true);
+                        let ended = Event::Ended { completion, seq, took_ms, done, outcome, cached_tokens };
                         control.handle(now_ms, &ended, &mut Vec::new());
                     }
                     Action::RateLimit { .. } | Action::Abort { .. } => open = false,
@@ -78,24 +71,24 @@
 }
 
 #[test]
-fn who_is_cut_off_from_two_of_three_zones_serves_in_its_own() {
+fn a_router_cut_off_from_two_of_three_zones_serves_in_its_own() {
     let own = |row: &Listing| row.zone == ZoneId(ZONES - 1);
     for prompt_tokens in [9000.0, 500.0] {
-        let (zones, probes) = plays(prompt_tokens, own);
+        let (zones, probes) = simulate(prompt_tokens, own);
         assert_eq!(zones, [0, 0, 60], "{prompt_tokens} tokens, {probes} probes");
     }
 }
 
 #[test]
 fn single_silent_workers_leave_their_zones_in_use() {
-    // One in eight of every kind and zone answers nobody.
-    let (zones, _) = plays(9000.0, |row| !row.worker.0.ends_with('c'));
+    // One worker in eight of every kind and zone answers no probes.
+    let (zones, _) = simulate(9000.0, |row| !row.worker.0.ends_with('c'));
     assert_eq!(zones.iter().sum::<usize>(), 60);
     assert!(zones.iter().all(|zone| *zone >= 10), "sent by zone: {zones:?}");
 }
 
 #[test]
-fn where_nobody_answers_nothing_is_sent_blindly() {
-    let (zones, probes) = plays(9000.0, |_| false);
+fn without_any_probe_answer_nothing_is_dispatched() {
+    let (zones, probes) = simulate(9000.0, |_| false);
     assert_eq!(zones, [0, 0, 0], "{probes} probes");
 }
--- a/tests/sessions.rs
+++ b/tests/session_failover.rs
@@ -1,10 +1,11 @@
-//! No session is tied to the trouble of its home: while there is room elsewhere its next turns are served there.
+//! A session does not depend on a failing home: while there is capacity elsewhere, its turns are served
+//! there.
 
 mod helpers;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use helpers::{facts, row, settings, worker};
+use helpers::{arrival, row, settings, worker};
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
@@ -12,20 +13,20 @@
 const SESSIONS: u64 = 60;
 const TURNS: u32 = 5;
 
-/// Plays some turns of each session while these servers end every attempt so, and returns the sessions of which none was
-/// served.
-fn never_served(bad: &[&str], outcome: Outcome, tokens: f64) -> BTreeSet<u64> {
+/// Runs some turns of each session while the `failing` workers end every attempt with `outcome`; returns the
+/// sessions without any served turn.
+fn never_served(failing: &[&str], outcome: Outcome, tokens: f64) -> BTreeSet<u64> {
     let mut control = Control::new(Settings { writers_read: true, ..settings() }, 7);
     let rows: Vec<_> = FLEET.iter().map(|name| row(name)).collect();
     control.handle(0.0, &Event::Listed { kind: ListKind::Whole, rows: rows.into() }, &mut Vec::new());
-    let bad: Vec<_> = bad.iter().map(|name| worker(name)).collect();
+    let failing: Vec<_> = failing.iter().map(|name| worker(name)).collect();
     let (mut served, mut id, mut now_ms) = (BTreeMap::<u64, u32>::new(), 0, 0.0);
     for _ in 0..TURNS {
         for session in 0..SESSIONS {
             id += 1;
             now_ms += 120.0;
             let arrival =
-                Arrival { client_timeout_ms: now_ms + 4000.0, ..facts(id, session * 7919, tokens, None) };
+                Arrival { client_timeout_ms: now_ms + 4000.0, ..arrival(id, session * 7919, tokens, None) };
             let mut events = vec![Event::Arrived(arrival)];
             let mut seq = 0;
             while let Some(event) = events.pop() {
@@ -35,7 +36,7 @@
                     let Action::Dispatch { completion, worker, .. } = action else { continue };
                     let reads = worker.0.starts_with('r');
                     let good = if reads { Outcome::Read } else { Outcome::Finished };
-                    let outcome = if bad.contains(&worker) { outcome } else { good };
+                    let outcome = if failing.contains(&worker) { outcome } else { good };
                     now_ms += 5.0;
                     *served.entry(session).or_default() += u32::from(outcome == Outcome::Finished);
                     events.push(Event::Ended {
@@ -55,25 +56,31 @@
 }
 
 #[test]
-fn with_any_one_server_bad_every_session_is_served() {
+fn with_any_one_worker_failing_every_session_is_served() {
     for name in FLEET {
         for outcome in [Outcome::Full, Outcome::Error, Outcome::ConnectFailed, Outcome::Broken] {
             for tokens in [300.0, 7000.0] {
-                let left = never_served(&[name], outcome, tokens);
-                assert!(left.is_empty(), "{name} {outcome:?}, {tokens} tokens: never served {left:?}");
+                let unserved = never_served(&[name], outcome, tokens);
+                assert!(
+                    unserved.is_empty(),
+                    "{name} {outcome:?}, {tokens} tokens: never served {unserved:?}"
+                );
             }
         }
     }
 }
 
 #[test]
-fn with_a_whole_cell_bad_every_session_is_served() {
+fn with_a_whole_cell_failing_every_session_is_served() {
     for cell in ["0", "1", "2"] {
-        let bad: Vec<_> = FLEET.into_iter().filter(|name| &name[1..2] == cell).collect();
+        let failing: Vec<_> = FLEET.into_iter().filter(|name| &name[1..2] == cell).collect();
         for outcome in [Outcome::Full, Outcome::ConnectFailed] {
             for tokens in [300.0, 7000.0] {
-                let left = never_served(&bad, outcome, tokens);
-                assert!(left.is_empty(), "cell {cell} {outcome:?}, {tokens} tokens: never served {left:?}");
+                let unserved = never_served(&failing, outcome, tokens);
+                assert!(
+                    unserved.is_empty(),
+                    "cell {cell} {outcome:?}, {tokens} tokens: never served {unserved:?}"
+                );
             }
         }
     }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,41 +1,41 @@
-//! The bound on what all routers together send to a server in slow start, by a seeded simulation of the decisions: with
-//! few routers and many, unequal traffic, routers restarted meanwhile, servers that come back cold under a burst.
-//! `docs/design.md` derives the bound.
+//! The bound on what all routers together send to a worker in slow start, by a seeded simulation of the
+//! decisions: with few and many routers, unequal traffic, router restarts, and a cold worker that starts
+//! under a traffic burst. `docs/design.md` derives the bound.
 
 mod helpers;
 
-use helpers::{facts, row, settings};
+use helpers::{arrival, row, settings};
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
-/// Warm servers beside the cold one.
+/// Number of warm workers beside the cold one.
 const WARM: usize = 8;
-/// When the cold server started, and for how long the play goes on, in ms.
+/// Start time of the cold worker, and how long the simulation goes on after it.
 const STARTED_MS: f64 = 100_000.0;
-const LASTS_MS: f64 = 14_000.0;
-/// How long an answer takes, in ms.
+const DURATION_MS: f64 = 14_000.0;
+/// How long an answer takes.
 const ANSWER_MS: f64 = 150.0;
 
 #[derive(Clone, Copy, Debug)]
 struct Case {
     routers: usize,
-    /// Calls that a warm server takes at its capacity in the time in which a cold one falls over.
+    /// Dispatches that a warm worker handles at full capacity within the overload window (`fall_ms`).
     capacity: f64,
     probes: bool,
-    /// A part of the routers starts anew so long after the server.
+    /// Share of the routers that restart, and how long after the worker's start.
     restart: Option<(f64, f64)>,
-    /// Traffic beyond capacity while the server is new.
+    /// Traffic as a multiple of the capacity while the worker is new.
     burst: f64,
 }
 
-/// What the settings allow a server of that age, in calls.
+/// Dispatches that the settings allow a worker of that age.
 fn allowed(settings: &Settings, capacity: f64, age_ms: f64) -> f64 {
     let share =
         settings.cold_share + (1.0 - settings.cold_share) * (age_ms / settings.cold_ms).clamp(0.0, 1.0);
     settings.fall_multiple * share * capacity
 }
 
-/// The bound that the operators accept.
+/// The bound that the operators accept: the allowed number and its random variation.
 fn bound(allowed: f64) -> f64 {
     match allowed < 30.0 {
         true => allowed + 3.0 * allowed.sqrt() + 3.0,
@@ -47,7 +47,7 @@
     control: Control,
     settings: Settings,
     seed: u64,
-    /// Its part of the traffic.
+    /// Relative share of the traffic.
     weight: f64,
     next: u32,
 }
@@ -56,11 +56,11 @@
     fn new(settings: Settings, seed: u64, weight: f64, rows: &[Listing], now_ms: f64) -> Self {
         let mut router =
             Router { control: Control::new(settings.clone(), seed), settings, seed, weight, next: 0 };
-        router.told(now_ms, ListKind::Whole, rows);
+        router.list(now_ms, ListKind::Whole, rows);
         router
     }
 
-    fn told(&mut self, now_ms: f64, kind: ListKind, rows: &[Listing]) {
+    fn list(&mut self, now_ms: f64, kind: ListKind, rows: &[Listing]) {
         let listed = Event::Listed { kind, rows: rows.to_vec().into() };
         self.control.handle(now_ms, &listed, &mut Vec::new());
     }
@@ -71,11 +71,11 @@
         self.next = next;
     }
 
-    /// Takes one request and returns where it was sent; probes are answered at once, by servers that are idle.
+    /// Handles one request and returns its worker. All workers answer probes at once and report idle.
     fn arrive(&mut self, now_ms: f64, session: u64) -> Option<(CompletionId, WorkerId)> {
         self.next += 1;
         let arrival =
-            Arrival { client_timeout_ms: now_ms + 4000.0, ..facts(self.next, session, 300.0, None) };
+            Arrival { client_timeout_ms: now_ms + 4000.0, ..arrival(self.next, session, 300.0, None) };
         let completion = arrival.completion;
         let mut events = vec![Event::Arrived(arrival)];
         while let Some(event) = events.pop() {
@@ -98,7 +98,7 @@
         None
     }
 
-    fn answered(&mut self, now_ms: f64, completion: CompletionId) {
+    fn finish(&mut self, now_ms: f64, completion: CompletionId) {
         let began = Event::Began { completion, seq: Seq(0), took_ms: ANSWER_MS };
         self.control.handle(now_ms, &began, &mut Vec::new());
         let ended = Event::Ended {
@@ -113,8 +113,8 @@
     }
 }
 
-/// The most that the cold server got in any window, as a part of the bound; and how much it got in all.
-fn play(case: Case, seed: u64) -> (f64, usize) {
+/// The most dispatches to the cold worker in any window, as a fraction of the bound, and their total number.
+fn simulate(case: Case, seed: u64) -> (f64, usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = |own_number| Settings {
         routers: case.routers,
@@ -127,7 +127,7 @@
     let warm: Vec<_> = (0..WARM).map(|number| row(&format!("m{}{number}", number % 3))).collect();
     let cold = Listing { started_ms: Some(STARTED_MS), ..row("m0cold") };
     let all = [warm.clone(), vec![cold.clone()]].concat();
-    // Some routers see several times the mean.
+    // Some routers get several times the mean traffic.
     let mut routers: Vec<_> = (0..case.routers)
         .map(|own| {
             let weight = (-rng.f64().max(1e-9).ln()).max(0.05);
@@ -136,16 +136,16 @@
         .collect();
     let total: f64 = routers.iter().map(|router| router.weight).sum();
     let per_ms = case.capacity * WARM as f64 / shared.fall_ms;
-    let (mut now_ms, mut told, mut restarted) = (STARTED_MS - 6000.0, false, false);
+    let (mut now_ms, mut listed, mut restarted) = (STARTED_MS - 6000.0, false, false);
     let mut answers = std::collections::VecDeque::new();
     let mut sent = Vec::new();
     let mut worst: f64 = 0.0;
-    while now_ms < STARTED_MS + LASTS_MS {
+    while now_ms < STARTED_MS + DURATION_MS {
         let burst = if now_ms > STARTED_MS { case.burst } else { 1.0 };
         now_ms += -rng.f64().max(1e-9).ln() / (per_ms * burst);
-        if !told && now_ms >= STARTED_MS {
-            told = true;
-            routers.iter_mut().for_each(|r| r.told(now_ms, ListKind::Changes, std::slice::from_ref(&cold)));
+        if !listed && now_ms >= STARTED_MS {
+            listed = true;
+            routers.iter_mut().for_each(|r| r.list(now_ms, ListKind::Changes, std::slice::from_ref(&cold)));
         }
         if let Some((part, after_ms)) = case.restart.filter(|(_, after)| now_ms >= STARTED_MS + after) {
             if !std::mem::replace(&mut restarted, true) {
@@ -157,7 +157,7 @@
         }
         while answers.front().is_some_and(|(at_ms, ..)| *at_ms <= now_ms) {
             let (at_ms, own, completion) = answers.pop_front().unwrap();
-            routers[own].answered(at_ms, completion);
+            routers[own].finish(at_ms, completion);
         }
         let mut draw = rng.f64() * total;
         let own = routers.iter().position(|router| {
@@ -171,7 +171,7 @@
             sent.push(now_ms);
             let from_ms = now_ms - shared.fall_ms;
             let count = sent.iter().rev().take_while(|at_ms| **at_ms > from_ms).count();
-            // What it may get by its age when the window began, the less the younger.
+            // The bound for the worker's age at the start of the window: the younger, the lower.
             let age_ms = (from_ms - STARTED_MS).max(0.0);
             let bound = bound(allowed(&shared, case.capacity, age_ms));
             worst = worst.max(count as f64 / bound);
@@ -194,13 +194,13 @@
     cases
 }
 
-/// Counts breaches over all cases and seeds of a size, and checks that the server is used at all.
-fn holds(routers: usize, seeds: std::ops::Range<u64>) {
-    let (mut breaches, mut got, mut nearest) = (Vec::new(), 0, 0.0_f64);
+/// Checks the bound in all cases and seeds for a number of routers, and that the cold worker is used at all.
+fn check_bound(routers: usize, seeds: std::ops::Range<u64>) {
+    let (mut breaches, mut dispatched, mut nearest) = (Vec::new(), 0, 0.0_f64);
     for case in cases(routers) {
         for seed in seeds.clone() {
-            let (worst, sent) = play(case, seed);
-            got += sent;
+            let (worst, sent) = simulate(case, seed);
+            dispatched += sent;
             nearest = nearest.max(worst);
             if worst > 1.0 {
                 breaches.push((worst, seed, case));
@@ -208,21 +208,21 @@
         }
     }
     assert!(breaches.is_empty(), "{} breaches, {breaches:#?}", breaches.len());
-    assert!(got > 0, "the server was never used");
-    println!("{routers} routers: nearest {nearest:.2} of the bound, {got} calls");
+    assert!(dispatched > 0, "the cold worker was never used");
+    println!("{routers} routers: nearest {nearest:.2} of the bound, {dispatched} dispatches");
 }
 
 #[test]
 fn the_bound_holds_with_three_routers() {
-    holds(3, 0..6);
+    check_bound(3, 0..6);
 }
 
 #[test]
 fn the_bound_holds_with_thirty_routers() {
-    holds(30, 0..4);
+    check_bound(30, 0..4);
 }
 
 #[test]
 fn the_bound_holds_with_three_hundred_routers() {
-    holds(300, 0..2);
+    check_bound(300, 0..2);
 }
