--- a/src/control/slow_start.rs
+++ b/src/control/slow_start.rs
@@ -25,16 +25,16 @@
         }
         // A router that sends less than one dispatch per turn cannot exceed its share by BURST_FACTOR.
         // Without probes, though, a shared prefix or completions that other workers rejected can direct more
-        // to this worker unnoticed. Its square leaves room for the random variation of a small total, three
-        // standard deviations, below the overload limit.
+        // to this worker unnoticed. The square of `safe_budget_root` leaves room for the random variation of
+        // a small total, three standard deviations, below the overload limit.
         let burst =
             if s.probes_allowed { (BURST_FACTOR * mean).clamp(1.0, BURST_FACTOR) } else { BURST_FACTOR };
         let safe_budget_root = ((9.0 + 4.0 * budget / OVERLOAD_BUDGET_SHARE).sqrt() - 3.0) / 2.0;
-        let at_once = (budget.min(safe_budget_root * safe_budget_root) / (mean * burst).max(1e-9))
+        let routers_at_once = (budget.min(safe_budget_root * safe_budget_root) / (mean * burst).max(1e-9))
             .clamp(1.0, routers as f64)
             .floor();
-        (turn * at_once as usize + s.own_number) % routers < at_once as usize
-            && sent + 1.0 <= (budget / at_once).max(1.0)
+        (turn * routers_at_once as usize + s.own_number) % routers < routers_at_once as usize
+            && sent + 1.0 <= (budget / routers_at_once).max(1.0)
     }
 
     /// Mean number of recent dispatches to the warm workers of a kind, or to all where the kind has no warm
