--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -98,7 +98,7 @@
                     let request = requests.get_mut(&completion).unwrap();
                     assert!(
                         request.allows(&at, now_ms),
-                        "seed {seed}, {effect:?} {group:?}: {completion:?} retried at {at:?} after {now_ms} ms"
+                        "seed {seed}, {effect:?} {group:?}: {completion:?} retried at {at:?}, {now_ms} ms"
                     );
                     retries += usize::from(request.attempts.iter().any(|earlier| earlier.may_have_run));
                     let reads = at.kind == KindId(0);
