--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -98,7 +98,7 @@
             CoreEvent::Began { completion, seq, took_ms } => {
                 debug!(completion = completion.0, seq = seq.0, took_ms, "began");
                 if let Some(worker) = self.book.worker(completion, seq) {
-                    self.fleet.borrow_mut().hearing.answered(worker, self.book.clock.now_ms());
+                    self.fleet.borrow_mut().hearing.record_answer(worker, self.book.clock.now_ms());
                 }
                 self.handle(Input::Began { completion, seq, took_ms })
             }
@@ -129,7 +129,7 @@
             }
             CoreEvent::Settings(provision) => {
                 self.provision = provision;
-                self.fleet.borrow_mut().hearing.moved(self.provision.settings.zone);
+                self.fleet.borrow_mut().hearing.set_own_zone(self.provision.settings.zone);
                 let settings = Box::new(self.provision.settings.clone());
                 let answer_slack_ms = self.provision.answer_slack_ms;
                 self.handle(Input::Settings { settings, answer_slack_ms });
@@ -183,7 +183,7 @@
         );
         *self.outcomes.entry(name(&end)).or_default() += 1;
         if let Some(worker) = worker {
-            self.fleet.borrow_mut().hearing.ended(&worker, &end, self.book.clock.now_ms());
+            self.fleet.borrow_mut().hearing.record_dispatch_end(&worker, &end, self.book.clock.now_ms());
             self.reported(&worker, load);
         }
         // Workers know a state by the id of its completion alone, so the reference has nothing to tell.
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,5 +1,5 @@
 //! Letting go: the calls by which workers are told that what is held for a completion is no longer wanted. Whom, when
-//! and how often is decided in `paddleproxy_routing::letgo`; here are the sockets, the count and the log.
+//! and how often is decided in `paddleproxy_routing::release`; here are the sockets, the count and the log.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,10 @@
 use paddleproxy_platform::List;
 use paddleproxy_router::clock::Clock;
 use paddleproxy_router::letgo::{self, Call};
-use paddleproxy_routing::{Deaf, Hearing, Others, SocketEnd, Telling, Unheard, AGAIN};
+use paddleproxy_routing::{
+    DeliveryFailure, Reachability, ReleaseDelivery, ReleaseRoute, SocketEnd, UndeliveredReleases,
+    RETRIES_PER_LIMIT,
+};
 use tracing::{debug, warn};
 
 use crate::pool::Pool;
@@ -21,12 +24,16 @@
 pub struct ServerDirectory {
     dials: BTreeMap<WorkerId, Option<SocketAddr>>,
     draining: BTreeSet<WorkerId>,
-    pub hearing: Hearing,
+    pub hearing: Reachability,
 }
 
 impl ServerDirectory {
     pub fn new(own_zone: Option<ZoneId>) -> Self {
-        ServerDirectory { dials: BTreeMap::new(), draining: BTreeSet::new(), hearing: Hearing::new(own_zone) }
+        ServerDirectory {
+            dials: BTreeMap::new(),
+            draining: BTreeSet::new(),
+            hearing: Reachability::new(own_zone),
+        }
     }
 
     /// Takes over where workers are; what is left of the list is for the decisions.
@@ -48,7 +55,7 @@
             }
         }
         let rows: Arc<[Listing]> = list.rows.into_iter().map(|row| row.listing).collect();
-        self.hearing.listed(kind, &rows);
+        self.hearing.update_list(kind, &rows);
         rows
     }
 
@@ -63,8 +70,8 @@
 
     pub fn heard(&mut self, worker: &WorkerId, answered: bool, now_ms: f64) {
         match answered {
-            true => self.hearing.answered(worker, now_ms),
-            false => self.hearing.silent(worker, now_ms),
+            true => self.hearing.record_answer(worker, now_ms),
+            false => self.hearing.record_silence(worker, now_ms),
         }
     }
 }
@@ -91,12 +98,12 @@
     seed: u64,
     out: Cell<usize>,
     counts: Cell<Counts>,
-    unheard: Unheard,
+    unheard: UndeliveredReleases,
 }
 
 impl Releases {
     pub fn new(pool: Rc<Pool>, fleet: Rc<RefCell<ServerDirectory>>, clock: Clock, seed: u64) -> Self {
-        let (out, counts, unheard) = (Cell::new(0), Cell::default(), Unheard::default());
+        let (out, counts, unheard) = (Cell::new(0), Cell::default(), UndeliveredReleases::default());
         Releases { pool, fleet, clock, seed, out, counts, unheard }
     }
 
@@ -123,8 +130,16 @@
 
     async fn tell(&self, holder: WorkerId, path: String, seed: u64, limit_ms: f64) {
         let began_ms = self.clock.now_ms();
-        let mut telling = Telling::new(holder, Others::AnyWorker, seed, limit_ms, AGAIN, began_ms);
-        let next = |telling: &mut Telling, now_ms| telling.next(now_ms, &self.fleet.borrow().hearing);
+        let mut telling = ReleaseDelivery::new(
+            holder,
+            ReleaseRoute::AnyWorker,
+            seed,
+            limit_ms,
+            RETRIES_PER_LIMIT,
+            began_ms,
+        );
+        let next =
+            |telling: &mut ReleaseDelivery, now_ms| telling.next_step(now_ms, &self.fleet.borrow().hearing);
         let call = |worker| self.call(worker, &path, limit_ms);
         let Some(worker) = letgo::tell(&mut telling, self.clock, next, call).await else {
             return self.unheard(&path, &telling);
@@ -141,14 +156,14 @@
     async fn call(&self, worker: WorkerId, path: &str, limit_ms: f64) -> (WorkerId, Call) {
         let address = self.fleet.borrow().dial(&worker);
         let answer = match address {
-            None => Call::Failed(Deaf::NoWay),
+            None => Call::Failed(DeliveryFailure::NoWay),
             Some(address) => match self.pool.call(address, "DELETE", path, limit_ms).await {
                 Ok((head, _)) if head.status < 300 => Call::Heard,
                 Ok(_) | Err(SocketEnd::ConnectRefused | SocketEnd::BrokeBeforeAnswer) => {
-                    Call::Failed(Deaf::Refused)
+                    Call::Failed(DeliveryFailure::Refused)
                 }
-                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => Call::Failed(Deaf::NoWay),
-                Err(_) => Call::Failed(Deaf::Silent),
+                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => Call::Failed(DeliveryFailure::NoWay),
+                Err(_) => Call::Failed(DeliveryFailure::Silent),
             },
         };
         let heard = matches!(answer, Call::Heard);
@@ -156,9 +171,9 @@
         (worker, answer)
     }
 
-    fn unheard(&self, path: &str, telling: &Telling) {
-        let cause = telling.deaf().unwrap_or(Deaf::NoWay);
-        if self.unheard.count(cause, self.clock.now_ms()) {
+    fn unheard(&self, path: &str, telling: &ReleaseDelivery) {
+        let cause = telling.worst_failure().unwrap_or(DeliveryFailure::NoWay);
+        if self.unheard.record(cause, self.clock.now_ms()) {
             let unheard = self.unheard.counts();
             warn!(
                 path,
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -15,7 +15,8 @@
 use paddleproxy_messages::{Answer, ApiError, ErrorKind};
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{
-    Deaf, Effect, Hearing, Input, Ledger, Others, Sending, SocketEnd, Telling, Unheard,
+    DeliveryFailure, Effect, Input, Ledger, Reachability, ReleaseDelivery, ReleaseRoute, Sending, SocketEnd,
+    UndeliveredReleases,
 };
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, watch};
@@ -56,7 +57,7 @@
     shared: Option<Granted>,
     floor: Option<Granted>,
     lapses: Option<Instant>,
-    unheard: Rc<Unheard>,
+    unheard: Rc<UndeliveredReleases>,
     /// Where failover between zones is decided, and the latency targets of open completions for it.
     desk: Option<Desked>,
     targets: BTreeMap<CompletionId, f64>,
@@ -487,19 +488,20 @@
                 answer.map(|answer| match answer {
                     Ok((status, _, _)) if status < 500 => (worker, Call::Heard),
                     // Who refuses connections does not run, and holds nothing.
-                    Err(SocketEnd::ConnectRefused) => (worker, Call::Over(Deaf::Refused)),
-                    Ok(_) => (worker, Call::Failed(Deaf::Refused)),
-                    Err(_) => (worker, Call::Failed(Deaf::Silent)),
+                    Err(SocketEnd::ConnectRefused) => (worker, Call::Over(DeliveryFailure::Refused)),
+                    Ok(_) => (worker, Call::Failed(DeliveryFailure::Refused)),
+                    Err(_) => (worker, Call::Failed(DeliveryFailure::Silent)),
                 })
             };
             // Here only the holder can let go, so there is nobody to spread over.
-            let hearing = Hearing::new(None);
+            let hearing = Reachability::new(None);
             let now_ms = clock.now_ms();
-            let mut telling = Telling::new(worker.clone(), Others::None, 0, limit_ms, tries, now_ms);
-            let next = |telling: &mut Telling, now_ms| telling.next(now_ms, &hearing);
+            let mut telling =
+                ReleaseDelivery::new(worker.clone(), ReleaseRoute::HolderOnly, 0, limit_ms, tries, now_ms);
+            let next = |telling: &mut ReleaseDelivery, now_ms| telling.next_step(now_ms, &hearing);
             if letgo::tell(&mut telling, clock, next, call).await.is_none() {
-                let cause = telling.deaf().unwrap_or(Deaf::NoWay);
-                if unheard.count(cause, clock.now_ms()) {
+                let cause = telling.worst_failure().unwrap_or(DeliveryFailure::NoWay);
+                if unheard.record(cause, clock.now_ms()) {
                     let (cause, calls, unheard) = (cause.name(), telling.calls(), unheard.counts());
                     warn!(worker = %worker.0, cause, calls, ?unheard, "nobody heard what is let go of");
                 }
--- a/crates/router/src/letgo.rs
+++ b/crates/router/src/letgo.rs
@@ -1,10 +1,10 @@
-//! Carries out one release as `Telling` says it: the calls side by side, and the waiting between them.
+//! Carries out one release as `ReleaseDelivery` says it: the calls side by side, and the waiting between them.
 
 use std::future::Future;
 
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use paddleproxy::interface::WorkerId;
-use paddleproxy_routing::{Deaf, Next, Telling};
+use paddleproxy_routing::{DeliveryFailure, DeliveryStep, ReleaseDelivery};
 use tokio::time::sleep_until;
 
 use crate::clock::Clock;
@@ -12,27 +12,27 @@
 /// What one call came to.
 pub enum Call {
     Heard,
-    Failed(Deaf),
+    Failed(DeliveryFailure),
     /// Nothing is held there any more, so that nobody has to be told.
-    Over(Deaf),
+    Over(DeliveryFailure),
 }
 
 /// Who heard it; none where it is given up or over.
 pub async fn tell<C: Future<Output = (WorkerId, Call)>>(
-    telling: &mut Telling,
+    telling: &mut ReleaseDelivery,
     clock: Clock,
-    next: impl Fn(&mut Telling, f64) -> Next,
+    next: impl Fn(&mut ReleaseDelivery, f64) -> DeliveryStep,
     call: impl Fn(WorkerId) -> C,
 ) -> Option<WorkerId> {
     let mut calls = FuturesUnordered::new();
     loop {
         let until_ms = match next(telling, clock.now_ms()) {
-            Next::Tell(workers) => {
+            DeliveryStep::Call(workers) => {
                 calls.extend(workers.into_iter().map(&call));
                 continue;
             }
-            Next::Wait { until_ms } => until_ms,
-            Next::Unheard => return None,
+            DeliveryStep::Wait { until_ms } => until_ms,
+            DeliveryStep::Undelivered => return None,
         };
         let (worker, answer) = tokio::select! {
             biased;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,9 +7,9 @@
 pub mod admission;
 pub mod facts;
 pub mod ledger;
-pub mod letgo;
 pub mod outcomes;
 pub mod pace;
+pub mod release;
 pub mod repeat_guard;
 pub mod repeats;
 pub mod write_check;
@@ -17,8 +17,11 @@
 pub use admission::{Admission, Bounds, CustomerLimits, Place, Reason, TurnedAway};
 pub use facts::{Facts, Requests};
 pub use ledger::{Counts, Decisions, Due, Effect, Input, Ledger, Sending, Stage};
-pub use letgo::{Deaf, Hearing, Next, Others, Telling, Unheard, AGAIN};
 pub use outcomes::{outcome, SocketEnd};
 pub use pace::Pace;
+pub use release::{
+    DeliveryFailure, DeliveryStep, Reachability, ReleaseDelivery, ReleaseRoute, UndeliveredReleases,
+    RETRIES_PER_LIMIT,
+};
 pub use repeats::{Key, Repeats, Verdict};
 pub use write_check::{Withdrawal, WriteCheck};
--- a/crates/routing/src/letgo.rs
+++ b/crates/routing/src/release.rs
@@ -1,6 +1,6 @@
 //! Whom to tell that a state or a place is let go, when the next is told beside the first, and when it is given up.
 //!
-//! Where any worker takes the word for all others (`Others::AnyWorker`), the holder need not be reached: it may lie in
+//! Where any worker takes the word for all others (`ReleaseRoute::AnyWorker`), the holder need not be reached: it may lie in
 //! a lost zone or behind a cut, and so may whole zones beside it. So the choice goes by who answered this router of
 //! late, spreads over zones and cells, and differs between routers by their seed. Tries overlap: silence never holds up
 //! the next. Each wave of tries is as large as all before it together, so that among `n` workers the only one that can
@@ -20,7 +20,7 @@
 /// must not turn the list into a burst.
 const SOONER: f64 = 0.25;
 /// Once all were told, one is told again so often in each limit, and for so many limits in all.
-pub const AGAIN: usize = 4;
+pub const RETRIES_PER_LIMIT: usize = 4;
 const LIMITS: f64 = 16.0;
 /// An answer or a silence says something for so many limits.
 const LATELY: f64 = 8.0;
@@ -38,23 +38,23 @@
 /// Who answered this router of late and who did not, by worker on the list. Lives as long as the router; holds a row a
 /// listed worker.
 #[derive(Default)]
-pub struct Hearing {
+pub struct Reachability {
     rows: BTreeMap<WorkerId, Row>,
     own_zone: Option<ZoneId>,
 }
 
-impl Hearing {
+impl Reachability {
     pub fn new(own_zone: Option<ZoneId>) -> Self {
-        Hearing { rows: BTreeMap::new(), own_zone }
+        Reachability { rows: BTreeMap::new(), own_zone }
     }
 
     /// Another zone of this router from now on, as new settings name it.
-    pub fn moved(&mut self, own_zone: Option<ZoneId>) {
+    pub fn set_own_zone(&mut self, own_zone: Option<ZoneId>) {
         self.own_zone = own_zone;
     }
 
     /// Another list; what was heard of a worker stays as long as it is listed.
-    pub fn listed(&mut self, kind: ListKind, rows: &[Listing]) {
+    pub fn update_list(&mut self, kind: ListKind, rows: &[Listing]) {
         if kind != ListKind::Changes && kind != ListKind::Failed {
             let listed: BTreeSet<_> = rows.iter().map(|row| &row.worker).collect();
             self.rows.retain(|worker, _| listed.contains(worker));
@@ -71,23 +71,23 @@
         }
     }
 
-    pub fn answered(&mut self, worker: &WorkerId, now_ms: f64) {
+    pub fn record_answer(&mut self, worker: &WorkerId, now_ms: f64) {
         self.rows.entry(worker.clone()).and_modify(|row| row.answered_ms = now_ms);
     }
 
-    pub fn silent(&mut self, worker: &WorkerId, now_ms: f64) {
+    pub fn record_silence(&mut self, worker: &WorkerId, now_ms: f64) {
         self.rows.entry(worker.clone()).and_modify(|row| row.silent_ms = now_ms);
     }
 
     /// What the end of a dispatch says of its worker; nothing where we called it off or it broke under way.
-    pub fn ended(&mut self, worker: &WorkerId, end: &SocketEnd, now_ms: f64) {
+    pub fn record_dispatch_end(&mut self, worker: &WorkerId, end: &SocketEnd, now_ms: f64) {
         use SocketEnd::*;
         match end {
             TurnedAway(_) | ErrorStatus(_) | ReadDone | AnswerDone | BrokeWithinAnswer | Nonsense(_) => {
-                self.answered(worker, now_ms);
+                self.record_answer(worker, now_ms);
             }
             ConnectRefused | Unreachable | ConnectTimedOut | NeverWritten | BrokeBeforeAnswer | Stalled
-            | TimedOut => self.silent(worker, now_ms),
+            | TimedOut => self.record_silence(worker, now_ms),
             NoAddress | NoRoom | BrokeAfterFirst | Stopped | Withdrawn(_) => {}
         }
     }
@@ -105,27 +105,27 @@
 
 /// Who can take the word.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Others {
+pub enum ReleaseRoute {
     /// Every worker lets go of what any holds.
     AnyWorker,
     /// Only the holder.
-    None,
+    HolderOnly,
 }
 
 /// What to do next about one release.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Next {
+pub enum DeliveryStep {
     /// Tell these now, side by side.
-    Tell(Vec<WorkerId>),
+    Call(Vec<WorkerId>),
     /// Nothing before then, in ms on the caller's clock.
     Wait { until_ms: f64 },
     /// Nobody heard it; it is given up.
-    Unheard,
+    Undelivered,
 }
 
 /// What became of a try that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Deaf {
+pub enum DeliveryFailure {
     /// No address is known, or there was no descriptor for a connection.
     NoWay,
     /// A connection was refused or broke.
@@ -134,29 +134,30 @@
     Silent,
 }
 
-impl Deaf {
-    pub const ALL: [Deaf; 3] = [Deaf::NoWay, Deaf::Refused, Deaf::Silent];
+impl DeliveryFailure {
+    pub const ALL: [DeliveryFailure; 3] =
+        [DeliveryFailure::NoWay, DeliveryFailure::Refused, DeliveryFailure::Silent];
 
     /// For metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Deaf::NoWay => "no-way",
-            Deaf::Refused => "refused",
-            Deaf::Silent => "silent",
+            DeliveryFailure::NoWay => "no-way",
+            DeliveryFailure::Refused => "refused",
+            DeliveryFailure::Silent => "silent",
         }
     }
 }
 
 /// Releases that nobody heard, by the worst that their calls met. Lives as long as the router.
 #[derive(Default)]
-pub struct Unheard {
-    counts: [Cell<u64>; Deaf::ALL.len()],
+pub struct UndeliveredReleases {
+    counts: [Cell<u64>; DeliveryFailure::ALL.len()],
     said_ms: Cell<Option<f64>>,
 }
 
-impl Unheard {
+impl UndeliveredReleases {
     /// Counts one; whether the log is to say it, which it does once in a while however many there are.
-    pub fn count(&self, cause: Deaf, now_ms: f64) -> bool {
+    pub fn record(&self, cause: DeliveryFailure, now_ms: f64) -> bool {
         let count = &self.counts[cause as usize];
         count.set(count.get() + 1);
         let due = self.said_ms.get().is_none_or(|said_ms| now_ms >= said_ms + SAID_EVERY_MS);
@@ -166,15 +167,15 @@
         due
     }
 
-    pub fn counts(&self) -> [(&'static str, u64); Deaf::ALL.len()] {
-        Deaf::ALL.map(|cause| (cause.name(), self.counts[cause as usize].get()))
+    pub fn counts(&self) -> [(&'static str, u64); DeliveryFailure::ALL.len()] {
+        DeliveryFailure::ALL.map(|cause| (cause.name(), self.counts[cause as usize].get()))
     }
 }
 
 /// Lives from a release until a worker has heard it or it is given up.
-pub struct Telling {
+pub struct ReleaseDelivery {
     holder: WorkerId,
-    others: Others,
+    others: ReleaseRoute,
     seed: u64,
     limit_ms: f64,
     again_ms: f64,
@@ -184,22 +185,22 @@
     told: BTreeMap<WorkerId, bool>,
     first_round: bool,
     calls: u32,
-    deaf: Option<Deaf>,
+    deaf: Option<DeliveryFailure>,
 }
 
-impl Telling {
+impl ReleaseDelivery {
     /// `seed` has to differ between routers; `limit_ms` is how long what is held may stay; once all were told, one is
     /// told `again` times in each limit.
     pub fn new(
         holder: WorkerId,
-        others: Others,
+        others: ReleaseRoute,
         seed: u64,
         limit_ms: f64,
         again: usize,
         now_ms: f64,
     ) -> Self {
         let limit_ms = limit_ms.max(1.0);
-        Telling {
+        ReleaseDelivery {
             holder,
             others,
             seed,
@@ -220,19 +221,19 @@
     }
 
     /// The worst that a try met: by this what nobody heard is counted.
-    pub fn deaf(&self) -> Option<Deaf> {
+    pub fn worst_failure(&self) -> Option<DeliveryFailure> {
         self.deaf
     }
 
     /// A try ended without an answer.
-    pub fn failed(&mut self, worker: &WorkerId, deaf: Deaf) {
+    pub fn failed(&mut self, worker: &WorkerId, deaf: DeliveryFailure) {
         self.told.entry(worker.clone()).and_modify(|out| *out = false);
         self.deaf = self.deaf.max(Some(deaf));
     }
 
-    pub fn next(&mut self, now_ms: f64, hearing: &Hearing) -> Next {
+    pub fn next_step(&mut self, now_ms: f64, hearing: &Reachability) -> DeliveryStep {
         if now_ms >= self.began_ms + LIMITS * self.limit_ms {
-            return Next::Unheard;
+            return DeliveryStep::Undelivered;
         }
         let all_failed = !self.told.values().any(|out| *out);
         let pause_ms = match self.first_round {
@@ -242,7 +243,7 @@
         };
         let until_ms = self.wave_ms + pause_ms;
         if now_ms < until_ms {
-            return Next::Wait { until_ms };
+            return DeliveryStep::Wait { until_ms };
         }
         let most = if self.first_round { self.told.len().max(1) } else { 1 };
         let wave = self.pick(most, now_ms, hearing);
@@ -251,20 +252,20 @@
             self.first_round = false;
             self.told.clear();
             let until_ms = self.wave_ms + self.again_ms;
-            return Next::Wait { until_ms: until_ms.max(now_ms + self.limit_ms * WAVE * SOONER) };
+            return DeliveryStep::Wait { until_ms: until_ms.max(now_ms + self.limit_ms * WAVE * SOONER) };
         }
         self.wave_ms = now_ms;
         self.calls += wave.len() as u32;
         self.told.extend(wave.iter().map(|worker| (worker.clone(), true)));
-        Next::Tell(wave)
+        DeliveryStep::Call(wave)
     }
 
     /// The next to be told, at most so many: who answered of late first, then zones and cells in which fewest were told,
     /// the own zone before others.
-    fn pick(&self, most: usize, now_ms: f64, hearing: &Hearing) -> Vec<WorkerId> {
-        let doubt = |row: &Row| Hearing::doubt(row, now_ms, self.limit_ms);
+    fn pick(&self, most: usize, now_ms: f64, hearing: &Reachability) -> Vec<WorkerId> {
+        let doubt = |row: &Row| Reachability::doubt(row, now_ms, self.limit_ms);
         let holder = hearing.rows.get(&self.holder);
-        let anyone = self.others == Others::AnyWorker;
+        let anyone = self.others == ReleaseRoute::AnyWorker;
         let mut wave = Vec::new();
         // The holder is asked first, unless it was silent of late and others can take the word.
         let first = !anyone || holder.is_some_and(|row| doubt(row) < 2);
--- a/crates/routing/tests/letgo.rs
+++ b/crates/routing/tests/release.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 
 use paddleproxy::interface::*;
-use paddleproxy_routing::{Deaf, Hearing, Next, Others, Telling, AGAIN};
+use paddleproxy_routing::{
+    DeliveryFailure, DeliveryStep, Reachability, ReleaseDelivery, ReleaseRoute, RETRIES_PER_LIMIT,
+};
 
 const LIMIT_MS: f64 = 500.0;
 const CASES: u64 = 500;
@@ -16,7 +18,7 @@
     reached: BTreeMap<WorkerId, f64>,
     refuses: BTreeSet<WorkerId>,
     holder: WorkerId,
-    hearing: Hearing,
+    hearing: Reachability,
 }
 
 fn worker(number: usize) -> WorkerId {
@@ -58,14 +60,14 @@
     }
     reached.entry(rows[rng.usize(0..rows.len())].worker.clone()).or_insert_with(|| 1.0);
     let refuses = rows.iter().map(|row| row.worker.clone()).filter(|_| rng.f64() < 0.2).collect();
-    let mut hearing = Hearing::new(Some(ZoneId(rng.usize(0..zones))));
-    hearing.listed(ListKind::Whole, &rows);
+    let mut hearing = Reachability::new(Some(ZoneId(rng.usize(0..zones))));
+    hearing.update_list(ListKind::Whole, &rows);
     // What was heard before may be out of date: anybody may have answered or not.
     for row in &rows {
         let at_ms = -rng.f64() * 9000.0;
         match rng.u8(0..4) {
-            0 => hearing.answered(&row.worker, at_ms),
-            1 => hearing.silent(&row.worker, at_ms),
+            0 => hearing.record_answer(&row.worker, at_ms),
+            1 => hearing.record_silence(&row.worker, at_ms),
             _ => {}
         }
     }
@@ -76,7 +78,14 @@
 
 /// Plays one release: when the word first reached a running worker, when it was answered, and the calls that were made.
 fn play(layout: &mut Layout, seed: u64) -> (Option<f64>, Option<f64>, Vec<(f64, WorkerId)>) {
-    let mut telling = Telling::new(layout.holder.clone(), Others::AnyWorker, seed, LIMIT_MS, AGAIN, 0.0);
+    let mut telling = ReleaseDelivery::new(
+        layout.holder.clone(),
+        ReleaseRoute::AnyWorker,
+        seed,
+        LIMIT_MS,
+        RETRIES_PER_LIMIT,
+        0.0,
+    );
     let (mut now_ms, mut told_ms, mut calls) = (0.0, None, Vec::new());
     let listed: BTreeSet<_> = layout.rows.iter().map(|row| row.worker.clone()).collect();
     let mut ends: Vec<(f64, WorkerId, bool)> = Vec::new();
@@ -87,13 +96,19 @@
             if heard {
                 return (told_ms, Some(now_ms), calls);
             }
-            layout.hearing.silent(&worker, now_ms);
-            telling
-                .failed(&worker, if layout.refuses.contains(&worker) { Deaf::Refused } else { Deaf::Silent });
+            layout.hearing.record_silence(&worker, now_ms);
+            telling.failed(
+                &worker,
+                if layout.refuses.contains(&worker) {
+                    DeliveryFailure::Refused
+                } else {
+                    DeliveryFailure::Silent
+                },
+            );
             continue;
         }
-        match telling.next(now_ms, &layout.hearing) {
-            Next::Tell(workers) => {
+        match telling.next_step(now_ms, &layout.hearing) {
+            DeliveryStep::Call(workers) => {
                 assert!(!workers.is_empty());
                 for worker in workers {
                     assert!(listed.contains(&worker), "nobody tells who is not listed");
@@ -110,11 +125,11 @@
                     calls.push((now_ms, worker));
                 }
             }
-            Next::Wait { until_ms } => {
+            DeliveryStep::Wait { until_ms } => {
                 assert!(until_ms > now_ms, "no busy waiting: {until_ms} at {now_ms}");
                 now_ms = ends.first().map_or(until_ms, |end| end.0.min(until_ms));
             }
-            Next::Unheard => return (told_ms, None, calls),
+            DeliveryStep::Undelivered => return (told_ms, None, calls),
         }
     }
     panic!("it does not end");
@@ -166,10 +181,10 @@
     let mut first = BTreeMap::<WorkerId, usize>::new();
     for router in 0..300u64 {
         let own = ZoneId(rng.usize(0..10));
-        let mut hearing = Hearing::new(Some(own));
-        hearing.listed(ListKind::Whole, &rows);
+        let mut hearing = Reachability::new(Some(own));
+        hearing.update_list(ListKind::Whole, &rows);
         // All answered just before the cut.
-        rows.iter().for_each(|row| hearing.answered(&row.worker, -rng.f64() * 100.0));
+        rows.iter().for_each(|row| hearing.record_answer(&row.worker, -rng.f64() * 100.0));
         let near = rows.iter().filter(|row| row.zone == own).map(|row| (row.worker.clone(), 1.0));
         let far = rows.iter().find(|row| row.zone != own).unwrap().worker.clone();
         let reached = near.collect();
@@ -185,17 +200,18 @@
 
 #[test]
 fn only_the_holder_is_told_where_no_other_takes_the_word() {
-    let hearing = Hearing::new(None);
-    let mut telling = Telling::new(worker(1), Others::None, 0, LIMIT_MS, AGAIN, 0.0);
+    let hearing = Reachability::new(None);
+    let mut telling =
+        ReleaseDelivery::new(worker(1), ReleaseRoute::HolderOnly, 0, LIMIT_MS, RETRIES_PER_LIMIT, 0.0);
     let (mut now_ms, mut told) = (0.0, Vec::new());
     loop {
-        match telling.next(now_ms, &hearing) {
-            Next::Tell(workers) => {
+        match telling.next_step(now_ms, &hearing) {
+            DeliveryStep::Call(workers) => {
                 assert_eq!(workers, [worker(1)]);
                 told.push(now_ms);
             }
-            Next::Wait { until_ms } => now_ms = until_ms,
-            Next::Unheard => break,
+            DeliveryStep::Wait { until_ms } => now_ms = until_ms,
+            DeliveryStep::Undelivered => break,
         }
     }
     assert_eq!((told[0], told[1]), (0.0, LIMIT_MS / 4.0));
