--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -17,7 +17,7 @@
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
 use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
 use paddleproxy_routing::{
-    Admission, Bounds, Counts, Decisions, Effect, Input, Ledger, Place, Sending, SocketEnd, Stage,
+    Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, Permit, Sending, SocketEnd, Stage,
 };
 use paddleproxy_settings::day::{DaySettings, Dead, Trouble};
 use paddleproxy_store::retention::{self, Text};
@@ -254,7 +254,7 @@
 struct Asked {
     op: usize,
     attempt: u32,
-    place: Option<Place>,
+    place: Option<Permit>,
 }
 
 struct Dispatch {
@@ -554,5 +554,5 @@
 }
 
 fn admission(day: &DaySettings) -> Admission {
-    Admission::new(Bounds::of(&day.router))
+    Admission::new(AdmissionLimits::from_settings(&day.router))
 }
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -112,7 +112,7 @@
             match node.admission.admit(now_ms, &mut place, workload, bytes, tokens) {
                 Ok(()) => Ok(place),
                 Err(turned) => {
-                    node.admission.give(now_ms, place);
+                    node.admission.release(now_ms, place);
                     Err(turned)
                 }
             }
@@ -203,7 +203,7 @@
                     node.sent.remove(key);
                 });
                 if let Some(place) = node.asked.remove(&completion).and_then(|asked| asked.place) {
-                    node.admission.give(now_ms, place);
+                    node.admission.release(now_ms, place);
                 }
             }
             Effect::Arm { in_ms, due } => {
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use paddleproxy_failover::words::FOR_MAX_MS;
 use paddleproxy_membership::Word as ListSays;
-use paddleproxy_routing::Reason;
+use paddleproxy_routing::RejectReason;
 use paddleproxy_sockets::Stream;
 use serde_json::json;
 use tokio::net::TcpListener;
@@ -306,8 +306,8 @@
     for (cause, count) in status.unheard {
         text.push_str(&format!("paddleproxy_releases_unheard_total{{cause=\"{cause}\"}} {count}\n"));
     }
-    for reason in Reason::ALL {
-        let (name, count) = (reason.name(), front.admission.borrow().turned_away(reason));
+    for reason in RejectReason::ALL {
+        let (name, count) = (reason.name(), front.admission.borrow().rejected(reason));
         text.push_str(&format!("paddleproxy_requests_turned_away_total{{reason=\"{name}\"}} {count}\n"));
     }
     text
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -7,7 +7,7 @@
 
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use paddleproxy_membership::{reload, SourceId};
-use paddleproxy_routing::Bounds;
+use paddleproxy_routing::AdmissionLimits;
 use paddleproxy_settings as documents;
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, oneshot};
@@ -155,9 +155,9 @@
             if front.core.send(told).await.is_err() {
                 return;
             }
-            let mut bounds = Bounds::of(settings);
-            bounds.values = workloads.iter().map(|workload| workload.value).collect();
-            front.admission.borrow_mut().change(bounds);
+            let mut bounds = AdmissionLimits::from_settings(settings);
+            bounds.workload_values = workloads.iter().map(|workload| workload.value).collect();
+            front.admission.borrow_mut().set_limits(bounds);
             front.requests.borrow_mut().change(settings.names.clone(), workloads, rows);
             front.settings_taken.set(front.settings_taken.get() + 1);
             info!("settings taken");
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -17,7 +17,9 @@
 use paddleproxy_engine as wire;
 use paddleproxy_messages::{ApiError, Dialect, Encoder, ErrorKind};
 use paddleproxy_routing::facts::{Headers, KeyRule};
-use paddleproxy_routing::{Admission, Facts, Key, Place, Reason, Repeats, Requests, TurnedAway, Verdict};
+use paddleproxy_routing::{
+    Admission, Facts, Key, Permit, RejectReason, Rejection, Repeats, Requests, Verdict,
+};
 use paddleproxy_settings::router::FrontSettings;
 use paddleproxy_sockets::{close_listener, Stream};
 use tokio::net::{TcpListener, TcpStream};
@@ -67,13 +69,13 @@
 struct Taken {
     admission: Rc<RefCell<Admission>>,
     clock: Clock,
-    place: Option<Place>,
+    place: Option<Permit>,
 }
 
 impl Drop for Taken {
     fn drop(&mut self) {
         if let Some(place) = self.place.take() {
-            self.admission.borrow_mut().give(self.clock.now_ms(), place);
+            self.admission.borrow_mut().release(self.clock.now_ms(), place);
         }
     }
 }
@@ -165,17 +167,17 @@
     response
 }
 
-fn turned_away(turned: TurnedAway) -> ApiError {
+fn turned_away(turned: Rejection) -> ApiError {
     let (kind, message) = match turned.reason {
-        Reason::Stopping => (ErrorKind::Overloaded, "this router is about to stop"),
-        Reason::Full => (ErrorKind::Overloaded, "too many completions are open here"),
-        Reason::LeastValue => (ErrorKind::Overloaded, "only work of more value is taken here now"),
-        Reason::BeyondShare => {
+        RejectReason::Stopping => (ErrorKind::Overloaded, "this router is about to stop"),
+        RejectReason::Full => (ErrorKind::Overloaded, "too many completions are open here"),
+        RejectReason::LeastValue => (ErrorKind::Overloaded, "only work of more value is taken here now"),
+        RejectReason::BeyondShare => {
             (ErrorKind::RateLimited, "this customer holds more than its share of what is free")
         }
-        Reason::CustomerOpen => (ErrorKind::RateLimited, "this customer has too many completions open"),
-        Reason::CustomerRequests => (ErrorKind::RateLimited, "this customer sends too many requests"),
-        Reason::CustomerTokens => (ErrorKind::RateLimited, "this customer sends too many tokens"),
+        RejectReason::CustomerOpen => (ErrorKind::RateLimited, "this customer has too many completions open"),
+        RejectReason::CustomerRequests => (ErrorKind::RateLimited, "this customer sends too many requests"),
+        RejectReason::CustomerTokens => (ErrorKind::RateLimited, "this customer sends too many tokens"),
     };
     ApiError::new(kind, message).with_retry(turned.retry_after_ms)
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -27,7 +27,7 @@
 
 use anyhow::{Context, Result};
 use paddleproxy_messages::{Dialect, EventNames, EVENTS};
-use paddleproxy_routing::{Admission, Bounds, Repeats, Requests};
+use paddleproxy_routing::{Admission, AdmissionLimits, Repeats, Requests};
 use paddleproxy_settings::router::RouterSettings;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -115,12 +115,12 @@
         state.sit_at(desk.clone());
     }
     let after = state.recover(list::saved(&dir), &left);
-    let admission = Rc::new(RefCell::new(Admission::new(Bounds::of(&settings))));
+    let admission = Rc::new(RefCell::new(Admission::new(AdmissionLimits::from_settings(&settings))));
     let (to_fellows, asks) = mpsc::channel(8);
     let fellows = match fellows {
         Some((bound, row)) => {
             let (rules, floor) = peers::first(&settings, &row);
-            admission.borrow_mut().share(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
+            admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
             state.begin_with(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
             Some(peers::Fellows {
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -343,7 +343,7 @@
         }
         let floor = self.peers.floor();
         let until_ms = granted.until_ms;
-        self.admission.borrow_mut().share(&granted.shares[1..], &floor.shares[1..], until_ms);
+        self.admission.borrow_mut().set_shares(&granted.shares[1..], &floor.shares[1..], until_ms);
         let told = Told::Shared { granted: granted.clone(), floor };
         if self.core.send(told).await.is_ok() {
             self.said = Some(granted);
@@ -353,7 +353,7 @@
     /// What this router wants: completions a second in all, and of each customer.
     fn measured(&mut self) -> Vec<f64> {
         let now_ms = self.clock.now_ms();
-        let counts = self.admission.borrow().asked();
+        let counts = self.admission.borrow().request_counts();
         let (before_ms, before) = std::mem::replace(&mut self.asked, (now_ms, counts.clone()));
         let over_s = ((now_ms - before_ms) / 1e3).max(1e-3);
         let new =
--- a/crates/routing/src/admission/bucket.rs
+++ b/crates/routing/src/admission/bucket.rs
@@ -1,26 +1,26 @@
 /// A rate with a burst: fills steadily, is drawn from, and says how long to wait when it does not hold enough.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     per_ms: f64,
     most: f64,
     level: f64,
     at_ms: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Full at first; holds what comes in `burst_ms`, and at least 1.
     pub fn new(per_s: f64, burst_ms: f64) -> Self {
         let per_ms = per_s.max(1e-6) / 1e3;
         let most = (per_ms * burst_ms).max(1.0);
-        Bucket { per_ms, most, level: most, at_ms: f64::NEG_INFINITY }
+        TokenBucket { per_ms, most, level: most, at_ms: f64::NEG_INFINITY }
     }
 
     /// Another rate from now on, with what the burst holds of it; what is in keeps its share of that, so that a part
     /// that moves from one router to another does not come twice.
     pub fn resize(&mut self, per_s: f64, burst_ms: f64) {
-        let new = Bucket::new(per_s, burst_ms);
+        let new = TokenBucket::new(per_s, burst_ms);
         let level = if self.level > 0.0 { self.level.min(new.most) } else { self.level };
-        *self = Bucket { level, at_ms: self.at_ms, ..new };
+        *self = TokenBucket { level, at_ms: self.at_ms, ..new };
     }
 
     /// Nothing is in: one that holds a part of what others hold too must not start with a burst of its own.
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -8,7 +8,7 @@
 pub use paddleproxy_settings::router::CustomerLimits;
 use paddleproxy_settings::router::RouterSettings;
 
-pub use bucket::Bucket;
+pub use bucket::TokenBucket;
 
 /// Of the places that customers inside their share do not use, the part that is kept free for them.
 const KEPT_FREE: f64 = 0.5;
@@ -18,39 +18,39 @@
 const ACTIVE_MS: f64 = 2000.0;
 /// Share of places or memory left at which work of less than half the highest value is not taken.
 const SHORT: f64 = 1.0 / 8.0;
-/// Bounds of the time for which a client is sent away, in ms, and the steps in which clients are spread over twice it.
+/// AdmissionLimits of the time for which a client is sent away, in ms, and the steps in which clients are spread over twice it.
 const AWAY_MS: (f64, f64) = (100.0, 5000.0);
 const SPREAD: u64 = 8;
 
 /// What bounds the router.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct AdmissionLimits {
     /// Open completions.
-    pub places: usize,
+    pub open_completions: usize,
     /// Bytes of the prompts of open completions.
     pub prompt_bytes: usize,
     /// By customer: share of the traffic (requests a second) and own limits.
     pub customers: Vec<(f64, CustomerLimits)>,
     /// By workload.
-    pub values: Vec<f64>,
+    pub workload_values: Vec<f64>,
 }
 
-impl Bounds {
+impl AdmissionLimits {
     /// Those that a router's settings give.
-    pub fn of(settings: &RouterSettings) -> Self {
+    pub fn from_settings(settings: &RouterSettings) -> Self {
         let rules = settings.decisions.customers.iter().map(|customer| customer.quota_per_s);
-        Bounds {
-            places: settings.front.open_completions,
+        AdmissionLimits {
+            open_completions: settings.front.open_completions,
             prompt_bytes: settings.front.prompt_bytes,
             customers: rules.zip(settings.names.customers.iter().map(|names| names.limits)).collect(),
-            values: settings.decisions.workloads.iter().map(|workload| workload.value).collect(),
+            workload_values: settings.decisions.workloads.iter().map(|workload| workload.value).collect(),
         }
     }
 }
 
 /// Why a request is not taken. All of them prove that nothing ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reason {
+pub enum RejectReason {
     Stopping,
     /// All places, or all memory for prompts, are taken.
     Full,
@@ -63,40 +63,40 @@
     CustomerTokens,
 }
 
-impl Reason {
-    pub const ALL: [Reason; 7] = [
-        Reason::Stopping,
-        Reason::Full,
-        Reason::BeyondShare,
-        Reason::LeastValue,
-        Reason::CustomerOpen,
-        Reason::CustomerRequests,
-        Reason::CustomerTokens,
+impl RejectReason {
+    pub const ALL: [RejectReason; 7] = [
+        RejectReason::Stopping,
+        RejectReason::Full,
+        RejectReason::BeyondShare,
+        RejectReason::LeastValue,
+        RejectReason::CustomerOpen,
+        RejectReason::CustomerRequests,
+        RejectReason::CustomerTokens,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Stopping => "stopping",
-            Reason::Full => "full",
-            Reason::BeyondShare => "beyond_share",
-            Reason::LeastValue => "least_value",
-            Reason::CustomerOpen => "customer_open",
-            Reason::CustomerRequests => "customer_requests",
-            Reason::CustomerTokens => "customer_tokens",
+            RejectReason::Stopping => "stopping",
+            RejectReason::Full => "full",
+            RejectReason::BeyondShare => "beyond_share",
+            RejectReason::LeastValue => "least_value",
+            RejectReason::CustomerOpen => "customer_open",
+            RejectReason::CustomerRequests => "customer_requests",
+            RejectReason::CustomerTokens => "customer_tokens",
         }
     }
 }
 
 /// A request that is not taken, and when to come again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct TurnedAway {
-    pub reason: Reason,
+pub struct Rejection {
+    pub reason: RejectReason,
     pub retry_after_ms: f64,
 }
 
 /// A place that was taken; given back by [`Admission::give`].
 #[derive(Debug, PartialEq)]
-pub struct Place {
+pub struct Permit {
     row: usize,
     since_ms: f64,
     prompt_bytes: usize,
@@ -113,20 +113,20 @@
     asked: u64,
     open: usize,
     asked_ms: f64,
-    requests: Option<Bucket>,
-    tokens: Option<Bucket>,
+    requests: Option<TokenBucket>,
+    tokens: Option<TokenBucket>,
 }
 
 /// Lives as long as the router.
 pub struct Admission {
-    bounds: Bounds,
+    bounds: AdmissionLimits,
     rows: Vec<Row>,
     open: usize,
     prompt_bytes: usize,
     stopping: bool,
     /// How long a place is held of late, in ms.
     held_ms: f64,
-    turned_away: [u64; Reason::ALL.len()],
+    turned_away: [u64; RejectReason::ALL.len()],
     shared: Option<Shared>,
 }
 
@@ -139,14 +139,17 @@
 
 impl Admission {
     /// Other bounds from now on; places that are taken stay taken, and buckets whose rate is the same keep their level.
-    pub fn change(&mut self, bounds: Bounds) {
+    pub fn set_limits(&mut self, bounds: AdmissionLimits) {
         let fresh = Admission::new(bounds);
         let before = std::mem::replace(&mut self.rows, fresh.rows);
         self.bounds = fresh.bounds;
         // Rows only follow; were there fewer, a place of one that is gone would have nowhere to go back to.
         while self.rows.len() < before.len() {
-            self.rows
-                .push(Admission::new(Bounds { customers: Vec::new(), ..self.bounds.clone() }).rows.remove(0));
+            self.rows.push(
+                Admission::new(AdmissionLimits { customers: Vec::new(), ..self.bounds.clone() })
+                    .rows
+                    .remove(0),
+            );
         }
         for (new, old) in self.rows.iter_mut().zip(before) {
             (new.open, new.asked_ms, new.asked) = (old.open, old.asked_ms, old.asked);
@@ -160,7 +163,7 @@
 
     /// From now until `until_ms` this router has these parts of the customers' limits, and then those of `floor`:
     /// limits are for all routers together. Without a word of that they hold for each router by itself.
-    pub fn share(&mut self, parts: &[f64], floor: &[f64], until_ms: f64) {
+    pub fn set_shares(&mut self, parts: &[f64], floor: &[f64], until_ms: f64) {
         self.apply(Shared { parts: parts.to_vec(), floor: floor.to_vec(), until_ms });
     }
 
@@ -183,7 +186,7 @@
                 ..whole
             };
             let limits = row.limits;
-            let resize = |bucket: &mut Option<Bucket>, per_s: Option<f64>| {
+            let resize = |bucket: &mut Option<TokenBucket>, per_s: Option<f64>| {
                 if let (Some(bucket), Some(per_s)) = (bucket.as_mut(), per_s) {
                     bucket.resize(per_s, limits.burst_ms);
                 }
@@ -191,20 +194,20 @@
             resize(&mut row.requests, limits.requests_per_s);
             resize(&mut row.tokens, limits.tokens_per_s);
             if !std::mem::replace(&mut row.parted, true) {
-                row.requests.iter_mut().chain(&mut row.tokens).for_each(Bucket::empty);
+                row.requests.iter_mut().chain(&mut row.tokens).for_each(TokenBucket::empty);
             }
         }
         self.shared = Some(shared);
     }
 
     /// Requests that each customer has made so far, taken or not; first those without a key.
-    pub fn asked(&self) -> Vec<u64> {
+    pub fn request_counts(&self) -> Vec<u64> {
         self.rows.iter().map(|row| row.asked).collect()
     }
 
-    pub fn new(bounds: Bounds) -> Self {
+    pub fn new(bounds: AdmissionLimits) -> Self {
         let row = |quota: f64, limits: CustomerLimits| {
-            let bucket = |per_s: f64| Bucket::new(per_s, limits.burst_ms);
+            let bucket = |per_s: f64| TokenBucket::new(per_s, limits.burst_ms);
             Row {
                 quota,
                 whole: limits,
@@ -227,7 +230,7 @@
             prompt_bytes: 0,
             stopping: false,
             held_ms: AWAY_MS.0,
-            turned_away: [0; Reason::ALL.len()],
+            turned_away: [0; RejectReason::ALL.len()],
             shared: None,
         }
     }
@@ -240,34 +243,34 @@
     ///
     /// # Errors
     /// Why there is no place, and when to come again.
-    pub fn enter(&mut self, now_ms: f64, customer: Option<CustomerId>) -> Result<Place, TurnedAway> {
+    pub fn enter(&mut self, now_ms: f64, customer: Option<CustomerId>) -> Result<Permit, Rejection> {
         let row = self.row(customer);
         self.rows[row].asked_ms = now_ms;
         self.rows[row].asked += 1;
         self.lapse(now_ms);
         if self.stopping {
-            return Err(self.away(Reason::Stopping, AWAY_MS.0));
+            return Err(self.away(RejectReason::Stopping, AWAY_MS.0));
         }
-        if self.open >= self.bounds.places {
-            return Err(self.away(Reason::Full, self.held_ms));
+        if self.open >= self.bounds.open_completions {
+            return Err(self.away(RejectReason::Full, self.held_ms));
         }
         if self.rows[row].limits.open.is_some_and(|most| self.rows[row].open >= most) {
-            return Err(self.away(Reason::CustomerOpen, self.held_ms));
+            return Err(self.away(RejectReason::CustomerOpen, self.held_ms));
         }
         // Guards against one customer that fills the router, whatever makes it. Harm: while others are active some
         // places stay empty that it could use.
         let beyond = self.rows[row].open as f64 >= self.part(row);
-        let free = (self.bounds.places - self.open) as f64;
+        let free = (self.bounds.open_completions - self.open) as f64;
         if beyond && free <= self.kept_free(now_ms, row) {
-            return Err(self.away(Reason::BeyondShare, self.held_ms));
+            return Err(self.away(RejectReason::BeyondShare, self.held_ms));
         }
         let waits = self.rows[row].requests.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, 1.0));
         if let Err(wait_ms) = waits {
-            return Err(self.away(Reason::CustomerRequests, wait_ms));
+            return Err(self.away(RejectReason::CustomerRequests, wait_ms));
         }
         self.open += 1;
         self.rows[row].open += 1;
-        Ok(Place { row, since_ms: now_ms, prompt_bytes: 0 })
+        Ok(Permit { row, since_ms: now_ms, prompt_bytes: 0 })
     }
 
     /// Second gate, when it is known what is asked for. The place is kept if it is not passed; give it back then.
@@ -277,26 +280,26 @@
     pub fn admit(
         &mut self,
         now_ms: f64,
-        place: &mut Place,
+        place: &mut Permit,
         workload: WorkloadId,
         prompt_bytes: usize,
         tokens: f64,
-    ) -> Result<(), TurnedAway> {
+    ) -> Result<(), Rejection> {
         if self.prompt_bytes + prompt_bytes > self.bounds.prompt_bytes {
-            return Err(self.away(Reason::Full, self.held_ms));
+            return Err(self.away(RejectReason::Full, self.held_ms));
         }
         let left = |used: usize, of: usize| 1.0 - used as f64 / of.max(1) as f64;
-        let places = left(self.open, self.bounds.places);
+        let places = left(self.open, self.bounds.open_completions);
         let memory = left(self.prompt_bytes + prompt_bytes, self.bounds.prompt_bytes);
         // Guards what is worth most while all runs short. Harm: work of less value waits though a place is free.
-        let highest = self.bounds.values.iter().copied().fold(0.0, f64::max);
-        let value = self.bounds.values.get(workload.0).copied().unwrap_or(0.0);
+        let highest = self.bounds.workload_values.iter().copied().fold(0.0, f64::max);
+        let value = self.bounds.workload_values.get(workload.0).copied().unwrap_or(0.0);
         if places.min(memory) < SHORT && value < highest / 2.0 {
-            return Err(self.away(Reason::LeastValue, self.held_ms));
+            return Err(self.away(RejectReason::LeastValue, self.held_ms));
         }
         let waits = self.rows[place.row].tokens.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, tokens));
         if let Err(wait_ms) = waits {
-            return Err(self.away(Reason::CustomerTokens, wait_ms));
+            return Err(self.away(RejectReason::CustomerTokens, wait_ms));
         }
         self.prompt_bytes += prompt_bytes;
         place.prompt_bytes = prompt_bytes;
@@ -304,7 +307,7 @@
     }
 
     /// A place is free again.
-    pub fn give(&mut self, now_ms: f64, place: Place) {
+    pub fn release(&mut self, now_ms: f64, place: Permit) {
         self.open = self.open.saturating_sub(1);
         self.rows[place.row].open = self.rows[place.row].open.saturating_sub(1);
         self.prompt_bytes = self.prompt_bytes.saturating_sub(place.prompt_bytes);
@@ -315,7 +318,7 @@
     fn part(&self, row: usize) -> f64 {
         let quotas: f64 = self.rows.iter().map(|row| row.quota).sum();
         let share = if quotas > 0.0 { self.rows[row].quota / quotas } else { 1.0 };
-        share * self.bounds.places as f64
+        share * self.bounds.open_completions as f64
     }
 
     /// Places that stay free for the other customers inside their share.
@@ -329,15 +332,15 @@
             }
         };
         let unused: f64 = (0..self.rows.len()).map(unused).sum();
-        (KEPT_FREE * unused).max(LEAST_FREE * self.bounds.places as f64)
+        (KEPT_FREE * unused).max(LEAST_FREE * self.bounds.open_completions as f64)
     }
 
     /// Clients that are sent away together come back spread over twice the time.
-    fn away(&mut self, reason: Reason, wait_ms: f64) -> TurnedAway {
+    fn away(&mut self, reason: RejectReason, wait_ms: f64) -> Rejection {
         let count = &mut self.turned_away[reason as usize];
         let spread = 1.0 + (*count % SPREAD) as f64 / SPREAD as f64;
         *count += 1;
-        TurnedAway { reason, retry_after_ms: (wait_ms * spread).clamp(AWAY_MS.0, AWAY_MS.1) }
+        Rejection { reason, retry_after_ms: (wait_ms * spread).clamp(AWAY_MS.0, AWAY_MS.1) }
     }
 
     pub fn open(&self) -> usize {
@@ -345,7 +348,7 @@
     }
 
     /// How many were turned away for a reason.
-    pub fn turned_away(&self, reason: Reason) -> u64 {
+    pub fn rejected(&self, reason: RejectReason) -> u64 {
         self.turned_away[reason as usize]
     }
 
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod repeats;
 pub mod write_check;
 
-pub use admission::{Admission, Bounds, CustomerLimits, Place, Reason, TurnedAway};
+pub use admission::{Admission, AdmissionLimits, CustomerLimits, Permit, RejectReason, Rejection};
 pub use facts::{Facts, Requests};
 pub use ledger::{Counts, Decisions, Due, Effect, Input, Ledger, Sending, Stage};
 pub use outcomes::{outcome, SocketEnd};
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -5,7 +5,9 @@
 
 use paddleproxy::interface::{CustomerId, WorkloadId};
 use paddleproxy_messages::Answer;
-use paddleproxy_routing::{Admission, Bounds, CustomerLimits, Key, Place, Repeats, TurnedAway, Verdict};
+use paddleproxy_routing::{
+    Admission, AdmissionLimits, CustomerLimits, Key, Permit, Rejection, Repeats, Verdict,
+};
 
 const APP: Option<CustomerId> = Some(CustomerId(0));
 const DESK: Option<CustomerId> = Some(CustomerId(1));
@@ -13,15 +15,20 @@
 struct Gate {
     admission: Admission,
     now_ms: f64,
-    places: Vec<Place>,
+    places: Vec<Permit>,
     trace: String,
 }
 
 impl Gate {
     /// Two customers, the first with three quarters of the traffic; the second workload is worth a quarter.
-    fn new(places: usize, limits: CustomerLimits) -> Self {
+    fn new(open_completions: usize, limits: CustomerLimits) -> Self {
         let customers = vec![(30.0, CustomerLimits::default()), (10.0, limits)];
-        let bounds = Bounds { places, prompt_bytes: 1000, customers, values: vec![4.0, 1.0] };
+        let bounds = AdmissionLimits {
+            open_completions,
+            prompt_bytes: 1000,
+            customers,
+            workload_values: vec![4.0, 1.0],
+        };
         Gate { admission: Admission::new(bounds), now_ms: 0.0, places: Vec::new(), trace: String::new() }
     }
 
@@ -44,7 +51,7 @@
         bytes: usize,
     ) -> &mut Self {
         let mut taken = 0;
-        let mut away: Vec<TurnedAway> = Vec::new();
+        let mut away: Vec<Rejection> = Vec::new();
         for _ in 0..times {
             match self.try_one(customer, workload, bytes) {
                 Ok(place) => {
@@ -72,12 +79,12 @@
         customer: Option<CustomerId>,
         workload: usize,
         bytes: usize,
-    ) -> Result<Place, TurnedAway> {
+    ) -> Result<Permit, Rejection> {
         let mut place = self.admission.enter(self.now_ms, customer)?;
         match self.admission.admit(self.now_ms, &mut place, WorkloadId(workload), bytes, bytes as f64) {
             Ok(()) => Ok(place),
             Err(turned) => {
-                self.admission.give(self.now_ms, place);
+                self.admission.release(self.now_ms, place);
                 Err(turned)
             }
         }
@@ -85,7 +92,7 @@
 
     fn end(&mut self, times: usize) -> &mut Self {
         for place in self.places.drain(..times) {
-            self.admission.give(self.now_ms, place);
+            self.admission.release(self.now_ms, place);
         }
         let _ = writeln!(self.trace, "{:>6} {times} end, {} open", self.now_ms, self.admission.open());
         self
