--- a/crates/emulator/src/world/dispatches.rs
+++ b/crates/emulator/src/world/dispatches.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn send(&mut self, router: usize, boot: u64, sending: Sending) {
+    pub(super) fn send(&mut self, router: usize, boot: u64, sending: OutgoingDispatch) {
         let Some(asked) = self.routers[router].asked.get(&sending.completion) else { return };
         let (op, attempt) = (asked.op, asked.attempt);
         let Some(server) = self.by_name.get(&*sending.worker.0).copied() else { return };
@@ -31,7 +31,7 @@
             granted: false,
             lost: false,
             begun: false,
-            kept: sending.read_kept,
+            kept: sending.read_cached_tokens,
             unwanted: false,
         });
         self.routers[router].out.insert((completion, seq), dispatch);
@@ -92,7 +92,11 @@
         if says {
             self.report(router, boot, server);
         }
-        self.tell(router, boot, Input::Ended { completion, seq, took_ms, end, kept_tokens, state });
+        self.tell(
+            router,
+            boot,
+            Input::Ended { completion, seq, took_ms, end, cached_tokens: kept_tokens, state },
+        );
     }
 
     pub(super) fn report(&mut self, router: usize, boot: u64, server: usize) {
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -17,7 +17,8 @@
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
 use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
 use paddleproxy_routing::{
-    Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, Permit, Sending, SocketEnd, Stage,
+    Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, OutgoingDispatch, Permit,
+    SocketEnd, Stage,
 };
 use paddleproxy_settings::day::{DaySettings, Dead, Trouble};
 use paddleproxy_store::retention::{self, Text};
@@ -544,7 +545,7 @@
         ..day.router_of(number).decisions
     };
     let decisions = options.policy.decisions(&settings, seed(options.seed, 100 + boot, number as u64), truth);
-    Ledger::with(decisions, settings, day.router.front.answer_slack_ms)
+    Ledger::with_decisions(decisions, settings, day.router.front.answer_slack_ms)
 }
 
 fn membership(day: &DaySettings) -> Membership {
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -206,8 +206,8 @@
                     node.admission.release(now_ms, place);
                 }
             }
-            Effect::Arm { in_ms, due } => {
-                let input = Box::new(Input::Due(due));
+            Effect::Arm { in_ms, timer } => {
+                let input = Box::new(Input::TimerFired(timer));
                 let at_ms = self.now_ms + in_ms;
                 self.heap.put(at_ms, Ev::Tell { router, boot, input });
             }
@@ -226,7 +226,7 @@
                 let after_ms = if heard.is_some() { 2.0 * net_ms } else { self.day.router.engines.probe_ms };
                 self.heap.put(self.now_ms + after_ms, Ev::Probe { server: heard, router, boot, worker });
             }
-            Effect::Keeps { worker, session, tokens, prefix } => {
+            Effect::CacheUpdated { worker, session, tokens, prefix } => {
                 let at_ms = self.now_ms;
                 let remembers = self.options.memory != Memory::Nothing;
                 let node = &mut self.routers[router];
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -9,7 +9,7 @@
 use paddleproxy_platform::request::refusal;
 use paddleproxy_platform::{Chunks, Events, BODY_BYTES};
 use paddleproxy_router::clock::{duration, Clock};
-use paddleproxy_routing::{Pace, Sending, SocketEnd, Stage, Withdrawal, WriteCheck};
+use paddleproxy_routing::{OutgoingDispatch, SocketEnd, Stage, StallDetector, Withdrawal, WriteCheck};
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
@@ -19,7 +19,7 @@
 use crate::servers::ServerDirectory;
 
 pub struct Attempt {
-    pub sending: Sending,
+    pub sending: OutgoingDispatch,
     pub address: Option<SocketAddr>,
     pub request: Rc<ClientRequest>,
     pub fleet: Rc<RefCell<ServerDirectory>>,
@@ -109,7 +109,7 @@
     /// What has to hold at the write itself.
     fn write_check(&self, address: SocketAddr) -> impl Fn() -> WriteCheck {
         let (fleet, clock, client) = (self.fleet.clone(), self.clock, self.request.client.clone());
-        let Sending { until_ms, repeat_by_ms, .. } = self.sending;
+        let OutgoingDispatch { until_ms, repeat_by_ms, .. } = self.sending;
         let worker = self.sending.worker.clone();
         move || WriteCheck {
             now_ms: clock.now_ms(),
@@ -150,7 +150,7 @@
             return Err(SocketEnd::Nonsense("a stream that is not in chunks".into()));
         }
         let (mut chunks, mut events) = (Chunks::new(BODY_BYTES), Events::default());
-        let mut stream: Option<(mpsc::Sender<StreamPart>, Pace)> = None;
+        let mut stream: Option<(mpsc::Sender<StreamPart>, StallDetector)> = None;
         loop {
             let done = chunks
                 .take(&mut connection.bytes, events.buffer())
@@ -163,7 +163,7 @@
             let first = stream.is_none();
             if first && events.events > 0 {
                 let granted = self.begin(sent).await?;
-                stream = Some((granted, Pace::new(self.clock.now_ms(), SILENT_MS)));
+                stream = Some((granted, StallDetector::new(self.clock.now_ms(), SILENT_MS)));
             }
             if let Some((pieces, pace)) = stream.as_mut().filter(|_| !whole.is_empty()) {
                 // What the client takes its time for is not the worker's silence.
@@ -175,7 +175,7 @@
                 sent.map_err(|_| SocketEnd::Stopped)?;
                 // The first event has begun the pace and is no gap.
                 if !first {
-                    pace.event(self.clock.now_ms());
+                    pace.record_event(self.clock.now_ms());
                 }
             }
             if done {
@@ -187,7 +187,7 @@
                 }
                 return Ok((SocketEnd::AnswerDone, None));
             }
-            let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.until_ms()));
+            let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.deadline_ms()));
             let read = tokio::select! {
                 biased;
                 _ = self.words.recv() => return Err(SocketEnd::Stopped),
--- a/crates/gateway/src/attempt/tests.rs
+++ b/crates/gateway/src/attempt/tests.rs
@@ -38,7 +38,7 @@
 
 impl Scene {
     /// Starts an attempt and comes back once it waits for its connection.
-    async fn start(change: impl Fn(&mut Sending)) -> Scene {
+    async fn start(change: impl Fn(&mut OutgoingDispatch)) -> Scene {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let fleet = Rc::new(RefCell::new(ServerDirectory::new(None)));
@@ -53,14 +53,14 @@
             client: client.clone(),
             _held: BodyBytes::take(&Rc::default(), 2, 2).unwrap(),
         };
-        let mut sending = Sending {
+        let mut sending = OutgoingDispatch {
             completion: CompletionId(1),
             seq: Seq(0),
             worker: WorkerId(WORKER.into()),
             stage: Stage::Whole,
             until_ms: clock.now_ms() + 20_000.0,
             state: None,
-            read_kept: 0.0,
+            read_cached_tokens: 0.0,
             write_by_ms: f64::INFINITY,
             repeat_by_ms: f64::INFINITY,
         };
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -12,7 +12,7 @@
 use paddleproxy_router::book::Book;
 use paddleproxy_router::clock::Clock;
 use paddleproxy_router::duty::Duty;
-use paddleproxy_routing::{Effect, Input, Ledger, Sending, SocketEnd, Withdrawal};
+use paddleproxy_routing::{Effect, Input, Ledger, OutgoingDispatch, SocketEnd, Withdrawal};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
@@ -69,7 +69,7 @@
         loop {
             tokio::select! {
                 biased;
-                due = self.book.due() => self.handle(Input::Due(due)),
+                due = self.book.due() => self.handle(Input::TimerFired(due)),
                 next = told.recv() => match next {
                     Some(next) => self.take(next),
                     None => return,
@@ -188,7 +188,7 @@
         }
         // Workers know a state by the id of its completion alone, so the reference has nothing to tell.
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
-        self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens, state });
+        self.handle(Input::Ended { completion, seq, took_ms, end, cached_tokens: kept_tokens, state });
     }
 
     fn reported(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
@@ -250,7 +250,7 @@
             Effect::Subscribe | Effect::FetchList => drop(self.lists.try_send(Refetch)),
             Effect::Note(text) => info!(text, "decisions"),
             // The book has set its timers; nothing is kept on a disk here.
-            Effect::Arm { .. } | Effect::Keeps { .. } => {}
+            Effect::Arm { .. } | Effect::CacheUpdated { .. } => {}
         }
     }
 
@@ -258,7 +258,7 @@
         self.fleet.borrow().dial(worker)
     }
 
-    fn send(&mut self, sending: Sending) {
+    fn send(&mut self, sending: OutgoingDispatch) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(request) = self.requests.get(&completion).cloned() else { return };
         let (sender, words) = mpsc::channel(2);
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use paddleproxy_messages::{Answer, ApiError, Encoder, ErrorKind, Piece, Stop, Usage};
-use paddleproxy_routing::{Key, Repeats};
+use paddleproxy_routing::{IdempotencyKeys, Key};
 use tokio::sync::mpsc;
 
 use crate::duty::{Answers, Dropped, Duty};
@@ -34,7 +34,7 @@
 
 /// What is remembered of a request that carries a key, once its fate is known.
 pub struct Keyed {
-    pub repeats: Rc<RefCell<Repeats>>,
+    pub repeats: Rc<RefCell<IdempotencyKeys>>,
     pub key: Key,
     pub may_repeat: bool,
     /// Where it is on the disk, and the customer's name there.
--- a/crates/router/src/book.rs
+++ b/crates/router/src/book.rs
@@ -2,7 +2,7 @@
 
 use futures_util::StreamExt;
 use paddleproxy::interface::{CompletionId, Seq, WorkerId};
-use paddleproxy_routing::{Counts, Due, Effect, Input, Ledger};
+use paddleproxy_routing::{Counts, Effect, Input, Ledger, LedgerTimer};
 use tokio_util::time::DelayQueue;
 
 use crate::clock::{duration, Clock};
@@ -11,7 +11,7 @@
 pub struct Book {
     pub clock: Clock,
     ledger: Ledger,
-    timers: DelayQueue<Due>,
+    timers: DelayQueue<LedgerTimer>,
 }
 
 impl Book {
@@ -24,8 +24,8 @@
         let mut effects = Vec::new();
         self.ledger.handle(self.clock.now_ms(), input, &mut effects);
         effects.retain(|effect| match effect {
-            Effect::Arm { in_ms, due } => {
-                self.timers.insert(*due, duration(*in_ms));
+            Effect::Arm { in_ms, timer } => {
+                self.timers.insert(*timer, duration(*in_ms));
                 false
             }
             _ => true,
@@ -34,7 +34,7 @@
     }
 
     /// Waits for the next timer; for ever where none is set.
-    pub async fn due(&mut self) -> Due {
+    pub async fn due(&mut self) -> LedgerTimer {
         match self.timers.next().await {
             Some(due) => due.into_inner(),
             None => std::future::pending().await,
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -15,8 +15,8 @@
 use paddleproxy_messages::{Answer, ApiError, ErrorKind};
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{
-    DeliveryFailure, Effect, Input, Ledger, Reachability, ReleaseDelivery, ReleaseRoute, Sending, SocketEnd,
-    UndeliveredReleases,
+    DeliveryFailure, Effect, Input, Ledger, OutgoingDispatch, Reachability, ReleaseDelivery, ReleaseRoute,
+    SocketEnd, UndeliveredReleases,
 };
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, watch};
@@ -144,7 +144,7 @@
                 _ = sleep_until(self.lapses.unwrap_or_else(Instant::now)), if self.lapses.is_some() => self.lapse(),
                 due = self.book.due() => {
                     self.lapse();
-                    self.handle(Input::Due(due));
+                    self.handle(Input::TimerFired(due));
                 }
                 _ = sleep_until(wakes.unwrap_or_else(Instant::now)), if wakes.is_some() => {
                     let heard = self.membership.tick(self.book.clock.now_ms());
@@ -209,7 +209,14 @@
                 let End { end, kept_tokens, state, .. } = end;
                 self.saw(completion, seq, &end);
                 self.met(completion, seq, failover::ended(self.targets.get(&completion), took_ms, &end));
-                self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens, state });
+                self.handle(Input::Ended {
+                    completion,
+                    seq,
+                    took_ms,
+                    end,
+                    cached_tokens: kept_tokens,
+                    state,
+                });
                 self.wholes.remove(&(completion, seq));
             }
             Told::Left { completion } => {
@@ -435,7 +442,7 @@
                     .into_iter()
                     .for_each(|address| self.engines.close_idle(address));
             }
-            Effect::Keeps { worker, session, tokens, prefix } => {
+            Effect::CacheUpdated { worker, session, tokens, prefix } => {
                 if let Some(start) = self.membership.start(&worker) {
                     self.state.keeps(&worker, start, session, tokens, prefix);
                 }
@@ -455,7 +462,7 @@
         request_id(self.settings.decisions.own_number, self.boot, completion, seq)
     }
 
-    fn send(&mut self, sending: Sending) {
+    fn send(&mut self, sending: OutgoingDispatch) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(ask) = self.asks.get(&completion).cloned() else { return };
         let (sender, words) = mpsc::channel(2);
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -11,7 +11,7 @@
 use paddleproxy_engine as wire;
 use paddleproxy_engine::{Data, SseReader, StateReference};
 use paddleproxy_messages::{Answer, Stop, Usage};
-use paddleproxy_routing::{Pace, Sending, SocketEnd, Stage, WriteCheck};
+use paddleproxy_routing::{OutgoingDispatch, SocketEnd, Stage, StallDetector, WriteCheck};
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
@@ -21,7 +21,7 @@
 use crate::words::{Ask, End, ToCore, Told, Word};
 
 pub struct Dispatch {
-    pub sending: Sending,
+    pub sending: OutgoingDispatch,
     pub address: Option<SocketAddr>,
     pub request_id: String,
     pub ask: Rc<Ask>,
@@ -169,12 +169,12 @@
         let mut reader = SseReader::new(self.engines.settings.line_bytes);
         let mut answer = Answering::default();
         answer.usage.input_tokens = self.ask.prompt_tokens;
-        answer.read_kept = self.sending.state.as_ref().map(|_| self.sending.read_kept as u64);
-        let mut stream: Option<(Stream, Pace)> = None;
+        answer.read_kept = self.sending.state.as_ref().map(|_| self.sending.read_cached_tokens as u64);
+        let mut stream: Option<(Stream, StallDetector)> = None;
         let ping_ms = self.engines.settings.ping_ms;
         let mut ping = Instant::now() + duration(ping_ms);
         let ended = loop {
-            let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.until_ms()));
+            let limit = stream.as_ref().map_or(until, |(_, pace)| self.clock.at(pace.deadline_ms()));
             let frame = tokio::select! {
                 biased;
                 _ = self.words.recv() => break Err(SocketEnd::Stopped),
@@ -209,8 +209,10 @@
                     Ok(mut granted) => {
                         let begun = granted.start(answer.usage).await;
                         let handed = if begun.is_ok() { granted.text(&texts).await } else { begun };
-                        stream =
-                            Some((granted, Pace::new(self.clock.now_ms(), self.engines.settings.stall_ms)));
+                        stream = Some((
+                            granted,
+                            StallDetector::new(self.clock.now_ms(), self.engines.settings.stall_ms),
+                        ));
                         if let Err(left) = handed {
                             break Err(client_left(left));
                         }
@@ -220,7 +222,7 @@
             } else if let Some((stream, pace)) = stream.as_mut().filter(|_| !texts.is_empty()) {
                 // What the client takes its time for is not the server's silence.
                 let handed = stream.text(&texts).await;
-                pace.event(self.clock.now_ms());
+                pace.record_event(self.clock.now_ms());
                 ping = Instant::now() + duration(ping_ms);
                 if let Err(left) = handed {
                     break Err(client_left(left));
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -7,7 +7,7 @@
 use paddleproxy::interface::{CompletionId, Outcome, Seq, WorkerId};
 use paddleproxy_engine::{Refusal, StateReference};
 use paddleproxy_routing::outcomes::never_ran;
-use paddleproxy_routing::{outcome, Sending, SocketEnd, Stage};
+use paddleproxy_routing::{outcome, OutgoingDispatch, SocketEnd, Stage};
 use paddleproxy_settings::router::EngineSettings;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
@@ -120,7 +120,7 @@
 
 /// Runs one dispatch as the core would, which grants each stream that begins.
 async fn dispatched_as(
-    change: impl Fn(&mut Sending),
+    change: impl Fn(&mut OutgoingDispatch),
     engines: &Rc<Engines>,
     address: Option<SocketAddr>,
     stage: Stage,
@@ -130,14 +130,14 @@
     let clock = Clock::start();
     let (core, mut told) = mpsc::channel(16);
     let (words, heard) = mpsc::channel(2);
-    let mut sending = Sending {
+    let mut sending = OutgoingDispatch {
         completion: CompletionId(1),
         seq: Seq(0),
         worker: WorkerId(Arc::from("a")),
         stage,
         until_ms: 400.0,
         state: None,
-        read_kept: 0.0,
+        read_cached_tokens: 0.0,
         write_by_ms: f64::INFINITY,
         repeat_by_ms: f64::INFINITY,
     };
@@ -198,7 +198,7 @@
     local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let past = |sending: &mut Sending| sending.repeat_by_ms = 0.0;
+        let past = |sending: &mut OutgoingDispatch| sending.repeat_by_ms = 0.0;
         let end = dispatched_as(past, &engines(), Some(address), Stage::Whole, true, false).await.end;
         assert_eq!(end, SocketEnd::Withdrawn(paddleproxy_routing::Withdrawal::RepeatTooLate));
         let (mut server, _) = listener.accept().await.unwrap();
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -158,7 +158,7 @@
             let mut bounds = AdmissionLimits::from_settings(settings);
             bounds.workload_values = workloads.iter().map(|workload| workload.value).collect();
             front.admission.borrow_mut().set_limits(bounds);
-            front.requests.borrow_mut().change(settings.names.clone(), workloads, rows);
+            front.requests.borrow_mut().update_settings(settings.names.clone(), workloads, rows);
             front.settings_taken.set(front.settings_taken.get() + 1);
             info!("settings taken");
             (stands, decisions) = (applied.settings, applied.decisions);
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -18,7 +18,8 @@
 use paddleproxy_messages::{ApiError, Dialect, Encoder, ErrorKind};
 use paddleproxy_routing::facts::{Headers, KeyRule};
 use paddleproxy_routing::{
-    Admission, Facts, Key, Permit, RejectReason, Rejection, Repeats, Requests, Verdict,
+    Admission, IdempotencyKeys, Key, KeyDecision, Permit, RejectReason, Rejection, RequestClassifier,
+    RequestFacts,
 };
 use paddleproxy_settings::router::FrontSettings;
 use paddleproxy_sockets::{close_listener, Stream};
@@ -40,9 +41,9 @@
 /// What all connections of clients share.
 pub struct Front {
     pub settings: FrontSettings,
-    pub requests: RefCell<Requests>,
+    pub requests: RefCell<RequestClassifier>,
     pub admission: Rc<RefCell<Admission>>,
-    pub repeats: Rc<RefCell<Repeats>>,
+    pub repeats: Rc<RefCell<IdempotencyKeys>>,
     pub state: Rc<State>,
     /// Forms of the API by path.
     pub dialects: Vec<(String, Dialect)>,
@@ -293,7 +294,7 @@
         let _taken = self.enter(customer)?;
         let asked = Dialect::published().parse_to_count(&self.body(body).await?)?;
         let bytes = asked.system.len() + asked.turns.iter().map(|turn| turn.text.len()).sum::<usize>();
-        Ok(json(format!("{{\"input_tokens\":{}}}", self.requests.borrow().tokens(bytes) as u64)))
+        Ok(json(format!("{{\"input_tokens\":{}}}", self.requests.borrow().estimate_tokens(bytes) as u64)))
     }
 
     fn customer(&self, head: &Head) -> Result<Option<CustomerId>, ApiError> {
@@ -331,7 +332,7 @@
                 timeout: header(&head, &rules.timeout_header)?,
                 keyed: key.is_some(),
             };
-            requests.facts(&asked, customer, &headers)?
+            requests.classify(&asked, customer, &headers)?
         };
         let encoder = Encoder {
             dialect,
@@ -402,7 +403,11 @@
             return Ok(guard);
         }
         let name = self.named(guard.key.customer);
-        if self.state.remember(&name, &guard.key.text, Repeats::wish(wish), rule.window_ms).await {
+        if self
+            .state
+            .remember(&name, &guard.key.text, IdempotencyKeys::fingerprint(wish), rule.window_ms)
+            .await
+        {
             guard.stored = Some((self.state.clone(), name));
             return Ok(guard);
         }
@@ -414,14 +419,14 @@
 
     fn named(&self, customer: Option<CustomerId>) -> String {
         let requests = self.requests.borrow();
-        customer.and_then(|customer| requests.name(customer)).unwrap_or_default().to_owned()
+        customer.and_then(|customer| requests.customer_name(customer)).unwrap_or_default().to_owned()
     }
 
     /// What an earlier run left: tries that may have run.
     pub fn recover(&self, left: &Left) {
         let (requests, now_ms) = (self.requests.borrow(), self.clock.now_ms());
         for (customer, key, wish, left_ms) in &left.tokened {
-            let key = Key { customer: requests.named(customer), text: Rc::from(key.as_str()) };
+            let key = Key { customer: requests.customer_by_name(customer), text: Rc::from(key.as_str()) };
             self.repeats.borrow_mut().recover(now_ms, key, *wish, *left_ms);
         }
     }
@@ -434,33 +439,33 @@
         rule: KeyRule,
     ) -> Result<Result<Keyed, Rc<paddleproxy_messages::Answer>>, ApiError> {
         let now_ms = self.clock.now_ms();
-        let verdict = self.repeats.borrow_mut().ask(now_ms, &key, body, rule.window_ms, rule.may_repeat);
+        let verdict = self.repeats.borrow_mut().begin(now_ms, &key, body, rule.window_ms, rule.may_repeat);
         let conflict = |message| {
             self.refused_by_key.set(self.refused_by_key.get() + 1);
             Err(ApiError::new(ErrorKind::Conflict, message))
         };
         match verdict {
-            Verdict::Go => {
+            KeyDecision::Proceed => {
                 let (repeats, may_repeat) = (self.repeats.clone(), rule.may_repeat);
                 Ok(Ok(Keyed { repeats, key, may_repeat, stored: None }))
             }
-            Verdict::Again(answer) => {
+            KeyDecision::Replay(answer) => {
                 self.answered_again.set(self.answered_again.get() + 1);
                 Ok(Err(answer))
             }
-            Verdict::Running => conflict("idempotency-key: a request with this key is under way"),
-            Verdict::Unknown => {
+            KeyDecision::Running => conflict("idempotency-key: a request with this key is under way"),
+            KeyDecision::Unknown => {
                 conflict("idempotency-key: a request with this key may have run; its answer is lost")
             }
-            Verdict::Differs => conflict("idempotency-key: this key was used for another request"),
-            Verdict::Full => {
+            KeyDecision::Differs => conflict("idempotency-key: this key was used for another request"),
+            KeyDecision::Full => {
                 let error = ApiError::new(ErrorKind::Overloaded, "too many keys are remembered here");
                 Err(error.with_retry(rule.window_ms / 2.0))
             }
         }
     }
 
-    fn admit(&self, taken: &mut Taken, facts: &Facts, prompt_bytes: usize) -> Result<(), ApiError> {
+    fn admit(&self, taken: &mut Taken, facts: &RequestFacts, prompt_bytes: usize) -> Result<(), ApiError> {
         let Some(place) = &mut taken.place else { return Ok(()) };
         let tokens = facts.prompt_tokens + facts.max_tokens;
         let now_ms = self.clock.now_ms();
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -27,7 +27,7 @@
 
 use anyhow::{Context, Result};
 use paddleproxy_messages::{Dialect, EventNames, EVENTS};
-use paddleproxy_routing::{Admission, AdmissionLimits, Repeats, Requests};
+use paddleproxy_routing::{Admission, AdmissionLimits, IdempotencyKeys, RequestClassifier};
 use paddleproxy_settings::router::RouterSettings;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -141,14 +141,17 @@
     let (workloads, keys_ms) = (settings.decisions.workloads.clone(), settings.front.keys_ms);
     let front = Rc::new(Front {
         settings: settings.front.clone(),
-        requests: RefCell::new(Requests::new(
+        requests: RefCell::new(RequestClassifier::new(
             settings.names.clone(),
             settings.rules.clone(),
             workloads,
             keys_ms,
         )),
         admission: admission.clone(),
-        repeats: Rc::new(RefCell::new(Repeats::new(settings.front.keys, settings.front.answer_memory_bytes))),
+        repeats: Rc::new(RefCell::new(IdempotencyKeys::new(
+            settings.front.keys,
+            settings.front.answer_memory_bytes,
+        ))),
         state: store.clone(),
         dialects: dialects(&settings),
         clock,
--- a/crates/router/src/words.rs
+++ b/crates/router/src/words.rs
@@ -9,7 +9,7 @@
 use paddleproxy_membership::{SourceId, Status as ListStatus, Word as ListSays};
 use paddleproxy_messages::Answer;
 use paddleproxy_peers::Granted;
-use paddleproxy_routing::{Counts, Facts, SocketEnd};
+use paddleproxy_routing::{Counts, RequestFacts, SocketEnd};
 use tokio::sync::{mpsc, oneshot};
 
 use crate::answer::{Owed, Stream};
@@ -18,7 +18,7 @@
 pub enum Told {
     Arrived {
         completion: CompletionId,
-        facts: Facts,
+        facts: RequestFacts,
         received_ms: f64,
         ask: Rc<Ask>,
         owed: Owed,
--- a/crates/routing/src/facts.rs
+++ b/crates/routing/src/facts.rs
@@ -14,7 +14,7 @@
 const KEYS: u64 = 1 << 53;
 
 /// The rows and rules by which requests are read.
-pub struct Requests {
+pub struct RequestClassifier {
     names: Names,
     rules: Rules,
     workloads: Vec<WorkloadSettings>,
@@ -46,7 +46,7 @@
 
 /// A request in the terms of the decisions, but for its id and clock.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Facts {
+pub struct RequestFacts {
     pub workload: WorkloadId,
     pub key_rule: KeyRule,
     pub customer: Option<CustomerId>,
@@ -63,19 +63,19 @@
     xxh3_64_with_seed(text.as_bytes(), seed) % (KEYS - 1) + 1
 }
 
-impl Requests {
+impl RequestClassifier {
     pub fn new(names: Names, rules: Rules, workloads: Vec<WorkloadSettings>, keys_ms: f64) -> Self {
         let rows = (0..workloads.len()).collect();
-        Requests { names, rules, workloads, rows, keys_ms }
+        RequestClassifier { names, rules, workloads, rows, keys_ms }
     }
 
     /// Other names, keys and targets from now on; `rows` are the rows of `workloads` that they are meant by.
-    pub fn change(&mut self, names: Names, workloads: Vec<WorkloadSettings>, rows: Vec<usize>) {
+    pub fn update_settings(&mut self, names: Names, workloads: Vec<WorkloadSettings>, rows: Vec<usize>) {
         (self.names, self.workloads, self.rows) = (names, workloads, rows);
     }
 
     /// Tokens of so many bytes of text, by the settings' estimate.
-    pub fn tokens(&self, bytes: usize) -> f64 {
+    pub fn estimate_tokens(&self, bytes: usize) -> f64 {
         (bytes as f64 / self.rules.bytes_per_token).ceil()
     }
 
@@ -118,11 +118,11 @@
     }
 
     /// The name of a customer, and the other way round.
-    pub fn name(&self, customer: CustomerId) -> Option<&str> {
+    pub fn customer_name(&self, customer: CustomerId) -> Option<&str> {
         self.names.customers.get(customer.0).map(|row| row.name.as_str())
     }
 
-    pub fn named(&self, name: &str) -> Option<CustomerId> {
+    pub fn customer_by_name(&self, name: &str) -> Option<CustomerId> {
         self.names.customers.iter().position(|row| row.name == name).map(CustomerId)
     }
 
@@ -136,12 +136,12 @@
     ///
     /// # Errors
     /// `not_found_error` for a model of no workload, `invalid_request_error` for a time that is none.
-    pub fn facts(
+    pub fn classify(
         &self,
         request: &Request,
         customer: Option<CustomerId>,
         headers: &Headers,
-    ) -> Result<Facts, ApiError> {
+    ) -> Result<RequestFacts, ApiError> {
         let row = self.names.workloads.iter().position(|row| row.models.contains(&request.model));
         let row = row.ok_or_else(|| {
             ApiError::new(ErrorKind::NotFound, format!("model: '{:.128}' is not served here", request.model))
@@ -158,7 +158,7 @@
             },
         };
         let (workload, key_rule) = self.workload(row, headers.keyed);
-        let prefix_tokens = self.tokens(request.system.len());
+        let prefix_tokens = self.estimate_tokens(request.system.len());
         let shared = prefix_tokens >= self.rules.shared_from_tokens && !request.system.is_empty();
         // A session that nobody names is known by how it began.
         let session = headers.session.or(request.user_id.as_deref()).map(|name| key(name, SESSION));
@@ -167,13 +167,13 @@
             key(begun, key(&request.system, SESSION))
         });
         let turns: usize = request.turns.iter().map(|turn| turn.text.len()).sum();
-        Ok(Facts {
+        Ok(RequestFacts {
             workload,
             key_rule,
             customer,
             session: SessionId(session),
             prefix: shared.then(|| PrefixId(key(&request.system, PREFIX))),
-            prompt_tokens: self.tokens(request.system.len() + turns).max(1.0),
+            prompt_tokens: self.estimate_tokens(request.system.len() + turns).max(1.0),
             prefix_tokens: if shared { prefix_tokens } else { 0.0 },
             max_tokens: f64::from(request.max_tokens),
             client_timeout_ms,
@@ -181,7 +181,7 @@
     }
 }
 
-impl Facts {
+impl RequestFacts {
     /// The arrival that the decisions are told.
     pub fn arrival(&self, completion: CompletionId, now_ms: f64) -> Arrival {
         Arrival {
--- a/crates/routing/src/repeats.rs
+++ b/crates/routing/src/idempotency.rs
@@ -18,11 +18,11 @@
 
 /// What to do with a request that carries a key.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum KeyDecision {
     /// No try is known, or none that ran.
-    Go,
+    Proceed,
     /// The answer of the first try.
-    Again(Rc<Answer>),
+    Replay(Rc<Answer>),
     /// A try with this key is under way.
     Running,
     /// A try with this key may have run, its answer is lost, and servers do not drop repeats of this work.
@@ -50,7 +50,7 @@
 }
 
 /// Lives as long as the router.
-pub struct Repeats {
+pub struct IdempotencyKeys {
     known: BTreeMap<Key, Known>,
     /// Keys in the order in which their tries ended, for forgetting.
     ended: VecDeque<(f64, Key)>,
@@ -59,10 +59,16 @@
     most_keys: usize,
 }
 
-impl Repeats {
+impl IdempotencyKeys {
     /// Remembers at most so many keys, and so many bytes of answers.
     pub fn new(most_keys: usize, most_bytes: usize) -> Self {
-        Repeats { known: BTreeMap::new(), ended: VecDeque::new(), answer_bytes: 0, most_bytes, most_keys }
+        IdempotencyKeys {
+            known: BTreeMap::new(),
+            ended: VecDeque::new(),
+            answer_bytes: 0,
+            most_bytes,
+            most_keys,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -75,31 +81,38 @@
 
     /// A request with a key has come. `wish` is all that it asks for; `may_repeat` where another try is harmless
     /// although the first may have run.
-    pub fn ask(&mut self, now_ms: f64, key: &Key, wish: &[u8], window_ms: f64, may_repeat: bool) -> Verdict {
+    pub fn begin(
+        &mut self,
+        now_ms: f64,
+        key: &Key,
+        wish: &[u8],
+        window_ms: f64,
+        may_repeat: bool,
+    ) -> KeyDecision {
         self.forget(now_ms);
         let wish = xxh3_64(wish);
         if let Some(known) = self.known.get_mut(key) {
             if known.wish != wish {
-                return Verdict::Differs;
+                return KeyDecision::Differs;
             }
             match &known.fate {
-                Fate::Running => return Verdict::Running,
-                Fate::Answered(answer) => return Verdict::Again(answer.clone()),
-                Fate::Lost if !may_repeat => return Verdict::Unknown,
+                Fate::Running => return KeyDecision::Running,
+                Fate::Answered(answer) => return KeyDecision::Replay(answer.clone()),
+                Fate::Lost if !may_repeat => return KeyDecision::Unknown,
                 // Servers count from the first try, so its time stays.
                 Fate::Lost => known.fate = Fate::Running,
             }
-            return Verdict::Go;
+            return KeyDecision::Proceed;
         }
         if self.known.len() >= self.most_keys {
-            return Verdict::Full;
+            return KeyDecision::Full;
         }
         self.known.insert(key.clone(), Known { fate: Fate::Running, wish, since_ms: now_ms, window_ms });
-        Verdict::Go
+        KeyDecision::Proceed
     }
 
     /// What a request asks for, as it is compared.
-    pub fn wish(body: &[u8]) -> u64 {
+    pub fn fingerprint(body: &[u8]) -> u64 {
         xxh3_64(body)
     }
 
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -11,7 +11,7 @@
 use paddleproxy_engine::StateReference;
 
 use crate::outcomes::{never_ran, outcome, SocketEnd};
-use crate::repeat_guard::{self, Breach, MayHaveRun, Whereabouts};
+use crate::repeat_guard::{self, Breach, Location, MayHaveRun};
 
 /// What a dispatch asks of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         seq: Seq,
         took_ms: f64,
         end: SocketEnd,
-        kept_tokens: f64,
+        cached_tokens: f64,
         state: Option<StateReference>,
     },
     /// The client is gone.
@@ -68,7 +68,7 @@
         worker: WorkerId,
         held: bool,
     },
-    Due(Due),
+    TimerFired(LedgerTimer),
     /// What an earlier run knew as kept at servers.
     Recovered(Vec<Kept>),
     /// Other settings from now on; open completions keep the rows that they began under.
@@ -84,7 +84,7 @@
 
 /// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due {
+pub enum LedgerTimer {
     Decisions(Timer),
     /// The client timeout and the slack have passed.
     Overdue(CompletionId),
@@ -94,7 +94,7 @@
 
 /// One dispatch to be sent.
 #[derive(Clone, Debug)]
-pub struct Sending {
+pub struct OutgoingDispatch {
     pub completion: CompletionId,
     pub seq: Seq,
     pub worker: WorkerId,
@@ -103,7 +103,7 @@
     pub until_ms: f64,
     pub state: Option<Rc<StateReference>>,
     /// Tokens that the read of that state found kept.
-    pub read_kept: f64,
+    pub read_cached_tokens: f64,
     /// Clock time by which it has to be written where it takes a state: a connection that does not come up is no
     /// dispatch to whoever holds the state, whose time runs on meanwhile.
     pub write_by_ms: f64,
@@ -115,7 +115,7 @@
 /// What the sockets are to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    Send(Sending),
+    Send(OutgoingDispatch),
     /// Close the connection of a dispatch that is out.
     Stop {
         completion: CompletionId,
@@ -144,7 +144,7 @@
     },
     Arm {
         in_ms: f64,
-        due: Due,
+        timer: LedgerTimer,
     },
     /// Let go of what this dispatch left, or will leave, at a server.
     Release {
@@ -172,7 +172,7 @@
         worker: WorkerId,
     },
     /// A server keeps what this completion said, and the beginning that it shares.
-    Keeps {
+    CacheUpdated {
         worker: WorkerId,
         session: SessionId,
         tokens: f64,
@@ -222,7 +222,7 @@
     worker: WorkerId,
     seq: Seq,
     reference: Rc<StateReference>,
-    kept_tokens: f64,
+    cached_tokens: f64,
     /// Since when no dispatch that was sent is out; each that ends starts its time anew.
     since_ms: f64,
 }
@@ -296,7 +296,7 @@
     settings: Settings,
     answer_slack_ms: f64,
     /// Role and place of each listed server.
-    listed: BTreeMap<WorkerId, (Role, Whereabouts)>,
+    listed: BTreeMap<WorkerId, (Role, Location)>,
     open: BTreeMap<CompletionId, Entry>,
     events: VecDeque<Event>,
     touched: BTreeSet<CompletionId>,
@@ -307,13 +307,13 @@
 
 impl Ledger {
     pub fn new(settings: Settings, answer_slack_ms: f64, seed: u64) -> Self {
-        Ledger::with(Control::new(settings.clone(), seed), settings, answer_slack_ms)
+        Ledger::with_decisions(Control::new(settings.clone(), seed), settings, answer_slack_ms)
     }
 }
 
 impl<D: Decisions> Ledger<D> {
     /// A book whose decisions are another's than the module's.
-    pub fn with(decisions: D, settings: Settings, answer_slack_ms: f64) -> Self {
+    pub fn with_decisions(decisions: D, settings: Settings, answer_slack_ms: f64) -> Self {
         Ledger {
             control: decisions,
             settings,
@@ -380,13 +380,13 @@
                 };
                 let completion = arrival.completion;
                 let in_ms = arrival.client_timeout_ms - now_ms + self.answer_slack_ms;
-                effects.push(Effect::Arm { in_ms, due: Due::Overdue(completion) });
+                effects.push(Effect::Arm { in_ms, timer: LedgerTimer::Overdue(completion) });
                 self.open.insert(completion, entry);
                 self.events.push_back(Event::Arrived(arrival));
             }
             Input::Began { completion, seq, took_ms } => self.began(completion, seq, took_ms, effects),
-            Input::Ended { completion, seq, took_ms, end, kept_tokens, state } => {
-                self.ended(now_ms, completion, seq, took_ms, &end, kept_tokens, state, effects);
+            Input::Ended { completion, seq, took_ms, end, cached_tokens, state } => {
+                self.ended(now_ms, completion, seq, took_ms, &end, cached_tokens, state, effects);
             }
             Input::Left { completion } => self.left(completion, effects),
             Input::Reported { worker, load } => self.events.push_back(Event::Reported { worker, load }),
@@ -397,7 +397,7 @@
                 for row in rows.iter() {
                     match self.settings.kinds.get(row.kind.0) {
                         Some(kind) if row.readiness != Readiness::Gone => {
-                            let at = Whereabouts { zone: row.zone, cell: row.cell };
+                            let at = Location { zone: row.zone, cell: row.cell };
                             self.listed.insert(row.worker.clone(), (kind.role, at));
                         }
                         // Nothing is sent to who is gone, and names never come back for ever.
@@ -421,8 +421,10 @@
                 self.events.push_back(Event::Settings(settings));
             }
             Input::Stop { streams } => self.stop(streams, effects),
-            Input::Due(Due::Decisions(timer)) => self.events.push_back(Event::TimerFired(timer)),
-            Input::Due(Due::Overdue(completion)) => {
+            Input::TimerFired(LedgerTimer::Decisions(timer)) => {
+                self.events.push_back(Event::TimerFired(timer))
+            }
+            Input::TimerFired(LedgerTimer::Overdue(completion)) => {
                 // Guards against decisions that miss the client timeout. Harm: none that the miss has not done.
                 if let Some(entry) = self.open.get_mut(&completion).filter(|entry| entry.owed) {
                     entry.owed = false;
@@ -433,7 +435,7 @@
                     self.touched.insert(completion);
                 }
             }
-            Input::Due(Due::Pinned(completion)) => {
+            Input::TimerFired(LedgerTimer::Pinned(completion)) => {
                 let early_ms = self.settings.resolution_ms / 2.0;
                 let since_ms = now_ms - self.held_ms() + early_ms;
                 let Some(entry) = self.open.get_mut(&completion) else { return };
@@ -495,7 +497,7 @@
         seq: Seq,
         took_ms: f64,
         end: &SocketEnd,
-        kept_tokens: f64,
+        cached_tokens: f64,
         state: Option<StateReference>,
         effects: &mut Vec<Effect>,
     ) {
@@ -514,13 +516,13 @@
                     worker: worker.clone(),
                     seq,
                     reference: Rc::new(reference),
-                    kept_tokens,
+                    cached_tokens,
                     since_ms: now_ms,
                 };
                 if let Some(old) = entry.state.replace(waiting) {
                     effects.push(Effect::Release { worker: old.worker, completion, seq: old.seq });
                 }
-                effects.push(Effect::Arm { in_ms: held_ms, due: Due::Pinned(completion) });
+                effects.push(Effect::Arm { in_ms: held_ms, timer: LedgerTimer::Pinned(completion) });
             }
             // Without a reference there is nothing that a writer could fetch.
             (Outcome::Read, None) => result = Outcome::Error,
@@ -531,7 +533,7 @@
         }
         if matches!(result, Outcome::Read | Outcome::Finished) {
             let (session, tokens, prefix) = (entry.session, entry.prompt_tokens, entry.prefix);
-            effects.push(Effect::Keeps { worker: worker.clone(), session, tokens, prefix });
+            effects.push(Effect::CacheUpdated { worker: worker.clone(), session, tokens, prefix });
         }
         // Guards against a state that a reader keeps for an answer which never reached us. Harm: one call more.
         if stage == Stage::Read && !never_ran(result) {
@@ -564,7 +566,7 @@
                 state.since_ms = now_ms;
             }
             let in_ms = state.since_ms + held_ms - now_ms;
-            effects.push(Effect::Arm { in_ms: in_ms.max(0.0), due: Due::Pinned(completion) });
+            effects.push(Effect::Arm { in_ms: in_ms.max(0.0), timer: LedgerTimer::Pinned(completion) });
         }
         // With one dispatch at a time its proof clears the completion; a second copy leaves it in doubt.
         if stage != Stage::Read && never_ran(result) && entry.dispatches.iter().all(|d| !d.out) {
@@ -573,7 +575,14 @@
         }
         entry.ran_before |= stage != Stage::Read && !never_ran(result);
         let over = entry.over();
-        self.events.push_back(Event::Ended { completion, seq, took_ms, over, outcome: result, kept_tokens });
+        self.events.push_back(Event::Ended {
+            completion,
+            seq,
+            took_ms,
+            over,
+            outcome: result,
+            kept_tokens: cached_tokens,
+        });
         self.touched.insert(completion);
     }
 
@@ -703,7 +712,9 @@
                     self.touched.insert(completion);
                 }
             }
-            Action::Arm { in_ms, timer } => effects.push(Effect::Arm { in_ms, due: Due::Decisions(timer) }),
+            Action::Arm { in_ms, timer } => {
+                effects.push(Effect::Arm { in_ms, timer: LedgerTimer::Decisions(timer) })
+            }
             Action::Subscribe => effects.push(Effect::Subscribe),
             Action::FetchList => effects.push(Effect::FetchList),
             Action::Probe { worker } if self.settings.probes_allowed => {
@@ -790,25 +801,25 @@
             }
         }
         let used = entry.state.as_ref().filter(|_| uses_state);
-        let (state, read_kept) =
-            (used.map(|state| state.reference.clone()), used.map_or(0.0, |s| s.kept_tokens));
+        let (state, read_cached_tokens) =
+            (used.map(|state| state.reference.clone()), used.map_or(0.0, |s| s.cached_tokens));
         let until_ms = limit_ms.min(entry.deadline_ms);
         let write_by_ms = used.map_or(until_ms, |state| until_ms.min(state.since_ms + held_ms));
-        effects.push(Effect::Send(Sending {
+        effects.push(Effect::Send(OutgoingDispatch {
             completion,
             seq,
             worker,
             stage,
             until_ms,
             state,
-            read_kept,
+            read_cached_tokens,
             write_by_ms,
             repeat_by_ms,
         }));
     }
 
     /// Why one more dispatch of a completion must not be sent there, if so.
-    fn breach(&self, now_ms: f64, completion: CompletionId, to: Option<Whereabouts>) -> Option<Breach> {
+    fn breach(&self, now_ms: f64, completion: CompletionId, to: Option<Location>) -> Option<Breach> {
         let entry = self.open.get(&completion)?;
         let may_have_run = |dispatch: &Dispatch| {
             let at = self.listed.get(&dispatch.worker).map(|(_, at)| *at);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -6,22 +6,22 @@
 
 pub mod admission;
 pub mod facts;
+pub mod idempotency;
 pub mod ledger;
 pub mod outcomes;
-pub mod pace;
 pub mod release;
 pub mod repeat_guard;
-pub mod repeats;
+pub mod stall;
 pub mod write_check;
 
 pub use admission::{Admission, AdmissionLimits, CustomerLimits, Permit, RejectReason, Rejection};
-pub use facts::{Facts, Requests};
-pub use ledger::{Counts, Decisions, Due, Effect, Input, Ledger, Sending, Stage};
+pub use facts::{RequestClassifier, RequestFacts};
+pub use idempotency::{IdempotencyKeys, Key, KeyDecision};
+pub use ledger::{Counts, Decisions, Effect, Input, Ledger, LedgerTimer, OutgoingDispatch, Stage};
 pub use outcomes::{outcome, SocketEnd};
-pub use pace::Pace;
 pub use release::{
     DeliveryFailure, DeliveryStep, Reachability, ReleaseDelivery, ReleaseRoute, UndeliveredReleases,
     RETRIES_PER_LIMIT,
 };
-pub use repeats::{Key, Repeats, Verdict};
+pub use stall::StallDetector;
 pub use write_check::{Withdrawal, WriteCheck};
--- a/crates/routing/src/repeat_guard.rs
+++ b/crates/routing/src/repeat_guard.rs
@@ -6,7 +6,7 @@
 
 /// Where an attempt goes, as far as groups of servers are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Whereabouts {
+pub struct Location {
     /// The server's zone.
     pub zone: ZoneId,
     /// The server's cell.
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MayHaveRun {
     /// Where it went; none once its server is off the list.
-    pub at: Option<Whereabouts>,
+    pub at: Option<Location>,
     /// When it was decided, in ms on the router's clock.
     pub decided_ms: f64,
 }
@@ -40,7 +40,7 @@
 pub fn check(
     workload: &WorkloadSettings,
     earlier: impl IntoIterator<Item = MayHaveRun>,
-    to: Whereabouts,
+    to: Location,
     now_ms: f64,
 ) -> Result<(), Breach> {
     earlier.into_iter().try_for_each(|earlier| check_one(workload, earlier, to, now_ms))
@@ -49,7 +49,7 @@
 fn check_one(
     workload: &WorkloadSettings,
     earlier: MayHaveRun,
-    to: Whereabouts,
+    to: Location,
     now_ms: f64,
 ) -> Result<(), Breach> {
     match workload.effect {
--- a/crates/routing/src/repeat_guard/tests.rs
+++ b/crates/routing/src/repeat_guard/tests.rs
@@ -7,11 +7,11 @@
     WorkloadSettings { effect, group, window_ms: WINDOW_MS, value, latency_target_ms, target_per_token_ms }
 }
 
-fn at(zone: usize, cell: u32) -> Whereabouts {
-    Whereabouts { zone: ZoneId(zone), cell: CellId(cell) }
+fn at(zone: usize, cell: u32) -> Location {
+    Location { zone: ZoneId(zone), cell: CellId(cell) }
 }
 
-fn after(effect: Effect, group: Group, earlier: Option<Whereabouts>, ms: f64) -> Result<(), Breach> {
+fn after(effect: Effect, group: Group, earlier: Option<Location>, ms: f64) -> Result<(), Breach> {
     let earlier = MayHaveRun { at: earlier, decided_ms: 0.0 };
     check(&workload(effect, group), [earlier], at(0, 0), ms)
 }
--- a/crates/routing/src/write_check.rs
+++ b/crates/routing/src/write_check.rs
@@ -20,7 +20,7 @@
     pub now_ms: f64,
     /// When the attempt's time ends; never past the client's.
     pub until_ms: f64,
-    /// See `Sending::repeat_by_ms`.
+    /// See `OutgoingDispatch::repeat_by_ms`.
     pub repeat_by_ms: f64,
     pub server_ready: bool,
     /// The client is known to have closed.
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -6,7 +6,7 @@
 use paddleproxy::interface::{CustomerId, WorkloadId};
 use paddleproxy_messages::Answer;
 use paddleproxy_routing::{
-    Admission, AdmissionLimits, CustomerLimits, Key, Permit, Rejection, Repeats, Verdict,
+    Admission, AdmissionLimits, CustomerLimits, IdempotencyKeys, Key, KeyDecision, Permit, Rejection,
 };
 
 const APP: Option<CustomerId> = Some(CustomerId(0));
@@ -160,27 +160,29 @@
 
 #[test]
 fn a_key_runs_once_at_a_time_and_is_answered_again() {
-    let mut repeats = Repeats::new(10, 100);
-    let ask = |repeats: &mut Repeats, wish: &str| repeats.ask(0.0, &key("a"), wish.as_bytes(), 1000.0, false);
-    assert_eq!(ask(&mut repeats, "w"), Verdict::Go);
-    assert_eq!(ask(&mut repeats, "w"), Verdict::Running);
-    assert_eq!(ask(&mut repeats, "v"), Verdict::Differs);
+    let mut repeats = IdempotencyKeys::new(10, 100);
+    let ask = |repeats: &mut IdempotencyKeys, wish: &str| {
+        repeats.begin(0.0, &key("a"), wish.as_bytes(), 1000.0, false)
+    };
+    assert_eq!(ask(&mut repeats, "w"), KeyDecision::Proceed);
+    assert_eq!(ask(&mut repeats, "w"), KeyDecision::Running);
+    assert_eq!(ask(&mut repeats, "v"), KeyDecision::Differs);
     repeats.answered(&key("a"), said("yes"));
-    assert_eq!(ask(&mut repeats, "w"), Verdict::Again(Rc::new(said("yes"))));
+    assert_eq!(ask(&mut repeats, "w"), KeyDecision::Replay(Rc::new(said("yes"))));
     // Another customer's key of the same text is another key.
     let other = Key { customer: DESK, text: Rc::from("a") };
-    assert_eq!(repeats.ask(0.0, &other, b"w", 1000.0, false), Verdict::Go);
-    assert_eq!(repeats.ask(1000.0, &key("a"), b"v", 1000.0, false), Verdict::Go);
+    assert_eq!(repeats.begin(0.0, &other, b"w", 1000.0, false), KeyDecision::Proceed);
+    assert_eq!(repeats.begin(1000.0, &key("a"), b"v", 1000.0, false), KeyDecision::Proceed);
 }
 
 #[test]
 fn what_may_have_run_goes_again_only_where_that_is_harmless() {
-    for (may_repeat, verdict) in [(true, Verdict::Go), (false, Verdict::Unknown)] {
-        let mut repeats = Repeats::new(10, 100);
-        let ask = |repeats: &mut Repeats| repeats.ask(0.0, &key("a"), b"w", 1000.0, may_repeat);
-        assert_eq!(ask(&mut repeats), Verdict::Go);
+    for (may_repeat, verdict) in [(true, KeyDecision::Proceed), (false, KeyDecision::Unknown)] {
+        let mut repeats = IdempotencyKeys::new(10, 100);
+        let ask = |repeats: &mut IdempotencyKeys| repeats.begin(0.0, &key("a"), b"w", 1000.0, may_repeat);
+        assert_eq!(ask(&mut repeats), KeyDecision::Proceed);
         repeats.never_ran(&key("a"));
-        assert_eq!(ask(&mut repeats), Verdict::Go);
+        assert_eq!(ask(&mut repeats), KeyDecision::Proceed);
         repeats.lost(&key("a"));
         assert_eq!(ask(&mut repeats), verdict);
     }
@@ -188,18 +190,21 @@
 
 #[test]
 fn memory_for_keys_and_answers_is_bounded_and_forgets_no_doubt() {
-    let mut repeats = Repeats::new(3, 10);
+    let mut repeats = IdempotencyKeys::new(3, 10);
     for text in ["a", "b", "c"] {
-        assert_eq!(repeats.ask(0.0, &key(text), b"w", 1000.0, false), Verdict::Go);
+        assert_eq!(repeats.begin(0.0, &key(text), b"w", 1000.0, false), KeyDecision::Proceed);
     }
-    assert_eq!(repeats.ask(0.0, &key("d"), b"w", 1000.0, false), Verdict::Full);
+    assert_eq!(repeats.begin(0.0, &key("d"), b"w", 1000.0, false), KeyDecision::Full);
     repeats.answered(&key("a"), said("123456"));
     repeats.answered(&key("b"), said("123456"));
     repeats.answered(&key("c"), said("12345678901"));
     // The oldest answer made room for the next, the last was too large: both keys stay in doubt.
-    assert_eq!(repeats.ask(4.0, &key("a"), b"w", 1000.0, false), Verdict::Unknown);
-    assert_eq!(repeats.ask(4.0, &key("b"), b"w", 1000.0, false), Verdict::Again(Rc::new(said("123456"))));
-    assert_eq!(repeats.ask(4.0, &key("c"), b"w", 1000.0, false), Verdict::Unknown);
-    assert_eq!(repeats.ask(1000.0, &key("d"), b"w", 1000.0, false), Verdict::Go);
+    assert_eq!(repeats.begin(4.0, &key("a"), b"w", 1000.0, false), KeyDecision::Unknown);
+    assert_eq!(
+        repeats.begin(4.0, &key("b"), b"w", 1000.0, false),
+        KeyDecision::Replay(Rc::new(said("123456")))
+    );
+    assert_eq!(repeats.begin(4.0, &key("c"), b"w", 1000.0, false), KeyDecision::Unknown);
+    assert_eq!(repeats.begin(1000.0, &key("d"), b"w", 1000.0, false), KeyDecision::Proceed);
     assert_eq!(repeats.len(), 1);
 }
--- a/crates/routing/tests/blame.rs
+++ b/crates/routing/tests/blame.rs
@@ -43,8 +43,8 @@
         });
         let sent = sent.expect("it is sent");
         self.tell(Input::Left { completion });
-        let (seq, took_ms, kept_tokens) = (sent.seq, 1.0, 0.0);
-        self.tell(Input::Ended { completion, seq, took_ms, end, kept_tokens, state: None });
+        let (seq, took_ms, cached_tokens) = (sent.seq, 1.0, 0.0);
+        self.tell(Input::Ended { completion, seq, took_ms, end, cached_tokens, state: None });
         sent.worker
     }
 }
--- a/crates/routing/tests/classes.rs
+++ b/crates/routing/tests/classes.rs
@@ -1,7 +1,7 @@
 //! What the ledger keeps of a request's class: its window for repeats, and its own row when other settings come.
 
 use paddleproxy::interface::{self, *};
-use paddleproxy_routing::{Due, Effect, Input, Ledger, Sending, SocketEnd, Withdrawal};
+use paddleproxy_routing::{Effect, Input, Ledger, LedgerTimer, OutgoingDispatch, SocketEnd, Withdrawal};
 
 const WINDOW_MS: f64 = 900.0;
 const SLACK_MS: f64 = 50.0;
@@ -95,13 +95,13 @@
 
 fn ended(ledger: &mut Ledger, now_ms: f64, seq: u32, end: SocketEnd) -> Vec<Effect> {
     let (completion, seq) = (CompletionId(1), Seq(seq));
-    let input = Input::Ended { completion, seq, took_ms: 10.0, end, kept_tokens: 0.0, state: None };
+    let input = Input::Ended { completion, seq, took_ms: 10.0, end, cached_tokens: 0.0, state: None };
     let mut effects = Vec::new();
     ledger.handle(now_ms, input, &mut effects);
     effects
 }
 
-fn sent(effects: &[Effect]) -> Option<&Sending> {
+fn sent(effects: &[Effect]) -> Option<&OutgoingDispatch> {
     effects.iter().find_map(|effect| match effect {
         Effect::Send(sending) => Some(sending),
         _ => None,
@@ -163,7 +163,7 @@
 fn the_slack_of_new_settings_replaces_the_old_one() {
     let overdue = |effects: &[Effect]| {
         let armed = effects.iter().find_map(|effect| match effect {
-            Effect::Arm { in_ms, due: Due::Overdue(_) } => Some(*in_ms),
+            Effect::Arm { in_ms, timer: LedgerTimer::Overdue(_) } => Some(*in_ms),
             _ => None,
         });
         armed.expect("a timer")
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/guards.rs
@@ -26,15 +26,15 @@
 /// One request whose first attempt ends so at this time; attempts sent, and breaches counted.
 fn sent_after(effect: interface::Effect, end: SocketEnd, at_ms: f64) -> (usize, u64) {
     let settings = settings(effect, 1000.0);
-    let mut ledger = Ledger::with(SendsAgain, settings, 50.0);
+    let mut ledger = Ledger::with_decisions(SendsAgain, settings, 50.0);
     let mut effects = Vec::new();
     let row = listing("s-1");
     ledger.handle(0.0, Input::Listed { kind: ListKind::Whole, rows: [row].into() }, &mut effects);
     let completion = CompletionId(1);
     let arrival = arrival(completion, 1, 20_000.0);
     ledger.handle(0.0, Input::Arrived { arrival, streamed: true }, &mut effects);
-    let (seq, took_ms, kept_tokens) = (Seq(0), at_ms, 0.0);
-    let ended = Input::Ended { completion, seq, took_ms, end, kept_tokens, state: None };
+    let (seq, took_ms, cached_tokens) = (Seq(0), at_ms, 0.0);
+    let ended = Input::Ended { completion, seq, took_ms, end, cached_tokens, state: None };
     ledger.handle(at_ms, ended, &mut effects);
     let sent = effects.iter().filter(|effect| matches!(effect, Effect::Send(_))).count();
     (sent, ledger.counts().breaches)
--- a/crates/routing/tests/ledger.rs
+++ b/crates/routing/tests/ledger.rs
@@ -5,7 +5,7 @@
 
 use paddleproxy::interface::*;
 use paddleproxy_engine::StateReference;
-use paddleproxy_routing::{Due, Effect, Input, Ledger, SocketEnd};
+use paddleproxy_routing::{Effect, Input, Ledger, LedgerTimer, SocketEnd};
 
 struct Play {
     ledger: Ledger,
@@ -111,7 +111,7 @@
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
         let what = format!("{seq} ended {end:?}");
         let (completion, seq) = (CompletionId(1), Seq(seq));
-        self.tell(&what, Input::Ended { completion, seq, took_ms: 10.0, end, kept_tokens: 0.0, state })
+        self.tell(&what, Input::Ended { completion, seq, took_ms: 10.0, end, cached_tokens: 0.0, state })
     }
 
     fn began(&mut self, seq: u32) -> &mut Self {
@@ -123,8 +123,8 @@
         self.tell("the client left", Input::Left { completion: CompletionId(1) })
     }
 
-    fn due(&mut self, due: Due) -> &mut Self {
-        self.tell(&format!("due {due:?}"), Input::Due(due))
+    fn due(&mut self, due: LedgerTimer) -> &mut Self {
+        self.tell(&format!("due {due:?}"), Input::TimerFired(due))
     }
 
     fn tell(&mut self, what: &str, input: Input) -> &mut Self {
@@ -151,7 +151,7 @@
                 Effect::ReleaseUnclaimed { worker, seq, .. } => {
                     format!("release {} at {} unless it is come for", seq.0, worker.0)
                 }
-                Effect::Arm { in_ms, due } => format!("arm {due:?} in {in_ms:.0}"),
+                Effect::Arm { in_ms, timer } => format!("arm {timer:?} in {in_ms:.0}"),
                 other => format!("{other:?}"),
             };
             let _ = writeln!(self.trace, "         -> {line}");
@@ -175,7 +175,7 @@
     let heard = |name| Input::Probed { worker: worker(name), answered: true, took_ms: 1.0 };
     play.arrive(0, 9000.0, true).tell("reader heard", heard("reader")).tell("mixed heard", heard("mixed"));
     // While the decisions wait for an answer of the writer nothing is out; they wait longer than they say.
-    play.pass(1800.0).ended(0, SocketEnd::ReadDone).pass(400.0).due(Due::Pinned(CompletionId(1)));
+    play.pass(1800.0).ended(0, SocketEnd::ReadDone).pass(400.0).due(LedgerTimer::Pinned(CompletionId(1)));
     play.tell("mixed heard", heard("mixed"));
     insta::assert_snapshot!(play.trace);
     assert_eq!(play.ledger.counts().unpinned, 1);
@@ -265,8 +265,10 @@
 #[test]
 fn an_overdue_answer_is_an_abort_and_counted() {
     let mut play = Play::new();
-    play.arrive(0, 900.0, true).pass(4050.0).due(Due::Overdue(CompletionId(1)));
-    play.due(Due::Overdue(CompletionId(1))).ended(0, SocketEnd::Stopped).ended(0, SocketEnd::AnswerDone);
+    play.arrive(0, 900.0, true).pass(4050.0).due(LedgerTimer::Overdue(CompletionId(1)));
+    play.due(LedgerTimer::Overdue(CompletionId(1)))
+        .ended(0, SocketEnd::Stopped)
+        .ended(0, SocketEnd::AnswerDone);
     insta::assert_snapshot!(play.trace);
     let counts = play.ledger.counts();
     assert_eq!((counts.overdue, counts.aborted, counts.finished), (1, 1, 0));
@@ -294,9 +296,9 @@
 fn a_state_whose_write_is_silent_is_let_go_unless_it_is_come_for() {
     let mut play = Play::new();
     play.arrive(0, 9000.0, true).pass(300.0).ended(0, SocketEnd::ReadDone);
-    play.pass(400.0).due(Due::Pinned(CompletionId(1)));
+    play.pass(400.0).due(LedgerTimer::Pinned(CompletionId(1)));
     // The same state is not let go of again; a write that did arrive still begins.
-    play.pass(200.0).began(1).pass(10.0).due(Due::Pinned(CompletionId(1)));
+    play.pass(200.0).began(1).pass(10.0).due(LedgerTimer::Pinned(CompletionId(1)));
     insta::assert_snapshot!(play.trace);
     assert_eq!(play.ledger.counts().unpinned, 0);
 }
