--- a/crates/routing/src/admission/bucket.rs
+++ b/crates/routing/src/admission/bucket.rs
@@ -1,43 +1,45 @@
-/// A rate with a burst: fills steadily, is drawn from, and says how long to wait when it does not hold enough.
+/// A token bucket: fills at a constant rate up to a burst, and reports how long to wait when it holds too
+/// little.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TokenBucket {
     per_ms: f64,
-    most: f64,
+    capacity: f64,
     level: f64,
-    at_ms: f64,
+    updated_ms: f64,
 }
 
 impl TokenBucket {
-    /// Full at first; holds what comes in `burst_ms`, and at least 1.
+    /// A full bucket. Its capacity is what the rate yields in `burst_ms`, and at least 1.
     pub fn new(per_s: f64, burst_ms: f64) -> Self {
         let per_ms = per_s.max(1e-6) / 1e3;
-        let most = (per_ms * burst_ms).max(1.0);
-        TokenBucket { per_ms, most, level: most, at_ms: f64::NEG_INFINITY }
+        let capacity = (per_ms * burst_ms).max(1.0);
+        TokenBucket { per_ms, capacity, level: capacity, updated_ms: f64::NEG_INFINITY }
     }
 
-    /// Another rate from now on, with what the burst holds of it; what is in keeps its share of that, so that a part
-    /// that moves from one router to another does not come twice.
+    /// Changes the rate and the capacity. The level is kept but cut to the new capacity, so that a share of
+    /// the rate that moves from one router to another is not granted twice.
     pub fn resize(&mut self, per_s: f64, burst_ms: f64) {
         let new = TokenBucket::new(per_s, burst_ms);
-        let level = if self.level > 0.0 { self.level.min(new.most) } else { self.level };
-        *self = TokenBucket { level, at_ms: self.at_ms, ..new };
+        let level = if self.level > 0.0 { self.level.min(new.capacity) } else { self.level };
+        *self = TokenBucket { level, updated_ms: self.updated_ms, ..new };
     }
 
-    /// Nothing is in: one that holds a part of what others hold too must not start with a burst of its own.
+    /// Empties the bucket: where several routers share a limit, each of them must not start with a burst of
+    /// its own.
     pub fn empty(&mut self) {
         self.level = 0.0;
     }
 
-    /// Draws an amount. One that is larger than the whole bucket needs it full, and leaves a debt.
+    /// Takes an amount. One that exceeds the capacity needs a full bucket and leaves a negative level.
     ///
     /// # Errors
-    /// The time in ms until there is enough; nothing is drawn then.
+    /// The time in ms until there is enough; nothing is taken then.
     pub fn take(&mut self, now_ms: f64, amount: f64) -> Result<(), f64> {
-        if self.at_ms.is_finite() {
-            self.level = (self.level + (now_ms - self.at_ms).max(0.0) * self.per_ms).min(self.most);
+        if self.updated_ms.is_finite() {
+            self.level = (self.level + (now_ms - self.updated_ms).max(0.0) * self.per_ms).min(self.capacity);
         }
-        self.at_ms = now_ms;
-        let needed = amount.min(self.most);
+        self.updated_ms = now_ms;
+        let needed = amount.min(self.capacity);
         if self.level + 1e-9 < needed {
             return Err((needed - self.level) / self.per_ms);
         }
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -1,6 +1,7 @@
-//! Who is taken when connections, open completions or memory run short, and what the others are told. Two gates: one
-//! when a request's head is there, before its body is read, and one when it is known what is asked for. A completion
-//! that passed both is the decisions' matter, its rate-limit included.
+//! Admission control: which requests are admitted when open completions or memory for prompts run short, and
+//! when rejected clients should retry. There are two checks: one on a request's head, before its body is
+//! read, and one on the parsed request. A completion that passed both is left to the decision module, which
+//! may still rate-limit it.
 
 mod bucket;
 
@@ -10,33 +11,36 @@
 
 pub use bucket::TokenBucket;
 
-/// Of the places that customers inside their share do not use, the part that is kept free for them.
-const KEPT_FREE: f64 = 0.5;
-/// Least share of the places that stays free for customers inside their share.
-const LEAST_FREE: f64 = 1.0 / 16.0;
-/// A customer counts as active for so long after its last request, in ms; what it does not use is lent after that.
+/// Part of the unused share of active customers that is kept free for them.
+const RESERVED_PART: f64 = 0.5;
+/// Least part of all permits that stays free for customers within their share.
+const MIN_RESERVED_PART: f64 = 1.0 / 16.0;
+/// A customer counts as active for this long after its last request, in ms; after that its unused share may
+/// be used by others.
 const ACTIVE_MS: f64 = 2000.0;
-/// Share of places or memory left at which work of less than half the highest value is not taken.
-const SHORT: f64 = 1.0 / 8.0;
-/// AdmissionLimits of the time for which a client is sent away, in ms, and the steps in which clients are spread over twice it.
-const AWAY_MS: (f64, f64) = (100.0, 5000.0);
-const SPREAD: u64 = 8;
+/// Free part of the permits or of the memory below which workloads of less than half the highest value are
+/// rejected.
+const SCARCE_PART: f64 = 1.0 / 8.0;
+/// Least and greatest retry-after time, in ms.
+const RETRY_AFTER_RANGE_MS: (f64, f64) = (100.0, 5000.0);
+/// Steps in which the retry-after times of successive rejections are spread over up to twice the time.
+const RETRY_SPREAD_STEPS: u64 = 8;
 
-/// What bounds the router.
+/// The limits of this router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionLimits {
-    /// Open completions.
+    /// Number of open completions.
     pub open_completions: usize,
-    /// Bytes of the prompts of open completions.
+    /// Total prompt bytes of open completions.
     pub prompt_bytes: usize,
-    /// By customer: share of the traffic (requests a second) and own limits.
+    /// By customer: its quota (requests a second), which sets its share of the permits, and its own limits.
     pub customers: Vec<(f64, CustomerLimits)>,
-    /// By workload.
+    /// Value of each workload.
     pub workload_values: Vec<f64>,
 }
 
 impl AdmissionLimits {
-    /// Those that a router's settings give.
+    /// The limits given by a router's settings.
     pub fn from_settings(settings: &RouterSettings) -> Self {
         let rules = settings.decisions.customers.iter().map(|customer| customer.quota_per_s);
         AdmissionLimits {
@@ -48,15 +52,15 @@
     }
 }
 
-/// Why a request is not taken. All of them prove that nothing ran.
+/// Why a request was rejected. Each reason proves that nothing ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
     Stopping,
-    /// All places, or all memory for prompts, are taken.
+    /// All permits, or all memory for prompts, are in use.
     Full,
-    /// Places are short and this customer holds more than its share.
+    /// Permits are scarce and this customer holds more than its share.
     BeyondShare,
-    /// Places or memory are short and this workload is worth least.
+    /// Permits or memory are scarce and this workload has a low value.
     LeastValue,
     CustomerOpen,
     CustomerRequests,
@@ -87,14 +91,14 @@
     }
 }
 
-/// A request that is not taken, and when to come again.
+/// A rejected request: the reason, and when to retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rejection {
     pub reason: RejectReason,
     pub retry_after_ms: f64,
 }
 
-/// A place that was taken; given back by [`Admission::give`].
+/// The permit of an admitted request; returned by [`Admission::release`].
 #[derive(Debug, PartialEq)]
 pub struct Permit {
     row: usize,
@@ -102,88 +106,94 @@
     prompt_bytes: usize,
 }
 
-/// Lives as long as one customer is known; those without a key share one.
-struct Row {
+/// The state of one customer; requests without a key share a row.
+struct CustomerRow {
     quota: f64,
-    /// As the settings give them, and the own part of that.
-    whole: CustomerLimits,
+    /// The limits in the settings, and this router's share of them.
+    full_limits: CustomerLimits,
     limits: CustomerLimits,
-    /// Whether it ever held a part only.
-    parted: bool,
-    asked: u64,
+    /// Whether the limits were ever shared with other routers.
+    limits_shared: bool,
+    request_count: u64,
     open: usize,
-    asked_ms: f64,
+    last_request_ms: f64,
     requests: Option<TokenBucket>,
     tokens: Option<TokenBucket>,
 }
 
-/// Lives as long as the router.
+/// Admission control of one router, for its whole run.
 pub struct Admission {
-    bounds: AdmissionLimits,
-    rows: Vec<Row>,
+    limits: AdmissionLimits,
+    rows: Vec<CustomerRow>,
     open: usize,
     prompt_bytes: usize,
     stopping: bool,
-    /// How long a place is held of late, in ms.
-    held_ms: f64,
-    turned_away: [u64; RejectReason::ALL.len()],
-    shared: Option<Shared>,
+    /// Moving average of how long a permit is held, in ms.
+    average_hold_ms: f64,
+    rejections: [u64; RejectReason::ALL.len()],
+    limit_shares: Option<LimitShares>,
 }
 
-/// Parts of the customers' limits, in their order.
-struct Shared {
-    parts: Vec<f64>,
+/// This router's shares of the customers' limits, in the order of the customers.
+struct LimitShares {
+    shares: Vec<f64>,
     floor: Vec<f64>,
     until_ms: f64,
 }
 
 impl Admission {
-    /// Other bounds from now on; places that are taken stay taken, and buckets whose rate is the same keep their level.
-    pub fn set_limits(&mut self, bounds: AdmissionLimits) {
-        let fresh = Admission::new(bounds);
-        let before = std::mem::replace(&mut self.rows, fresh.rows);
-        self.bounds = fresh.bounds;
-        // Rows only follow; were there fewer, a place of one that is gone would have nowhere to go back to.
-        while self.rows.len() < before.len() {
+    /// Replaces the limits. Permits that are held stay valid, and the buckets of customers whose quota and
+    /// limits did not change keep their level.
+    pub fn set_limits(&mut self, admission_limits: AdmissionLimits) {
+        let replacement = Admission::new(admission_limits);
+        let previous = std::mem::replace(&mut self.rows, replacement.rows);
+        self.limits = replacement.limits;
+        // Customers are only ever added. Should there be fewer, permits of removed ones still need a row to
+        // be returned to.
+        while self.rows.len() < previous.len() {
             self.rows.push(
-                Admission::new(AdmissionLimits { customers: Vec::new(), ..self.bounds.clone() })
+                Admission::new(AdmissionLimits { customers: Vec::new(), ..self.limits.clone() })
                     .rows
                     .remove(0),
             );
         }
-        for (new, old) in self.rows.iter_mut().zip(before) {
-            (new.open, new.asked_ms, new.asked) = (old.open, old.asked_ms, old.asked);
-            if (new.quota, new.whole) == (old.quota, old.whole) {
+        for (new, old) in self.rows.iter_mut().zip(previous) {
+            (new.open, new.last_request_ms, new.request_count) =
+                (old.open, old.last_request_ms, old.request_count);
+            if (new.quota, new.full_limits) == (old.quota, old.full_limits) {
                 (new.limits, new.requests, new.tokens) = (old.limits, old.requests, old.tokens);
-                new.parted = old.parted;
+                new.limits_shared = old.limits_shared;
             }
         }
-        self.shared.take().into_iter().for_each(|shared| self.apply(shared));
+        self.limit_shares.take().into_iter().for_each(|limit_shares| self.apply_shares(limit_shares));
     }
 
-    /// From now until `until_ms` this router has these parts of the customers' limits, and then those of `floor`:
-    /// limits are for all routers together. Without a word of that they hold for each router by itself.
-    pub fn set_shares(&mut self, parts: &[f64], floor: &[f64], until_ms: f64) {
-        self.apply(Shared { parts: parts.to_vec(), floor: floor.to_vec(), until_ms });
+    /// Sets this router's shares of the customers' limits until `until_ms`; after that those of `floor` hold.
+    /// With shares the limits are for all routers together; before the first call each router applies them in
+    /// full.
+    pub fn set_shares(&mut self, shares: &[f64], floor: &[f64], until_ms: f64) {
+        self.apply_shares(LimitShares { shares: shares.to_vec(), floor: floor.to_vec(), until_ms });
     }
 
-    fn lapse(&mut self, now_ms: f64) {
-        if let Some(shared) = self.shared.as_mut().filter(|shared| now_ms >= shared.until_ms) {
-            shared.until_ms = f64::INFINITY;
-            shared.parts.clone_from(&shared.floor);
-            self.shared.take().into_iter().for_each(|shared| self.apply(shared));
+    fn expire_shares(&mut self, now_ms: f64) {
+        if let Some(limit_shares) =
+            self.limit_shares.as_mut().filter(|limit_shares| now_ms >= limit_shares.until_ms)
+        {
+            limit_shares.until_ms = f64::INFINITY;
+            limit_shares.shares.clone_from(&limit_shares.floor);
+            self.limit_shares.take().into_iter().for_each(|limit_shares| self.apply_shares(limit_shares));
         }
     }
 
-    fn apply(&mut self, shared: Shared) {
-        for (row, part) in self.rows.iter_mut().skip(1).zip(&shared.parts) {
-            let whole = row.whole;
+    fn apply_shares(&mut self, limit_shares: LimitShares) {
+        for (row, part) in self.rows.iter_mut().skip(1).zip(&limit_shares.shares) {
+            let full_limits = row.full_limits;
             row.limits = CustomerLimits {
-                // Parts of a place are none: rounded up, routers together would hold more than the whole.
-                open: whole.open.map(|open| (open as f64 * part) as usize),
-                requests_per_s: whole.requests_per_s.map(|rate| rate * part),
-                tokens_per_s: whole.tokens_per_s.map(|rate| rate * part),
-                ..whole
+                // Rounded down: rounded up, the routers together would admit more than the limit.
+                open: full_limits.open.map(|open| (open as f64 * part) as usize),
+                requests_per_s: full_limits.requests_per_s.map(|rate| rate * part),
+                tokens_per_s: full_limits.tokens_per_s.map(|rate| rate * part),
+                ..full_limits
             };
             let limits = row.limits;
             let resize = |bucket: &mut Option<TokenBucket>, per_s: Option<f64>| {
@@ -193,45 +203,46 @@
             };
             resize(&mut row.requests, limits.requests_per_s);
             resize(&mut row.tokens, limits.tokens_per_s);
-            if !std::mem::replace(&mut row.parted, true) {
+            if !std::mem::replace(&mut row.limits_shared, true) {
                 row.requests.iter_mut().chain(&mut row.tokens).for_each(TokenBucket::empty);
             }
         }
-        self.shared = Some(shared);
+        self.limit_shares = Some(limit_shares);
     }
 
-    /// Requests that each customer has made so far, taken or not; first those without a key.
+    /// Number of requests of each customer so far, admitted or not; the first entry is for those without a
+    /// key.
     pub fn request_counts(&self) -> Vec<u64> {
-        self.rows.iter().map(|row| row.asked).collect()
+        self.rows.iter().map(|row| row.request_count).collect()
     }
 
-    pub fn new(bounds: AdmissionLimits) -> Self {
+    pub fn new(admission_limits: AdmissionLimits) -> Self {
         let row = |quota: f64, limits: CustomerLimits| {
             let bucket = |per_s: f64| TokenBucket::new(per_s, limits.burst_ms);
-            Row {
+            CustomerRow {
                 quota,
-                whole: limits,
+                full_limits: limits,
                 limits,
-                parted: false,
-                asked: 0,
+                limits_shared: false,
+                request_count: 0,
                 open: 0,
-                asked_ms: f64::NEG_INFINITY,
+                last_request_ms: f64::NEG_INFINITY,
                 requests: limits.requests_per_s.map(bucket),
                 tokens: limits.tokens_per_s.map(bucket),
             }
         };
-        // The first row is of those without a key: further customers shift nobody.
+        // The first row is for requests without a key, so that added customers do not shift it.
         let mut rows = vec![row(0.0, CustomerLimits::default())];
-        rows.extend(bounds.customers.iter().map(|(quota, limits)| row(*quota, *limits)));
+        rows.extend(admission_limits.customers.iter().map(|(quota, limits)| row(*quota, *limits)));
         Admission {
-            bounds,
+            limits: admission_limits,
             rows,
             open: 0,
             prompt_bytes: 0,
             stopping: false,
-            held_ms: AWAY_MS.0,
-            turned_away: [0; RejectReason::ALL.len()],
-            shared: None,
+            average_hold_ms: RETRY_AFTER_RANGE_MS.0,
+            rejections: [0; RejectReason::ALL.len()],
+            limit_shares: None,
         }
     }
 
@@ -239,120 +250,128 @@
         customer.map_or(0, |customer| customer.0 + 1).min(self.rows.len() - 1)
     }
 
-    /// First gate, before the body is read.
+    /// First check, before the body is read.
     ///
     /// # Errors
-    /// Why there is no place, and when to come again.
+    /// Why the request is rejected, and when to retry.
     pub fn enter(&mut self, now_ms: f64, customer: Option<CustomerId>) -> Result<Permit, Rejection> {
         let row = self.row(customer);
-        self.rows[row].asked_ms = now_ms;
-        self.rows[row].asked += 1;
-        self.lapse(now_ms);
+        self.rows[row].last_request_ms = now_ms;
+        self.rows[row].request_count += 1;
+        self.expire_shares(now_ms);
         if self.stopping {
-            return Err(self.away(RejectReason::Stopping, AWAY_MS.0));
+            return Err(self.reject(RejectReason::Stopping, RETRY_AFTER_RANGE_MS.0));
         }
-        if self.open >= self.bounds.open_completions {
-            return Err(self.away(RejectReason::Full, self.held_ms));
+        if self.open >= self.limits.open_completions {
+            return Err(self.reject(RejectReason::Full, self.average_hold_ms));
         }
         if self.rows[row].limits.open.is_some_and(|most| self.rows[row].open >= most) {
-            return Err(self.away(RejectReason::CustomerOpen, self.held_ms));
+            return Err(self.reject(RejectReason::CustomerOpen, self.average_hold_ms));
         }
-        // Guards against one customer that fills the router, whatever makes it. Harm: while others are active some
-        // places stay empty that it could use.
-        let beyond = self.rows[row].open as f64 >= self.part(row);
-        let free = (self.bounds.open_completions - self.open) as f64;
-        if beyond && free <= self.kept_free(now_ms, row) {
-            return Err(self.away(RejectReason::BeyondShare, self.held_ms));
+        // Guards against one customer that fills the router, whatever the cause. Cost: while other customers
+        // are active some permits stay unused that it could use.
+        let beyond_share = self.rows[row].open as f64 >= self.permit_share(row);
+        let free = (self.limits.open_completions - self.open) as f64;
+        if beyond_share && free <= self.reserved_for_others(now_ms, row) {
+            return Err(self.reject(RejectReason::BeyondShare, self.average_hold_ms));
         }
-        let waits = self.rows[row].requests.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, 1.0));
-        if let Err(wait_ms) = waits {
-            return Err(self.away(RejectReason::CustomerRequests, wait_ms));
+        let bucket_result =
+            self.rows[row].requests.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, 1.0));
+        if let Err(wait_ms) = bucket_result {
+            return Err(self.reject(RejectReason::CustomerRequests, wait_ms));
         }
         self.open += 1;
         self.rows[row].open += 1;
         Ok(Permit { row, since_ms: now_ms, prompt_bytes: 0 })
     }
 
-    /// Second gate, when it is known what is asked for. The place is kept if it is not passed; give it back then.
+    /// Second check, on the parsed request. If it fails the caller still holds the permit and has to release
+    /// it.
     ///
     /// # Errors
-    /// Why it is not taken, and when to come again.
+    /// Why the request is rejected, and when to retry.
     pub fn admit(
         &mut self,
         now_ms: f64,
-        place: &mut Permit,
+        permit: &mut Permit,
         workload: WorkloadId,
         prompt_bytes: usize,
         tokens: f64,
     ) -> Result<(), Rejection> {
-        if self.prompt_bytes + prompt_bytes > self.bounds.prompt_bytes {
-            return Err(self.away(RejectReason::Full, self.held_ms));
+        if self.prompt_bytes + prompt_bytes > self.limits.prompt_bytes {
+            return Err(self.reject(RejectReason::Full, self.average_hold_ms));
         }
-        let left = |used: usize, of: usize| 1.0 - used as f64 / of.max(1) as f64;
-        let places = left(self.open, self.bounds.open_completions);
-        let memory = left(self.prompt_bytes + prompt_bytes, self.bounds.prompt_bytes);
-        // Guards what is worth most while all runs short. Harm: work of less value waits though a place is free.
-        let highest = self.bounds.workload_values.iter().copied().fold(0.0, f64::max);
-        let value = self.bounds.workload_values.get(workload.0).copied().unwrap_or(0.0);
-        if places.min(memory) < SHORT && value < highest / 2.0 {
-            return Err(self.away(RejectReason::LeastValue, self.held_ms));
+        let free_part = |used: usize, total: usize| 1.0 - used as f64 / total.max(1) as f64;
+        let free_permits = free_part(self.open, self.limits.open_completions);
+        let free_memory = free_part(self.prompt_bytes + prompt_bytes, self.limits.prompt_bytes);
+        // Protects the most valuable workloads when capacity is scarce. Cost: work of less value is rejected
+        // although a permit is free.
+        let highest = self.limits.workload_values.iter().copied().fold(0.0, f64::max);
+        let value = self.limits.workload_values.get(workload.0).copied().unwrap_or(0.0);
+        if free_permits.min(free_memory) < SCARCE_PART && value < highest / 2.0 {
+            return Err(self.reject(RejectReason::LeastValue, self.average_hold_ms));
         }
-        let waits = self.rows[place.row].tokens.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, tokens));
-        if let Err(wait_ms) = waits {
-            return Err(self.away(RejectReason::CustomerTokens, wait_ms));
+        let bucket_result =
+            self.rows[permit.row].tokens.as_mut().map_or(Ok(()), |bucket| bucket.take(now_ms, tokens));
+        if let Err(wait_ms) = bucket_result {
+            return Err(self.reject(RejectReason::CustomerTokens, wait_ms));
         }
         self.prompt_bytes += prompt_bytes;
-        place.prompt_bytes = prompt_bytes;
+        permit.prompt_bytes = prompt_bytes;
         Ok(())
     }
 
-    /// A place is free again.
-    pub fn release(&mut self, now_ms: f64, place: Permit) {
+    /// Returns a permit.
+    pub fn release(&mut self, now_ms: f64, permit: Permit) {
         self.open = self.open.saturating_sub(1);
-        self.rows[place.row].open = self.rows[place.row].open.saturating_sub(1);
-        self.prompt_bytes = self.prompt_bytes.saturating_sub(place.prompt_bytes);
-        self.held_ms += ((now_ms - place.since_ms).max(0.0) - self.held_ms) / 16.0;
+        self.rows[permit.row].open = self.rows[permit.row].open.saturating_sub(1);
+        self.prompt_bytes = self.prompt_bytes.saturating_sub(permit.prompt_bytes);
+        self.average_hold_ms += ((now_ms - permit.since_ms).max(0.0) - self.average_hold_ms) / 16.0;
     }
 
-    /// Places that are a customer's by its quota.
-    fn part(&self, row: usize) -> f64 {
+    /// Number of permits that a customer's quota entitles it to.
+    fn permit_share(&self, row: usize) -> f64 {
         let quotas: f64 = self.rows.iter().map(|row| row.quota).sum();
         let share = if quotas > 0.0 { self.rows[row].quota / quotas } else { 1.0 };
-        share * self.bounds.open_completions as f64
+        share * self.limits.open_completions as f64
     }
 
-    /// Places that stay free for the other customers inside their share.
-    fn kept_free(&self, now_ms: f64, but: usize) -> f64 {
+    /// Number of permits that stay free for the other customers within their share.
+    fn reserved_for_others(&self, now_ms: f64, except: usize) -> f64 {
         let unused = |row: usize| {
-            let active = now_ms - self.rows[row].asked_ms < ACTIVE_MS;
-            if active && row != but {
-                (self.part(row) - self.rows[row].open as f64).max(0.0)
+            let active = now_ms - self.rows[row].last_request_ms < ACTIVE_MS;
+            if active && row != except {
+                (self.permit_share(row) - self.rows[row].open as f64).max(0.0)
             } else {
                 0.0
             }
         };
         let unused: f64 = (0..self.rows.len()).map(unused).sum();
-        (KEPT_FREE * unused).max(LEAST_FREE * self.bounds.open_completions as f64)
+        (RESERVED_PART * unused).max(MIN_RESERVED_PART * self.limits.open_completions as f64)
     }
 
-    /// Clients that are sent away together come back spread over twice the time.
-    fn away(&mut self, reason: RejectReason, wait_ms: f64) -> Rejection {
-        let count = &mut self.turned_away[reason as usize];
-        let spread = 1.0 + (*count % SPREAD) as f64 / SPREAD as f64;
+    /// Counts a rejection. Its retry-after time is spread so that clients rejected together do not all retry
+    /// together.
+    fn reject(&mut self, reason: RejectReason, wait_ms: f64) -> Rejection {
+        let count = &mut self.rejections[reason as usize];
+        let spread = 1.0 + (*count % RETRY_SPREAD_STEPS) as f64 / RETRY_SPREAD_STEPS as f64;
         *count += 1;
-        Rejection { reason, retry_after_ms: (wait_ms * spread).clamp(AWAY_MS.0, AWAY_MS.1) }
+        Rejection {
+            reason,
+            retry_after_ms: (wait_ms * spread).clamp(RETRY_AFTER_RANGE_MS.0, RETRY_AFTER_RANGE_MS.1),
+        }
     }
 
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// How many were turned away for a reason.
+    /// Number of requests rejected for a reason.
     pub fn rejected(&self, reason: RejectReason) -> u64 {
-        self.turned_away[reason as usize]
+        self.rejections[reason as usize]
     }
 
-    /// From now on nothing new is taken.
+    /// Rejects all new requests from now on.
     pub fn stop(&mut self) {
         self.stopping = true;
     }
--- a/crates/routing/tests/blame.rs
+++ b/crates/routing/tests/blame.rs
@@ -31,7 +31,8 @@
         effects
     }
 
-    /// A turn of the one session: the server that it goes to first. The attempt ends so, and then the client leaves.
+    /// A turn of the one session: the server that it goes to first. The attempt ends so, and then the client
+    /// leaves.
     fn turn(&mut self, end: SocketEnd) -> WorkerId {
         self.next += 1;
         let completion = CompletionId(self.next);
--- a/crates/routing/tests/classes.rs
+++ b/crates/routing/tests/classes.rs
@@ -1,4 +1,5 @@
-//! What the ledger keeps of a request's class: its window for repeats, and its own row when other settings come.
+//! What the ledger keeps of a request's class: its window for repeats, and its own row when other settings
+//! come.
 
 use paddleproxy::interface::{self, *};
 use paddleproxy_routing::{Effect, Input, Ledger, LedgerTimer, OutgoingDispatch, SocketEnd, Withdrawal};
@@ -138,7 +139,8 @@
     assert_eq!(sent(&next).unwrap().repeat_by_ms, f64::INFINITY);
 }
 
-/// Other settings come while a request that must not run twice is read; they call the class of that number repeatable.
+/// Other settings come while a request that must not run twice is read; they call the class of that number
+/// repeatable.
 #[test]
 fn an_open_request_keeps_its_own_class_when_other_settings_come() {
     for settings_in_between in [false, true] {
--- a/crates/routing/tests/release.rs
+++ b/crates/routing/tests/release.rs
@@ -190,7 +190,7 @@
         let own = ZoneId(rng.usize(0..10));
         let mut reachability = Reachability::new(Some(own));
         reachability.update_list(ListKind::Whole, &rows);
-        // All answered just before the cut.
+        // All answered just before the partition.
         rows.iter().for_each(|row| reachability.record_answer(&row.worker, -rng.f64() * 100.0));
         let near = rows.iter().filter(|row| row.zone == own).map(|row| (row.worker.clone(), 1.0));
         let far = rows.iter().find(|row| row.zone != own).unwrap().worker.clone();
