--- a/crates/routing/src/facts.rs
+++ b/crates/routing/src/facts.rs
@@ -1,4 +1,5 @@
-//! What a request asks for, by the rules in the settings. Hashes are xxh3 and equal at all routers.
+//! Classifies requests by the rules in the settings: workload, customer, session, shared prefix and token
+//! counts. Hashes are xxh3 and equal at all routers.
 
 use paddleproxy::interface::{
     Arrival, CompletionId, CustomerId, Effect, Group, PrefixId, SessionId, WorkloadId, WorkloadSettings,
@@ -7,35 +8,35 @@
 use paddleproxy_settings::router::{Names, Rules};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Seeds that keep the kinds of key apart.
-const SESSION: u64 = 1;
-const PREFIX: u64 = 2;
-/// Sessions and beginnings are numbers below this.
-const KEYS: u64 = 1 << 53;
+/// Hash seeds that keep session and prefix ids apart.
+const SESSION_SEED: u64 = 1;
+const PREFIX_SEED: u64 = 2;
+/// Session and prefix ids are below this.
+const ID_LIMIT: u64 = 1 << 53;
 
-/// The rows and rules by which requests are read.
+/// The names, rules and workloads by which requests are classified.
 pub struct RequestClassifier {
     names: Names,
     rules: Rules,
     workloads: Vec<WorkloadSettings>,
-    /// Row of the decisions' settings for each of the settings' own.
+    /// Row in the decision module's settings of each workload in `names`.
     rows: Vec<usize>,
-    /// For how long a key is remembered where its workload does not say, in ms.
-    keys_ms: f64,
+    /// How long a key is remembered if its workload has no window, in ms.
+    default_key_window_ms: f64,
 }
 
-/// What a request's key means.
+/// How the idempotency key of a request is treated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KeyRule {
-    /// How long it is remembered, in ms.
+    /// How long the key is remembered, in ms.
     pub window_ms: f64,
-    /// Whether another try is harmless even where an earlier one may have run.
+    /// Whether another attempt is harmless even if an earlier one may have run.
     pub may_repeat: bool,
-    /// Whether it must be on the disk before anything is sent.
+    /// Whether the key must be stored on disk before anything is sent.
     pub remembered: bool,
 }
 
-/// What one request's headers say.
+/// The headers of a request that matter for its classification.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Headers<'a> {
     pub session: Option<&'a str>,
@@ -44,7 +45,7 @@
     pub keyed: bool,
 }
 
-/// A request in the terms of the decisions, but for its id and clock.
+/// A request as the decision module sees it, apart from its completion id and arrival time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestFacts {
     pub workload: WorkloadId,
@@ -55,35 +56,41 @@
     pub prompt_tokens: f64,
     pub prefix_tokens: f64,
     pub max_tokens: f64,
-    /// Time that the client waits, in ms.
+    /// How long the client waits, in ms.
     pub client_timeout_ms: f64,
 }
 
-fn key(text: &str, seed: u64) -> u64 {
-    xxh3_64_with_seed(text.as_bytes(), seed) % (KEYS - 1) + 1
+fn hash_id(text: &str, seed: u64) -> u64 {
+    xxh3_64_with_seed(text.as_bytes(), seed) % (ID_LIMIT - 1) + 1
 }
 
 impl RequestClassifier {
-    pub fn new(names: Names, rules: Rules, workloads: Vec<WorkloadSettings>, keys_ms: f64) -> Self {
+    pub fn new(
+        names: Names,
+        rules: Rules,
+        workloads: Vec<WorkloadSettings>,
+        default_key_window_ms: f64,
+    ) -> Self {
         let rows = (0..workloads.len()).collect();
-        RequestClassifier { names, rules, workloads, rows, keys_ms }
+        RequestClassifier { names, rules, workloads, rows, default_key_window_ms }
     }
 
-    /// Other names, keys and targets from now on; `rows` are the rows of `workloads` that they are meant by.
+    /// Replaces names, API keys and workloads; `rows` holds the row in `workloads` of each workload in
+    /// `names`.
     pub fn update_settings(&mut self, names: Names, workloads: Vec<WorkloadSettings>, rows: Vec<usize>) {
         (self.names, self.workloads, self.rows) = (names, workloads, rows);
     }
 
-    /// Tokens of so many bytes of text, by the settings' estimate.
+    /// Estimated tokens of `bytes` bytes of text, by the ratio in the settings.
     pub fn estimate_tokens(&self, bytes: usize) -> f64 {
         (bytes as f64 / self.rules.bytes_per_token).ceil()
     }
 
-    /// The row of the decisions' settings, and what a key means there.
+    /// The row in the decision module's settings, and how a key is treated there.
     fn workload(&self, row: usize, keyed: bool) -> (WorkloadId, KeyRule) {
         let remembered = self.names.workloads[row].remembered;
-        let own = self.names.workloads[row].keyed.filter(|_| keyed);
-        let row = own.unwrap_or(row);
+        let keyed_row = self.names.workloads[row].keyed.filter(|_| keyed);
+        let row = keyed_row.unwrap_or(row);
         let row = self.rows[row];
         let rules = self.workloads.get(row);
         let tokened = rules.filter(|rules| rules.effect == Effect::Tokened);
@@ -92,7 +99,7 @@
             Effect::Tokened => rules.group == Group::All,
             Effect::NonIdempotent => false,
         });
-        let window_ms = tokened.map_or(self.keys_ms, |rules| rules.window_ms);
+        let window_ms = tokened.map_or(self.default_key_window_ms, |rules| rules.window_ms);
         (WorkloadId(row), KeyRule { window_ms, may_repeat, remembered })
     }
 
@@ -100,10 +107,10 @@
         &self.rules
     }
 
-    /// Whose key this is; known before a body is read.
+    /// The customer that an API key belongs to. Needs no request body.
     ///
     /// # Errors
-    /// `authentication_error` where a key is required and none that is known was given.
+    /// `authentication_error` if a key is required and none or an unknown one was given.
     pub fn customer(&self, api_key: Option<&str>) -> Result<Option<CustomerId>, ApiError> {
         let known =
             |given: &str| self.names.customers.iter().position(|row| row.keys.iter().any(|key| key == given));
@@ -117,7 +124,6 @@
         }
     }
 
-    /// The name of a customer, and the other way round.
     pub fn customer_name(&self, customer: CustomerId) -> Option<&str> {
         self.names.customers.get(customer.0).map(|row| row.name.as_str())
     }
@@ -126,16 +132,18 @@
         self.names.customers.iter().position(|row| row.name == name).map(CustomerId)
     }
 
-    /// The key by which servers know an effect: the same at all routers, and apart for each customer.
+    /// The key by which servers deduplicate an effect: the same at all routers, and distinct for each
+    /// customer.
     pub fn effect_key(&self, customer: Option<CustomerId>, key: &str) -> String {
         let name = customer.and_then(|customer| self.names.customers.get(customer.0));
         name.map_or_else(|| format!(":{key}"), |customer| format!("{}:{key}", customer.name))
     }
 
-    /// Reads the facts of one request.
+    /// Classifies a request.
     ///
     /// # Errors
-    /// `not_found_error` for a model of no workload, `invalid_request_error` for a time that is none.
+    /// `not_found_error` for a model that no workload serves, `invalid_request_error` for an invalid timeout
+    /// header.
     pub fn classify(
         &self,
         request: &Request,
@@ -159,12 +167,12 @@
         };
         let (workload, key_rule) = self.workload(row, headers.keyed);
         let prefix_tokens = self.estimate_tokens(request.system.len());
-        let shared = prefix_tokens >= self.rules.shared_from_tokens && !request.system.is_empty();
-        // A session that nobody names is known by how it began.
-        let session = headers.session.or(request.user_id.as_deref()).map(|name| key(name, SESSION));
+        let has_prefix = prefix_tokens >= self.rules.shared_from_tokens && !request.system.is_empty();
+        // A session without a name is identified by its system prompt and first turn.
+        let session = headers.session.or(request.user_id.as_deref()).map(|name| hash_id(name, SESSION_SEED));
         let session = session.unwrap_or_else(|| {
-            let begun = request.turns.first().map_or("", |turn| turn.text.as_str());
-            key(begun, key(&request.system, SESSION))
+            let first_turn = request.turns.first().map_or("", |turn| turn.text.as_str());
+            hash_id(first_turn, hash_id(&request.system, SESSION_SEED))
         });
         let turns: usize = request.turns.iter().map(|turn| turn.text.len()).sum();
         Ok(RequestFacts {
@@ -172,9 +180,9 @@
             key_rule,
             customer,
             session: SessionId(session),
-            prefix: shared.then(|| PrefixId(key(&request.system, PREFIX))),
+            prefix: has_prefix.then(|| PrefixId(hash_id(&request.system, PREFIX_SEED))),
             prompt_tokens: self.estimate_tokens(request.system.len() + turns).max(1.0),
-            prefix_tokens: if shared { prefix_tokens } else { 0.0 },
+            prefix_tokens: if has_prefix { prefix_tokens } else { 0.0 },
             max_tokens: f64::from(request.max_tokens),
             client_timeout_ms,
         })
@@ -182,7 +190,7 @@
 }
 
 impl RequestFacts {
-    /// The arrival that the decisions are told.
+    /// The arrival event for the decision module.
     pub fn arrival(&self, completion: CompletionId, now_ms: f64) -> Arrival {
         Arrival {
             completion,
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -424,7 +424,7 @@
             Input::HoldAnswered { completion, seq, worker, held } => {
                 self.hold_answered(completion, seq, worker, held, effects);
             }
-            Input::Recovered(kept) => self.events.push_back(Event::Recovered(kept)),
+            Input::Recovered(entries) => self.events.push_back(Event::Recovered(entries)),
             Input::Settings { settings, answer_slack_ms } => {
                 self.settings = (*settings).clone();
                 self.answer_slack_ms = answer_slack_ms;
@@ -494,8 +494,8 @@
         // reader.
         let used = entry.dispatches[seq.0 as usize].uses_state;
         let rest = entry.state.take().filter(|_| !used).map(|state| (state.worker, state.seq));
-        let taken = &entry.dispatches[seq.0 as usize].worker;
-        let reserved_slot = entry.reserved_slot.take().filter(|(worker, _)| worker != taken);
+        let streaming_worker = &entry.dispatches[seq.0 as usize].worker;
+        let reserved_slot = entry.reserved_slot.take().filter(|(worker, _)| worker != streaming_worker);
         for (worker, seq) in rest.into_iter().chain(reserved_slot) {
             effects.push(Effect::Release { worker, completion, seq });
         }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,8 +1,10 @@
-//! What a router knows and decides between its sockets and `Control`: which completions it owes an answer, which
-//! dispatches are out, where states wait, which servers exist, what a request asks for and who is taken.
+//! A router's state between its sockets and the decision module `Control`: open completions, dispatches in
+//! flight, states that wait at readers, listed servers, the classification of requests, idempotency keys and
+//! admission.
 //!
-//! Pure state machines: told what happened and at what time (ms on the router's monotonic clock), they say what to
-//! do. No socket, clock, file or chance in here; `crates/router` carries events in and effects out.
+//! Pure state machines: they take events with their time (ms on the router's monotonic clock) and return what
+//! to do. This crate uses no sockets, clocks, files or randomness; `crates/router` feeds in events and
+//! carries out the effects.
 
 pub mod admission;
 pub mod facts;
--- a/crates/routing/src/outcomes.rs
+++ b/crates/routing/src/outcomes.rs
@@ -1,51 +1,52 @@
-//! Which outcome a socket's end is. `docs/architecture.md` holds the same table in words.
-//! What may have run is never called never-run: only what surely never left this router, or was turned away by a
-//! server in so many words, counts as such.
+//! Maps the end of a dispatch on its socket to an outcome. `docs/architecture.md` describes the same table. A
+//! dispatch that may have run never counts as not run: that requires that it certainly never left this
+//! router, or that the server explicitly rejected it.
 
 use paddleproxy::interface::Outcome;
 use paddleproxy_engine::Refusal;
 
 use crate::write_check::Withdrawal;
 
-/// How one dispatch ended, as its socket saw it.
+/// How a dispatch ended on its socket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SocketEnd {
-    /// No connection: refused, no way there, not made in time, or no address known.
+    /// No connection: refused, no route, not established in time, or no address known.
     ConnectRefused,
     Unreachable,
     ConnectTimedOut,
     NoAddress,
-    /// This router has no connection left to give, or its machine is short of something.
+    /// This router has reached its connection limit, or its machine lacks a resource for one more.
     NoRoom,
-    /// A connection stood but closed before any byte of the request was written to it.
+    /// The connection was closed before any byte of the request was written to it.
     NeverWritten,
-    /// Decided and not written: what had to hold at the write no longer held.
+    /// Not written: a condition that held at the decision no longer held at the write.
     Withdrawn(Withdrawal),
-    /// Turned away with the code and the status that belong together.
+    /// The server rejected it, with a code and a status that match.
     TurnedAway(Refusal),
-    /// Any other status that is no success.
+    /// Any other status that is not a success.
     ErrorStatus(u16),
-    /// The connection broke after the request was written, before any byte of an answer; also a kept-alive one that
-    /// the server closed under us.
+    /// The connection broke after the request was written, before any byte of an answer. Includes a reused
+    /// keep-alive connection that the server closed at the same time.
     BrokeBeforeAnswer,
-    /// It broke within an answer, before and after the first event of it.
+    /// The connection broke within an answer, before its first event.
     BrokeWithinAnswer,
+    /// The connection broke within an answer, after its first event.
     BrokeAfterFirst,
-    /// Silent for too long within an answer that had begun.
+    /// No data for too long within an answer that had begun.
     Stalled,
-    /// No answer, or no first event of one, within the dispatch's time.
+    /// No answer, or no first event of one, before the dispatch's timeout.
     TimedOut,
-    /// Called off by us, or the client left.
+    /// Cancelled by this router, or the client left.
     Stopped,
-    /// Not what the wire allows: content type, JSON, UTF-8, length, state reference.
+    /// The response violates the protocol: content type, JSON, UTF-8, length or state reference.
     Nonsense(String),
-    /// A reader answered; the state waits.
+    /// A reader answered; it holds the state for a writer.
     ReadDone,
-    /// An answer ended as the wire says.
+    /// The answer is complete by the rules of the protocol.
     AnswerDone,
 }
 
-/// The outcome that the decisions are told.
+/// The outcome that is reported to the decision module.
 pub fn outcome(end: &SocketEnd) -> Outcome {
     match end {
         SocketEnd::ConnectRefused
--- a/crates/routing/src/repeat_guard.rs
+++ b/crates/routing/src/repeat_guard.rs
@@ -1,10 +1,10 @@
-//! Whether work that may have run may be sent again: the one check that every attempt passes before it is told to the
-//! sockets, whoever decided it. The decisions keep the same rule when they choose; what they ask for against it is not
-//! sent, and counted.
+//! The repeat rule: whether work that may have run may be sent again. Every attempt passes this one check
+//! before it goes to the sockets, whatever decided it. The decision module applies the same rule when it
+//! chooses; attempts that it requests against the rule are not sent, and are counted.
 
 use paddleproxy::interface::{CellId, Effect, Group, WorkloadSettings, ZoneId};
 
-/// Where an attempt goes, as far as groups of servers are concerned.
+/// The location of a server, as far as the groups that share idempotency keys are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     /// The server's zone.
@@ -16,27 +16,27 @@
 /// An earlier attempt of the same request that may have run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MayHaveRun {
-    /// Where it went; none once its server is off the list.
+    /// Location of its server; none once the server is off the list.
     pub at: Option<Location>,
-    /// When it was decided, in ms on the router's clock.
+    /// When the attempt was decided, in ms on the router's clock.
     pub decided_ms: f64,
 }
 
 /// Why an attempt must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breach {
-    /// The work must run once.
+    /// The work must run at most once.
     RunsTwice,
-    /// Servers there don't know of the earlier attempt.
+    /// The target is outside the group of servers that share keys with the earlier attempt's server.
     OutsideItsGroup,
-    /// Servers have forgotten the key by now.
+    /// The deduplication window is over: servers may have forgotten the key.
     OutsideItsWindow,
 }
 
 /// Checks one more attempt against each earlier one that may have run.
 ///
 /// # Errors
-/// Why it must not be sent.
+/// Why the attempt must not be sent.
 pub fn check(
     workload: &WorkloadSettings,
     earlier: impl IntoIterator<Item = MayHaveRun>,
@@ -57,12 +57,12 @@
         Effect::NonIdempotent => return Err(Breach::RunsTwice),
         Effect::Tokened => {}
     }
-    let same = match workload.group {
+    let same_group = match workload.group {
         Group::All => true,
         Group::Zone => earlier.at.is_some_and(|at| at.zone == to.zone),
         Group::Cell => earlier.at.is_some_and(|at| at.cell == to.cell),
     };
-    if !same {
+    if !same_group {
         Err(Breach::OutsideItsGroup)
     } else if now_ms - earlier.decided_ms >= workload.window_ms {
         Err(Breach::OutsideItsWindow)
--- a/crates/routing/src/repeat_guard/tests.rs
+++ b/crates/routing/src/repeat_guard/tests.rs
@@ -11,7 +11,7 @@
     Location { zone: ZoneId(zone), cell: CellId(cell) }
 }
 
-fn after(effect: Effect, group: Group, earlier: Option<Location>, ms: f64) -> Result<(), Breach> {
+fn check_after(effect: Effect, group: Group, earlier: Option<Location>, ms: f64) -> Result<(), Breach> {
     let earlier = MayHaveRun { at: earlier, decided_ms: 0.0 };
     check(&workload(effect, group), [earlier], at(0, 0), ms)
 }
@@ -24,12 +24,12 @@
 }
 
 #[test]
-fn what_may_have_run_goes_by_its_effect_its_group_and_its_window() {
+fn what_may_have_run_is_checked_by_effect_group_and_window() {
     use Effect::*;
     use Group::*;
-    assert_eq!(after(Idempotent, Cell, None, 9e9), Ok(()));
-    assert_eq!(after(NonIdempotent, All, Some(at(0, 0)), 0.0), Err(Breach::RunsTwice));
-    for (group, earlier, kept) in [
+    assert_eq!(check_after(Idempotent, Cell, None, 9e9), Ok(()));
+    assert_eq!(check_after(NonIdempotent, All, Some(at(0, 0)), 0.0), Err(Breach::RunsTwice));
+    for (group, earlier, allowed) in [
         (All, Some(at(1, 1)), true),
         (All, None, true),
         (Zone, Some(at(0, 1)), true),
@@ -38,8 +38,8 @@
         (Cell, Some(at(1, 0)), true),
         (Cell, Some(at(0, 1)), false),
     ] {
-        let expected = if kept { Ok(()) } else { Err(Breach::OutsideItsGroup) };
-        assert_eq!(after(Tokened, group, earlier, WINDOW_MS - 1.0), expected, "{group:?} {earlier:?}");
+        let expected = if allowed { Ok(()) } else { Err(Breach::OutsideItsGroup) };
+        assert_eq!(check_after(Tokened, group, earlier, WINDOW_MS - 1.0), expected, "{group:?} {earlier:?}");
     }
-    assert_eq!(after(Tokened, All, None, WINDOW_MS), Err(Breach::OutsideItsWindow));
+    assert_eq!(check_after(Tokened, All, None, WINDOW_MS), Err(Breach::OutsideItsWindow));
 }
--- a/crates/routing/src/stall/tests.rs
+++ b/crates/routing/src/stall/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the module `pace`.
+//! Tests of the module `stall`.
 
 use super::*;
 
 #[test]
-fn a_fast_stream_is_given_up_sooner_than_a_slow_one() {
+fn a_fast_stream_counts_as_stalled_sooner_than_a_slow_one() {
     let mut fast = StallDetector::new(0.0, 2000.0);
     let mut slow = StallDetector::new(0.0, 2000.0);
     assert_eq!(fast.deadline_ms(), 2000.0);
--- a/crates/routing/src/write_check.rs
+++ b/crates/routing/src/write_check.rs
@@ -1,34 +1,34 @@
-//! The check that an attempt passes at the moment in which it is written. Between its decision and its write lie a
-//! connect and whatever else the router does; what was true at the decision may have ended in that time.
+//! The check of an attempt immediately before it is written. Between its decision and its write the router
+//! connects and does other work, so conditions that held at the decision may no longer hold.
 
-/// Why an attempt that was decided is not written.
+/// Why an attempt is withdrawn instead of written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// The client has closed: nobody waits for the answer.
+    /// The client closed its connection, so the answer could not be delivered.
     ClientGone,
-    /// The attempt's own time is over.
+    /// The attempt's time is over.
     OutOfTime,
-    /// Servers drop repeats by key for a limited time, and that has passed since the first attempt.
+    /// Servers deduplicate by key for a limited time, which has passed since the first attempt.
     RepeatTooLate,
-    /// The list says that the server drains or is gone, or that it is reached elsewhere now.
+    /// By the server list the server is draining or gone, or has another address now.
     ServerNotReady,
 }
 
-/// What is known of an attempt when it is about to be written.
+/// The state of an attempt that is about to be written.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteCheck {
     pub now_ms: f64,
-    /// When the attempt's time ends; never past the client's.
+    /// When the attempt times out; never later than the client timeout.
     pub until_ms: f64,
     /// See `OutgoingDispatch::repeat_by_ms`.
     pub repeat_by_ms: f64,
     pub server_ready: bool,
-    /// The client is known to have closed.
+    /// The client is known to have closed its connection.
     pub client_gone: bool,
 }
 
 impl WriteCheck {
-    /// The time that the server may be told, in whole ms: never more than what is left.
+    /// The time limit to send to the server, in whole ms: never more than what is left.
     ///
     /// # Errors
     /// Why the attempt must not be written.
--- a/crates/routing/src/write_check/tests.rs
+++ b/crates/routing/src/write_check/tests.rs
@@ -1,14 +1,15 @@
-//! Tests of the module `write_check`: every combination of what may have come between.
+//! Tests of the module `write_check`: every combination of conditions that may have changed since the
+//! decision.
 
 use super::*;
 
 const NOW_MS: f64 = 1000.0;
 
-/// Whether a value lies after now, is now, or lies before.
+/// Offsets of a deadline from now: past, now, and in the future.
 const OFFSETS_MS: [f64; 5] = [-50.0, 0.0, 0.5, 1.0, 700.0];
 
 #[test]
-fn an_attempt_is_written_only_while_all_still_holds() {
+fn an_attempt_is_written_only_while_all_conditions_hold() {
     for left_ms in OFFSETS_MS {
         for window_left_ms in OFFSETS_MS {
             for server_ready in [true, false] {
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn the_time_told_is_never_rounded_up() {
+fn the_time_limit_sent_is_never_rounded_up() {
     for part in 0..1000 {
         let left_ms = 1.0 + f64::from(part) / 400.0;
         let check = WriteCheck {
@@ -44,15 +45,15 @@
             server_ready: true,
             client_gone: false,
         };
-        let told = check.time_left_ms().unwrap();
-        // As it is written: seconds with three digits.
-        let written: f64 = format!("{:.3}", told / 1e3).parse().unwrap();
+        let time_limit_ms = check.time_left_ms().unwrap();
+        // The wire format: seconds with three decimals.
+        let written: f64 = format!("{:.3}", time_limit_ms / 1e3).parse().unwrap();
         assert!(written * 1e3 <= left_ms && left_ms - written * 1e3 < 1.0 + 1e-9, "{left_ms}: {written}");
     }
 }
 
 #[test]
-fn no_time_at_all_is_no_time() {
+fn a_nan_time_limit_counts_as_out_of_time() {
     let check = WriteCheck {
         now_ms: NOW_MS,
         until_ms: f64::NAN,
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -178,8 +178,9 @@
 #[test]
 fn a_key_runs_once_at_a_time_and_its_answer_is_replayed() {
     let mut keys = IdempotencyKeys::new(10, 100);
-    let begin =
-        |keys: &mut IdempotencyKeys, body: &str| keys.begin(0.0, &key("a"), body.as_bytes(), 1000.0, false);
+    let begin = |keys: &mut IdempotencyKeys, request: &str| {
+        keys.begin(0.0, &key("a"), request.as_bytes(), 1000.0, false)
+    };
     assert_eq!(begin(&mut keys, "w"), KeyDecision::Proceed);
     assert_eq!(begin(&mut keys, "w"), KeyDecision::Running);
     assert_eq!(begin(&mut keys, "v"), KeyDecision::Differs);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Settings, servers and requests of the tests in which one kind of combined server answers one class.
-#![allow(dead_code)] // Each test file uses its part.
+//! Settings, servers and requests for tests in which one kind of mixed server answers one workload.
+#![allow(dead_code)] // Each test file uses some of the functions.
 
 use std::sync::Arc;
 
 use paddleproxy::interface::*;
 
-/// One class with this effect, whose servers all drop repeats by key within the window.
+/// One workload with this effect; all its servers deduplicate repeats by key within the window.
 pub fn settings(effect: Effect, window_ms: f64) -> Settings {
     let (value, latency_target_ms, target_per_token_ms) = (1.0, 500.0, 0.0);
     let group = Group::All;
@@ -41,7 +41,7 @@
     }
 }
 
-/// A ready server, there for long.
+/// A ready server that started long ago.
 pub fn listing(name: &str) -> Listing {
     Listing {
         worker: WorkerId(Arc::from(name)),
@@ -54,7 +54,7 @@
     }
 }
 
-/// A short request of the class in a session, which waits until then.
+/// A short request of the workload in a session, with its client timeout as a clock time.
 pub fn arrival(completion: CompletionId, session: u64, client_timeout_ms: f64) -> Arrival {
     Arrival {
         completion,
--- a/crates/routing/tests/guards.rs
+++ b/crates/routing/tests/repeat_guard.rs
@@ -1,4 +1,4 @@
-//! The guard on repeats, under decisions that ask for what must not be sent.
+//! The repeat guard, with a decision module that requests dispatches that must not be sent.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use paddleproxy::interface::{self, *};
 use paddleproxy_routing::{Decisions, Effect, Input, Ledger, SocketEnd};
 
-/// Sends everything once more whenever an attempt has ended.
-struct SendsAgain;
+/// Requests a further dispatch of a completion whenever one has ended.
+struct AlwaysRepeats;
 
-impl Decisions for SendsAgain {
+impl Decisions for AlwaysRepeats {
     fn handle(&mut self, _: f64, event: &Event, actions: &mut Vec<Action>) {
         let completion = match event {
             Event::Arrived(arrival) => arrival.completion,
@@ -23,10 +23,11 @@
     }
 }
 
-/// One request whose first attempt ends so at this time; attempts sent, and breaches counted.
+/// One request whose first attempt ends with `end` at `at_ms`: the number of attempts sent and of breaches
+/// counted.
 fn sent_after(effect: interface::Effect, end: SocketEnd, at_ms: f64) -> (usize, u64) {
     let settings = settings(effect, 1000.0);
-    let mut ledger = Ledger::with_decisions(SendsAgain, settings, 50.0);
+    let mut ledger = Ledger::with_decisions(AlwaysRepeats, settings, 50.0);
     let mut effects = Vec::new();
     let row = listing("s-1");
     ledger.handle(0.0, Input::Listed { kind: ListKind::Whole, rows: [row].into() }, &mut effects);
@@ -41,13 +42,13 @@
 }
 
 #[test]
-fn what_may_have_run_is_not_sent_again_whoever_asks_for_it() {
+fn what_may_have_run_is_not_sent_again_even_on_request() {
     use interface::Effect::*;
     let broke = || SocketEnd::BrokeBeforeAnswer;
     assert_eq!(sent_after(NonIdempotent, broke(), 10.0), (1, 1));
     assert_eq!(sent_after(Tokened, broke(), 10.0), (2, 0), "within its window");
     assert_eq!(sent_after(Tokened, broke(), 1000.0), (1, 1), "past its window");
     assert_eq!(sent_after(Idempotent, broke(), 10.0), (2, 0));
-    // What surely never ran may be sent.
+    // What certainly never ran may be sent again.
     assert_eq!(sent_after(NonIdempotent, SocketEnd::ConnectRefused, 10.0), (2, 0));
 }
--- a/crates/routing/tests/classes.rs
+++ b/crates/routing/tests/workload_settings.rs
@@ -1,14 +1,14 @@
-//! What the ledger keeps of a request's class: its window for repeats, and its own row when other settings
-//! come.
+//! The workload settings that the ledger keeps for a completion: its window for repeats, and its own row when
+//! the settings change.
 
 use paddleproxy::interface::{self, *};
 use paddleproxy_routing::{Effect, Input, Ledger, LedgerTimer, OutgoingDispatch, SocketEnd, Withdrawal};
 
 const WINDOW_MS: f64 = 900.0;
 const SLACK_MS: f64 = 50.0;
-/// Prompts, in tokens: one that home reads by itself, and one that a reader reads.
-const SHORT: f64 = 300.0;
-const LONG: f64 = 9000.0;
+/// Prompt lengths in tokens: one that its home server reads itself, and one that a reader reads.
+const SHORT_PROMPT_TOKENS: f64 = 300.0;
+const LONG_PROMPT_TOKENS: f64 = 9000.0;
 
 fn settings(effect: interface::Effect, group: Group) -> Settings {
     Settings {
@@ -48,11 +48,12 @@
     }
 }
 
-/// A ledger with three combined servers, or one and one for reading.
+/// A ledger with three mixed servers.
 fn ledger(settings: Settings) -> Ledger {
     ledger_of(settings, &["a", "b", "c"])
 }
 
+/// A ledger with these servers; the one named `reader` is a reader, the others are mixed.
 fn ledger_of(settings: Settings, servers: &[&str]) -> Ledger {
     let mut ledger = Ledger::new(settings, SLACK_MS, 7);
     let row = |name: &&str| Listing {
@@ -89,7 +90,7 @@
 
 fn arrived(ledger: &mut Ledger, now_ms: f64) -> Vec<Effect> {
     let mut effects = Vec::new();
-    let arrival = arrival(now_ms, SHORT);
+    let arrival = arrival(now_ms, SHORT_PROMPT_TOKENS);
     ledger.handle(now_ms, Input::Arrived { arrival, streamed: true }, &mut effects);
     effects
 }
@@ -114,43 +115,43 @@
     let mut ledger = ledger(settings(interface::Effect::Tokened, Group::All));
     let first = arrived(&mut ledger, 100.0);
     assert_eq!(sent(&first).unwrap().repeat_by_ms, f64::INFINITY, "nothing has run yet");
-    // It surely never ran: the next attempt is the first that may.
+    // It certainly never ran: the next attempt is the first that may have.
     let second = ended(&mut ledger, 300.0, 0, SocketEnd::ConnectRefused);
     assert_eq!(sent(&second).unwrap().repeat_by_ms, f64::INFINITY);
     let third = ended(&mut ledger, 400.0, 1, SocketEnd::ErrorStatus(500));
     assert_eq!(sent(&third).unwrap().repeat_by_ms, 300.0 + WINDOW_MS);
 }
 
-/// An attempt that the check at the write took back is none: it neither ran nor counts against the window.
+/// An attempt withdrawn by the check at the write did not run and does not start the window.
 #[test]
-fn what_was_withdrawn_at_the_write_never_ran() {
+fn an_attempt_withdrawn_at_the_write_never_ran() {
     let mut ledger = ledger(settings(interface::Effect::NonIdempotent, Group::All));
     arrived(&mut ledger, 100.0);
     let withdrawn = SocketEnd::Withdrawn(Withdrawal::ServerNotReady);
     let next = ended(&mut ledger, 110.0, 0, withdrawn);
-    assert!(sent(&next).is_some(), "it may go elsewhere: {next:?}");
+    assert!(sent(&next).is_some(), "it may be sent to another server: {next:?}");
 }
 
 #[test]
-fn only_keyed_work_has_a_window() {
+fn only_tokened_work_has_a_window() {
     let mut ledger = ledger(settings(interface::Effect::Idempotent, Group::All));
     arrived(&mut ledger, 100.0);
     let next = ended(&mut ledger, 400.0, 0, SocketEnd::ErrorStatus(500));
     assert_eq!(sent(&next).unwrap().repeat_by_ms, f64::INFINITY);
 }
 
-/// Other settings come while a request that must not run twice is read; they call the class of that number
-/// repeatable.
+/// The settings change while a non-idempotent request is being read; in the new ones its workload is
+/// idempotent.
 #[test]
-fn an_open_request_keeps_its_own_class_when_other_settings_come() {
-    for settings_in_between in [false, true] {
-        let once = settings(interface::Effect::NonIdempotent, Group::All);
-        let mut ledger = ledger_of(once, &["a", "reader"]);
+fn an_open_request_keeps_its_workload_settings_when_the_settings_change() {
+    for settings_change in [false, true] {
+        let non_idempotent = settings(interface::Effect::NonIdempotent, Group::All);
+        let mut ledger = ledger_of(non_idempotent, &["a", "reader"]);
         let mut effects = Vec::new();
-        let arrival = arrival(100.0, LONG);
+        let arrival = arrival(100.0, LONG_PROMPT_TOKENS);
         ledger.handle(100.0, Input::Arrived { arrival, streamed: true }, &mut effects);
         assert_eq!(sent(&effects).unwrap().worker, WorkerId("reader".into()));
-        if settings_in_between {
+        if settings_change {
             let settings = Box::new(settings(interface::Effect::Idempotent, Group::All));
             let answer_slack_ms = SLACK_MS;
             ledger.handle(200.0, Input::Settings { settings, answer_slack_ms }, &mut effects);
