--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -17,7 +17,8 @@
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
 use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
 use paddleproxy_routing::{
-    Admission, Bounds, Counts, Decisions, Effect, Input, Ledger, Place, Sending, SocketEnd, Stage,
+    Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, OutgoingDispatch, Permit,
+    SocketEnd, Stage,
 };
 use paddleproxy_settings::day::{DaySettings, Dead, Trouble};
 use paddleproxy_store::retention::{self, Text};
@@ -254,7 +255,7 @@
 struct Asked {
     op: usize,
     attempt: u32,
-    place: Option<Place>,
+    place: Option<Permit>,
 }
 
 struct Dispatch {
@@ -544,7 +545,7 @@
         ..day.router_of(number).decisions
     };
     let decisions = options.policy.decisions(&settings, seed(options.seed, 100 + boot, number as u64), truth);
-    Ledger::with(decisions, settings, day.router.front.answer_slack_ms)
+    Ledger::with_decisions(decisions, settings, day.router.front.answer_slack_ms)
 }
 
 fn membership(day: &DaySettings) -> Membership {
@@ -554,5 +555,5 @@
 }
 
 fn admission(day: &DaySettings) -> Admission {
-    Admission::new(Bounds::of(&day.router))
+    Admission::new(AdmissionLimits::from_settings(&day.router))
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -10,7 +10,7 @@
 use paddleproxy_platform::request::refusal;
 use paddleproxy_platform::{Chunks, Events, BODY_BYTES};
 use paddleproxy_router::clock::{duration, Clock};
-use paddleproxy_routing::{Pace, Sending, SocketEnd, Stage, Withdrawal, WriteCheck};
+use paddleproxy_routing::{OutgoingDispatch, SocketEnd, Stage, StallDetector, Withdrawal, WriteCheck};
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, timeout, Instant};
 
@@ -20,7 +20,7 @@
 use crate::servers::ServerDirectory;
 
 pub struct Attempt {
-    pub sending: Sending,
+    pub sending: OutgoingDispatch,
     pub address: Option<SocketAddr>,
     pub request: Rc<ClientRequest>,
     pub directory: Rc<RefCell<ServerDirectory>>,
@@ -114,7 +114,7 @@
     /// The conditions that must still hold at the moment of the write.
     fn write_check(&self, address: SocketAddr) -> impl Fn() -> WriteCheck {
         let (directory, clock, client) = (self.directory.clone(), self.clock, self.request.client.clone());
-        let Sending { until_ms, repeat_by_ms, .. } = self.sending;
+        let OutgoingDispatch { until_ms, repeat_by_ms, .. } = self.sending;
         let worker = self.sending.worker.clone();
         move || WriteCheck {
             now_ms: clock.now_ms(),
@@ -157,7 +157,7 @@
             return Err(SocketEnd::Nonsense("the stream is not chunked".into()));
         }
         let (mut chunks, mut events) = (Chunks::new(BODY_BYTES), Events::default());
-        let mut stream: Option<(mpsc::Sender<StreamPart>, Pace)> = None;
+        let mut stream: Option<(mpsc::Sender<StreamPart>, StallDetector)> = None;
         loop {
             let done = chunks
                 .take(&mut connection.bytes, events.buffer())
@@ -170,7 +170,7 @@
             let first = stream.is_none();
             if first && events.events > 0 {
                 let granted = self.request_grant(started).await?;
-                stream = Some((granted, Pace::new(self.clock.now_ms(), STREAM_IDLE_TIMEOUT_MS)));
+                stream = Some((granted, StallDetector::new(self.clock.now_ms(), STREAM_IDLE_TIMEOUT_MS)));
             }
             if let Some((parts, pace)) = stream.as_mut().filter(|_| !complete_events.is_empty()) {
                 // Time spent waiting for a slow client doesn't count as the server's silence.
@@ -182,7 +182,7 @@
                 sent.map_err(|_| SocketEnd::Stopped)?;
                 // The pace started with the first event, so that event ends no gap.
                 if !first {
-                    pace.event(self.clock.now_ms());
+                    pace.record_event(self.clock.now_ms());
                 }
             }
             if done {
@@ -194,7 +194,7 @@
                 }
                 return Ok((SocketEnd::AnswerDone, None));
             }
-            let limit = stream.as_ref().map_or(deadline, |(_, pace)| self.clock.at(pace.until_ms()));
+            let limit = stream.as_ref().map_or(deadline, |(_, pace)| self.clock.at(pace.deadline_ms()));
             let read = tokio::select! {
                 biased;
                 _ = self.commands.recv() => return Err(SocketEnd::Stopped),
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -13,7 +13,7 @@
 use paddleproxy_router::book::Book;
 use paddleproxy_router::clock::Clock;
 use paddleproxy_router::duty::Duty;
-use paddleproxy_routing::{Effect, Input, Ledger, Sending, SocketEnd, Withdrawal};
+use paddleproxy_routing::{Effect, Input, Ledger, OutgoingDispatch, SocketEnd, Withdrawal};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
@@ -76,7 +76,7 @@
         loop {
             tokio::select! {
                 biased;
-                due = self.ledger.due() => self.handle_input(Input::Due(due)),
+                due = self.ledger.due() => self.handle_input(Input::TimerFired(due)),
                 event = events.recv() => match event {
                     Some(event) => self.handle_event(event),
                     None => return,
@@ -105,7 +105,10 @@
             CoreEvent::Began { completion, seq, took_ms } => {
                 debug!(completion = completion.0, seq = seq.0, took_ms, "first event received");
                 if let Some(worker) = self.ledger.worker(completion, seq) {
-                    self.directory.borrow_mut().reachability.answered(worker, self.ledger.clock.now_ms());
+                    self.directory
+                        .borrow_mut()
+                        .reachability
+                        .record_answer(worker, self.ledger.clock.now_ms());
                 }
                 self.handle_input(Input::Began { completion, seq, took_ms })
             }
@@ -139,7 +142,7 @@
             }
             CoreEvent::Settings(provision) => {
                 self.provision = provision;
-                self.directory.borrow_mut().reachability.moved(self.provision.settings.zone);
+                self.directory.borrow_mut().reachability.set_own_zone(self.provision.settings.zone);
                 let settings = Box::new(self.provision.settings.clone());
                 let answer_slack_ms = self.provision.answer_slack_ms;
                 self.handle_input(Input::Settings { settings, answer_slack_ms });
@@ -194,12 +197,16 @@
         );
         *self.attempt_ends.entry(end_name(&end)).or_default() += 1;
         if let Some(worker) = worker {
-            self.directory.borrow_mut().reachability.ended(&worker, &end, self.ledger.clock.now_ms());
+            self.directory.borrow_mut().reachability.record_dispatch_end(
+                &worker,
+                &end,
+                self.ledger.clock.now_ms(),
+            );
             self.report_load(&worker, load);
         }
         // Workers identify a state by its request id alone, so the reference carries no data.
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
-        self.handle_input(Input::Ended { completion, seq, took_ms, end, kept_tokens: cached_tokens, state });
+        self.handle_input(Input::Ended { completion, seq, took_ms, end, cached_tokens, state });
     }
 
     fn report_load(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
@@ -265,7 +272,7 @@
             Effect::Subscribe | Effect::FetchList => drop(self.refetches.try_send(Refetch)),
             Effect::Note(text) => info!(text, "note from the decision modules"),
             // The ledger has set its timers already; this router persists nothing to disk.
-            Effect::Arm { .. } | Effect::Keeps { .. } => {}
+            Effect::Arm { .. } | Effect::CacheUpdated { .. } => {}
         }
     }
 
@@ -273,7 +280,7 @@
         self.directory.borrow().address(worker)
     }
 
-    fn start_attempt(&mut self, sending: Sending) {
+    fn start_attempt(&mut self, sending: OutgoingDispatch) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(request) = self.requests.get(&completion).cloned() else { return };
         let (sender, commands) = mpsc::channel(2);
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -1,6 +1,6 @@
 //! The listed servers with their addresses, and releases: calls that ask a server to free what it holds for a
 //! request that no longer needs it. Which servers are called, when and how often is decided in
-//! `paddleproxy_routing::letgo`; this module does the calls, counts them and logs them.
+//! `paddleproxy_routing::release`; this module does the calls, counts them and logs them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,10 @@
 use paddleproxy_platform::List;
 use paddleproxy_router::clock::Clock;
 use paddleproxy_router::letgo::{self, Call};
-use paddleproxy_routing::{Deaf, Hearing, Others, SocketEnd, Telling, Unheard, AGAIN};
+use paddleproxy_routing::{
+    DeliveryFailure, Reachability, ReleaseDelivery, ReleaseRoute, SocketEnd, UndeliveredReleases,
+    RETRIES_PER_LIMIT,
+};
 use tracing::{debug, warn};
 
 use crate::pool::Pool;
@@ -22,7 +25,7 @@
 pub struct ServerDirectory {
     addresses: BTreeMap<WorkerId, Option<SocketAddr>>,
     draining: BTreeSet<WorkerId>,
-    pub reachability: Hearing,
+    pub reachability: Reachability,
 }
 
 impl ServerDirectory {
@@ -30,7 +33,7 @@
         ServerDirectory {
             addresses: BTreeMap::new(),
             draining: BTreeSet::new(),
-            reachability: Hearing::new(own_zone),
+            reachability: Reachability::new(own_zone),
         }
     }
 
@@ -53,7 +56,7 @@
             }
         }
         let rows: Arc<[Listing]> = list.rows.into_iter().map(|row| row.listing).collect();
-        self.reachability.listed(kind, &rows);
+        self.reachability.update_list(kind, &rows);
         rows
     }
 
@@ -69,8 +72,8 @@
     /// Records whether a server answered a call.
     pub fn record_call(&mut self, worker: &WorkerId, answered: bool, now_ms: f64) {
         match answered {
-            true => self.reachability.answered(worker, now_ms),
-            false => self.reachability.silent(worker, now_ms),
+            true => self.reachability.record_answer(worker, now_ms),
+            false => self.reachability.record_silence(worker, now_ms),
         }
     }
 }
@@ -98,12 +101,13 @@
     seed: u64,
     in_flight: Cell<usize>,
     counts: Cell<Counts>,
-    undelivered: Unheard,
+    undelivered: UndeliveredReleases,
 }
 
 impl Releases {
     pub fn new(pool: Rc<Pool>, directory: Rc<RefCell<ServerDirectory>>, clock: Clock, seed: u64) -> Self {
-        let (in_flight, counts, undelivered) = (Cell::new(0), Cell::default(), Unheard::default());
+        let (in_flight, counts, undelivered) =
+            (Cell::new(0), Cell::default(), UndeliveredReleases::default());
         Releases { pool, directory, clock, seed, in_flight, counts, undelivered }
     }
 
@@ -132,9 +136,17 @@
 
     async fn deliver(&self, holder: WorkerId, path: String, seed: u64, limit_ms: f64) {
         let started_ms = self.clock.now_ms();
-        let mut delivery = Telling::new(holder, Others::AnyWorker, seed, limit_ms, AGAIN, started_ms);
-        let next =
-            |delivery: &mut Telling, now_ms| delivery.next(now_ms, &self.directory.borrow().reachability);
+        let mut delivery = ReleaseDelivery::new(
+            holder,
+            ReleaseRoute::AnyWorker,
+            seed,
+            limit_ms,
+            RETRIES_PER_LIMIT,
+            started_ms,
+        );
+        let next = |delivery: &mut ReleaseDelivery, now_ms| {
+            delivery.next_step(now_ms, &self.directory.borrow().reachability)
+        };
         let call = |worker| self.call(worker, &path, limit_ms);
         let Some(worker) = letgo::tell(&mut delivery, self.clock, next, call).await else {
             return self.count_undelivered(&path, &delivery);
@@ -151,14 +163,14 @@
     async fn call(&self, worker: WorkerId, path: &str, limit_ms: f64) -> (WorkerId, Call) {
         let address = self.directory.borrow().address(&worker);
         let answer = match address {
-            None => Call::Failed(Deaf::NoWay),
+            None => Call::Failed(DeliveryFailure::NoWay),
             Some(address) => match self.pool.call(address, "DELETE", path, limit_ms).await {
                 Ok((head, _)) if head.status < 300 => Call::Heard,
                 Ok(_) | Err(SocketEnd::ConnectRefused | SocketEnd::BrokeBeforeAnswer) => {
-                    Call::Failed(Deaf::Refused)
+                    Call::Failed(DeliveryFailure::Refused)
                 }
-                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => Call::Failed(Deaf::NoWay),
-                Err(_) => Call::Failed(Deaf::Silent),
+                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => Call::Failed(DeliveryFailure::NoWay),
+                Err(_) => Call::Failed(DeliveryFailure::Silent),
             },
         };
         let answered = matches!(answer, Call::Heard);
@@ -167,9 +179,9 @@
     }
 
     /// Counts a release that no server acknowledged; the log has a line for it once in a while.
-    fn count_undelivered(&self, path: &str, delivery: &Telling) {
-        let cause = delivery.deaf().unwrap_or(Deaf::NoWay);
-        if self.undelivered.count(cause, self.clock.now_ms()) {
+    fn count_undelivered(&self, path: &str, delivery: &ReleaseDelivery) {
+        let cause = delivery.worst_failure().unwrap_or(DeliveryFailure::NoWay);
+        if self.undelivered.record(cause, self.clock.now_ms()) {
             let counts = self.undelivered.counts();
             warn!(
                 path,
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -15,7 +15,8 @@
 use paddleproxy_messages::{Answer, ApiError, ErrorKind};
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{
-    Deaf, Effect, Hearing, Input, Ledger, Others, Sending, SocketEnd, Telling, Unheard,
+    DeliveryFailure, Effect, Input, Ledger, OutgoingDispatch, Reachability, ReleaseDelivery, ReleaseRoute,
+    SocketEnd, UndeliveredReleases,
 };
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, watch};
@@ -56,7 +57,7 @@
     shared: Option<Granted>,
     floor: Option<Granted>,
     lapses: Option<Instant>,
-    unheard: Rc<Unheard>,
+    unheard: Rc<UndeliveredReleases>,
     /// Where failover between zones is decided, and the latency targets of open completions for it.
     desk: Option<Desked>,
     targets: BTreeMap<CompletionId, f64>,
@@ -143,7 +144,7 @@
                 _ = sleep_until(self.lapses.unwrap_or_else(Instant::now)), if self.lapses.is_some() => self.lapse(),
                 due = self.book.due() => {
                     self.lapse();
-                    self.handle(Input::Due(due));
+                    self.handle(Input::TimerFired(due));
                 }
                 _ = sleep_until(wakes.unwrap_or_else(Instant::now)), if wakes.is_some() => {
                     let heard = self.membership.tick(self.book.clock.now_ms());
@@ -208,7 +209,14 @@
                 let End { end, kept_tokens, state, .. } = end;
                 self.saw(completion, seq, &end);
                 self.met(completion, seq, failover::ended(self.targets.get(&completion), took_ms, &end));
-                self.handle(Input::Ended { completion, seq, took_ms, end, kept_tokens, state });
+                self.handle(Input::Ended {
+                    completion,
+                    seq,
+                    took_ms,
+                    end,
+                    cached_tokens: kept_tokens,
+                    state,
+                });
                 self.wholes.remove(&(completion, seq));
             }
             Told::Left { completion } => {
@@ -434,7 +442,7 @@
                     .into_iter()
                     .for_each(|address| self.engines.close_idle(address));
             }
-            Effect::Keeps { worker, session, tokens, prefix } => {
+            Effect::CacheUpdated { worker, session, tokens, prefix } => {
                 if let Some(start) = self.membership.start(&worker) {
                     self.state.keeps(&worker, start, session, tokens, prefix);
                 }
@@ -454,7 +462,7 @@
         request_id(self.settings.decisions.own_number, self.boot, completion, seq)
     }
 
-    fn send(&mut self, sending: Sending) {
+    fn send(&mut self, sending: OutgoingDispatch) {
         let (completion, seq) = (sending.completion, sending.seq);
         let Some(ask) = self.asks.get(&completion).cloned() else { return };
         let (sender, words) = mpsc::channel(2);
@@ -487,19 +495,20 @@
                 answer.map(|answer| match answer {
                     Ok((status, _, _)) if status < 500 => (worker, Call::Heard),
                     // Who refuses connections does not run, and holds nothing.
-                    Err(SocketEnd::ConnectRefused) => (worker, Call::Over(Deaf::Refused)),
-                    Ok(_) => (worker, Call::Failed(Deaf::Refused)),
-                    Err(_) => (worker, Call::Failed(Deaf::Silent)),
+                    Err(SocketEnd::ConnectRefused) => (worker, Call::Over(DeliveryFailure::Refused)),
+                    Ok(_) => (worker, Call::Failed(DeliveryFailure::Refused)),
+                    Err(_) => (worker, Call::Failed(DeliveryFailure::Silent)),
                 })
             };
             // Here only the holder can let go, so there is nobody to spread over.
-            let hearing = Hearing::new(None);
+            let hearing = Reachability::new(None);
             let now_ms = clock.now_ms();
-            let mut telling = Telling::new(worker.clone(), Others::None, 0, limit_ms, tries, now_ms);
-            let next = |telling: &mut Telling, now_ms| telling.next(now_ms, &hearing);
+            let mut telling =
+                ReleaseDelivery::new(worker.clone(), ReleaseRoute::HolderOnly, 0, limit_ms, tries, now_ms);
+            let next = |telling: &mut ReleaseDelivery, now_ms| telling.next_step(now_ms, &hearing);
             if letgo::tell(&mut telling, clock, next, call).await.is_none() {
-                let cause = telling.deaf().unwrap_or(Deaf::NoWay);
-                if unheard.count(cause, clock.now_ms()) {
+                let cause = telling.worst_failure().unwrap_or(DeliveryFailure::NoWay);
+                if unheard.record(cause, clock.now_ms()) {
                     let (cause, calls, unheard) = (cause.name(), telling.calls(), unheard.counts());
                     warn!(worker = %worker.0, cause, calls, ?unheard, "nobody heard what is let go of");
                 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -27,7 +27,7 @@
 
 use anyhow::{Context, Result};
 use paddleproxy_messages::{Dialect, EventNames, EVENTS};
-use paddleproxy_routing::{Admission, Bounds, Repeats, Requests};
+use paddleproxy_routing::{Admission, AdmissionLimits, IdempotencyKeys, RequestClassifier};
 use paddleproxy_settings::router::RouterSettings;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, watch};
@@ -115,12 +115,12 @@
         state.sit_at(desk.clone());
     }
     let after = state.recover(list::saved(&dir), &left);
-    let admission = Rc::new(RefCell::new(Admission::new(Bounds::of(&settings))));
+    let admission = Rc::new(RefCell::new(Admission::new(AdmissionLimits::from_settings(&settings))));
     let (to_fellows, asks) = mpsc::channel(8);
     let fellows = match fellows {
         Some((bound, row)) => {
             let (rules, floor) = peers::first(&settings, &row);
-            admission.borrow_mut().share(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
+            admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
             state.begin_with(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
             Some(peers::Fellows {
@@ -141,14 +141,17 @@
     let (workloads, keys_ms) = (settings.decisions.workloads.clone(), settings.front.keys_ms);
     let front = Rc::new(Front {
         settings: settings.front.clone(),
-        requests: RefCell::new(Requests::new(
+        requests: RefCell::new(RequestClassifier::new(
             settings.names.clone(),
             settings.rules.clone(),
             workloads,
             keys_ms,
         )),
         admission: admission.clone(),
-        repeats: Rc::new(RefCell::new(Repeats::new(settings.front.keys, settings.front.answer_memory_bytes))),
+        repeats: Rc::new(RefCell::new(IdempotencyKeys::new(
+            settings.front.keys,
+            settings.front.answer_memory_bytes,
+        ))),
         state: store.clone(),
         dialects: dialects(&settings),
         clock,
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,24 +1,29 @@
-//! What a router knows and decides between its sockets and `Control`: which completions it owes an answer, which
-//! dispatches are out, where states wait, which servers exist, what a request asks for and who is taken.
+//! A router's state between its sockets and the decision module `Control`: open completions, dispatches in
+//! flight, states that wait at readers, listed servers, the classification of requests, idempotency keys and
+//! admission.
 //!
-//! Pure state machines: told what happened and at what time (ms on the router's monotonic clock), they say what to
-//! do. No socket, clock, file or chance in here; `crates/router` carries events in and effects out.
+//! Pure state machines: they take events with their time (ms on the router's monotonic clock) and return what
+//! to do. This crate uses no sockets, clocks, files or randomness; `crates/router` feeds in events and
+//! carries out the effects.
 
 pub mod admission;
 pub mod facts;
+pub mod idempotency;
 pub mod ledger;
-pub mod letgo;
 pub mod outcomes;
-pub mod pace;
+pub mod release;
 pub mod repeat_guard;
-pub mod repeats;
+pub mod stall;
 pub mod write_check;
 
-pub use admission::{Admission, Bounds, CustomerLimits, Place, Reason, TurnedAway};
-pub use facts::{Facts, Requests};
-pub use ledger::{Counts, Decisions, Due, Effect, Input, Ledger, Sending, Stage};
-pub use letgo::{Deaf, Hearing, Next, Others, Telling, Unheard, AGAIN};
+pub use admission::{Admission, AdmissionLimits, CustomerLimits, Permit, RejectReason, Rejection};
+pub use facts::{RequestClassifier, RequestFacts};
+pub use idempotency::{IdempotencyKeys, Key, KeyDecision};
+pub use ledger::{Counts, Decisions, Effect, Input, Ledger, LedgerTimer, OutgoingDispatch, Stage};
 pub use outcomes::{outcome, SocketEnd};
-pub use pace::Pace;
-pub use repeats::{Key, Repeats, Verdict};
+pub use release::{
+    DeliveryFailure, DeliveryStep, Reachability, ReleaseDelivery, ReleaseRoute, UndeliveredReleases,
+    RETRIES_PER_LIMIT,
+};
+pub use stall::StallDetector;
 pub use write_check::{Withdrawal, WriteCheck};
