--- a/crates/failover/src/desk.rs
+++ b/crates/failover/src/controller.rs
@@ -6,16 +6,16 @@
 use paddleproxy::interface::{KindId, ListKind, Listing, Readiness, Role, SessionId, WorkerId, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::{Matrix, Row, Seen};
+use crate::evidence::{EvidenceRow, Matrix, ZoneCounts};
 use crate::homes::Homes;
-use crate::plan::{Bounds, Hands, Plan, Word, WHOLE};
+use crate::operator_commands::CommandRegister;
+use crate::plan::{FlapHistory, OperatorCommand, Plan, PlanLimits, WHOLE_SHARE};
 use crate::verdict::{judge, Verdict};
-use crate::words::Sayings;
-use crate::{Map, Zone};
+use crate::{Topology, Zone};
 
 /// What a dispatch met, or a mere question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
+pub enum DispatchOutcome {
     InTarget,
     Late,
     Refused,
@@ -28,7 +28,7 @@
 /// The figures by which a desk goes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    pub map: Map,
+    pub map: Topology,
     pub own: Zone,
     pub place: u16,
     /// Time in which what was met counts half, and that a plan in force may lag, in ms.
@@ -46,9 +46,9 @@
 
 /// What the page carries.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct AgreedPlan {
     pub plan: Plan,
-    pub hands: Hands,
+    pub hands: FlapHistory,
 }
 
 /// Leases for which a zone has to be well without a break before its sessions come back; doubles with each flap, up to
@@ -73,25 +73,25 @@
 }
 
 /// Lives as long as the router.
-pub struct Desk {
+pub struct FailoverController {
     rules: Rules,
     now_ms: f64,
-    seen: BTreeMap<Zone, Seen>,
+    seen: BTreeMap<Zone, ZoneCounts>,
     asked: BTreeMap<Zone, f32>,
     faded_ms: f64,
     loads: BTreeMap<WorkerId, Load>,
     zones: BTreeMap<WorkerId, (Zone, Role, bool)>,
     homes: Homes,
-    pub sayings: Sayings,
-    said: (Row, f64),
+    pub sayings: CommandRegister,
+    said: (EvidenceRow, f64),
     /// In force here: none without a lease.
-    agreed: Option<Agreed>,
+    agreed: Option<AgreedPlan>,
     /// Number of the page that it came with.
     forced: Option<u64>,
     /// As proposer: since when each zone is well without a break.
     well: BTreeMap<Zone, f64>,
     /// What was last made of all rows, for operators.
-    pub last: Looked,
+    pub last: Assessment,
     /// Completions that had their home moved, and all, since the start.
     pub moved_total: u64,
     pub homed_total: u64,
@@ -99,7 +99,7 @@
 
 /// What all rows came to.
 #[derive(Clone, Debug, Default)]
-pub struct Looked {
+pub struct Assessment {
     pub verdicts: Vec<Verdict>,
     pub demand: Vec<f64>,
     pub capacity: Vec<f64>,
@@ -107,10 +107,10 @@
     pub speaking: Vec<Zone>,
 }
 
-impl Desk {
+impl FailoverController {
     pub fn new(now_ms: f64, rules: Rules) -> Self {
         let homes = Homes::new(rules.weights_act);
-        Desk {
+        FailoverController {
             homes,
             now_ms,
             seen: BTreeMap::new(),
@@ -118,12 +118,12 @@
             faded_ms: now_ms,
             loads: BTreeMap::new(),
             zones: BTreeMap::new(),
-            sayings: Sayings::default(),
-            said: (Row::default(), f64::NEG_INFINITY),
+            sayings: CommandRegister::default(),
+            said: (EvidenceRow::default(), f64::NEG_INFINITY),
             agreed: None,
             forced: None,
             well: BTreeMap::new(),
-            last: Looked::default(),
+            last: Assessment::default(),
             moved_total: 0,
             homed_total: 0,
             rules,
@@ -134,7 +134,7 @@
         &self.rules
     }
 
-    pub fn agreed(&self) -> Option<&Agreed> {
+    pub fn agreed(&self) -> Option<&AgreedPlan> {
         self.agreed.as_ref()
     }
 
@@ -168,18 +168,18 @@
     }
 
     /// What a dispatch of ours met at a server, or a mere question.
-    pub fn met(&mut self, now_ms: f64, worker: &WorkerId, met: Met) {
+    pub fn met(&mut self, now_ms: f64, worker: &WorkerId, met: DispatchOutcome) {
         let Some((zone, ..)) = self.zones.get(worker).copied() else { return };
         self.fade(now_ms);
         let seen = self.seen.entry(zone).or_default();
         let count = match met {
-            Met::InTarget => &mut seen.in_target,
-            Met::Late => &mut seen.late,
-            Met::Refused => &mut seen.refused,
-            Met::Silent => &mut seen.silent,
-            Met::Broken => &mut seen.broken,
-            Met::Full => &mut seen.full,
-            Met::Answered => &mut seen.answered,
+            DispatchOutcome::InTarget => &mut seen.in_target,
+            DispatchOutcome::Late => &mut seen.late,
+            DispatchOutcome::Refused => &mut seen.refused,
+            DispatchOutcome::Silent => &mut seen.silent,
+            DispatchOutcome::Broken => &mut seen.broken,
+            DispatchOutcome::Full => &mut seen.full,
+            DispatchOutcome::Answered => &mut seen.answered,
         };
         *count += 1.0;
     }
@@ -237,11 +237,11 @@
 
     /// The own row as it is now; the one told before as long as that says nearly the same. `times`: routers that it
     /// stands for; none where others of its zone tell, and it passes operators' words on alone.
-    pub fn row(&mut self, now_ms: f64, times: Option<f32>) -> Row {
+    pub fn row(&mut self, now_ms: f64, times: Option<f32>) -> EvidenceRow {
         self.fade(now_ms);
         let Some(times) = times else {
             let words = self.sayings.holding(self.now_ms).map(|(saying, _)| saying).collect();
-            return Row { from: self.rules.own.0, words, ..Row::default() };
+            return EvidenceRow { from: self.rules.own.0, words, ..EvidenceRow::default() };
         };
         let count = |zone: Zone, usable: bool| {
             let all = self.zones.values().filter(|row| row.0 == zone && (row.2 || !usable)).count();
@@ -250,12 +250,13 @@
         let seen = self.rules.map.zones().filter_map(|zone| {
             let seen = self.seen.get(&zone).copied().unwrap_or_default();
             let (listed, usable, load) = (count(zone, false), count(zone, true), self.load(zone));
-            (listed > 0 || self.homes.knows(zone)).then_some((zone.0, Seen { listed, usable, load, ..seen }))
+            (listed > 0 || self.homes.knows(zone))
+                .then_some((zone.0, ZoneCounts { listed, usable, load, ..seen }))
         });
         let seen: Vec<_> = seen.collect();
         let homes = self.asked.iter().map(|(zone, count)| (zone.0, (4.0 * count).round() / 4.0)).collect();
         let words = self.sayings.holding(self.now_ms).map(|(saying, _)| saying).collect();
-        let row = Row { from: self.rules.own.0, times, seen, homes, words };
+        let row = EvidenceRow { from: self.rules.own.0, times, seen, homes, words };
         let (said, at_ms) = &self.said;
         if differs(said, &row) || now_ms >= at_ms + TOLD_ANEW * self.rules.lease_ms {
             self.said = (row, now_ms);
@@ -264,7 +265,7 @@
     }
 
     /// Takes in words that fellows know of; whether there was news.
-    pub fn hear<'a>(&mut self, now_ms: f64, rows: impl IntoIterator<Item = &'a Row>) -> bool {
+    pub fn hear<'a>(&mut self, now_ms: f64, rows: impl IntoIterator<Item = &'a EvidenceRow>) -> bool {
         let mut news = false;
         for saying in rows.into_iter().flat_map(|row| &row.words) {
             news |= self.sayings.hear(now_ms, *saying, f64::from(saying.for_ms));
@@ -282,7 +283,7 @@
         let before = self.agreed.take();
         self.forced = number;
         self.agreed = page.and_then(|(_, extra)| read(extra));
-        let moves = |agreed: &Option<Agreed>| {
+        let moves = |agreed: &Option<AgreedPlan>| {
             agreed.as_ref().map(|agreed| agreed.plan.moves.clone()).unwrap_or_default()
         };
         moves(&before) != moves(&self.agreed)
@@ -304,7 +305,7 @@
 
     /// What the page after one that carries `before` is to carry: the same rows, verdicts and words give the same
     /// plan. `rows`: of all who are heard, this router's own among them; `speaking`: zones that some of them are in.
-    pub fn next(&mut self, now_ms: f64, before: &[u8], rows: &[Row], speaking: &[Zone]) -> Vec<u8> {
+    pub fn next(&mut self, now_ms: f64, before: &[u8], rows: &[EvidenceRow], speaking: &[Zone]) -> Vec<u8> {
         self.fade(now_ms);
         let before = read(before).unwrap_or_default();
         let map = self.rules.map.clone();
@@ -312,37 +313,37 @@
         let mut verdicts = judge(&map, &matrix, speaking);
         if self.rules.told {
             // Who sees the true state needs no evidence: all is well but where a word says otherwise.
-            verdicts.fill(Verdict::Well);
+            verdicts.fill(Verdict::Healthy);
         }
         // Counts that halve in a lease hold what came in 1.44 of them.
         let per_s = std::f64::consts::LN_2 / self.rules.lease_ms.max(1.0) * 1e3;
         let demand: Vec<f64> =
             map.zones().map(|zone| matrix.homes.get(&zone).copied().unwrap_or(0.0) * per_s).collect();
         let capacity: Vec<f64> = map.zones().map(|zone| capacity(&matrix, zone, per_s)).collect();
-        let bounds = Bounds {
+        let bounds = PlanLimits {
             demand: demand.clone(),
             capacity: capacity.clone(),
             reserve: self.rules.reserve,
             out: self.rules.out,
             back: self.rules.back,
         };
-        let Agreed { plan, mut hands } = before;
+        let AgreedPlan { plan, mut hands } = before;
         let patient = self.patient(&plan, &mut hands, &verdicts);
         let words = self.sayings.words(self.now_ms);
         let plan = plan.next(&map, &patient, &bounds, &words, &mut hands);
-        self.last = Looked { verdicts, demand, capacity, matrix, speaking: speaking.to_vec() };
+        self.last = Assessment { verdicts, demand, capacity, matrix, speaking: speaking.to_vec() };
         if plan.number == 0 {
             // Nothing ever moved: pages stay as they are without failover.
             return Vec::new();
         }
-        postcard::to_stdvec(&Agreed { plan, hands }).unwrap_or_default()
+        postcard::to_stdvec(&AgreedPlan { plan, hands }).unwrap_or_default()
     }
 
     /// A zone whose sessions are away and that is well counts as unknown until it was well for long enough.
-    fn patient(&mut self, plan: &Plan, hands: &mut Hands, verdicts: &[Verdict]) -> Vec<Verdict> {
+    fn patient(&mut self, plan: &Plan, hands: &mut FlapHistory, verdicts: &[Verdict]) -> Vec<Verdict> {
         let (now_ms, lease_ms) = (self.now_ms, self.rules.lease_ms);
         let one = |(zone, verdict): (Zone, &Verdict)| {
-            if *verdict != Verdict::Well {
+            if *verdict != Verdict::Healthy {
                 self.well.remove(&zone);
                 return verdict.clone();
             }
@@ -355,7 +356,7 @@
             if plan.moved(zone) == 0 && now_ms >= since_ms + FORGIVEN * lease_ms {
                 hands.flaps.remove(&zone.0);
             }
-            Verdict::Well
+            Verdict::Healthy
         };
         self.rules.map.zones().zip(verdicts).map(one).collect()
     }
@@ -378,16 +379,16 @@
     (mixed ^ (mixed >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93)
 }
 
-fn read(extra: &[u8]) -> Option<Agreed> {
-    let agreed: Agreed = postcard::from_bytes(extra).ok()?;
+fn read(extra: &[u8]) -> Option<AgreedPlan> {
+    let agreed: AgreedPlan = postcard::from_bytes(extra).ok()?;
     let whole = |rows: &Vec<(u8, u16)>| {
-        rows.iter().map(|(_, share)| u32::from(*share)).sum::<u32>() <= u32::from(WHOLE)
+        rows.iter().map(|(_, share)| u32::from(*share)).sum::<u32>() <= u32::from(WHOLE_SHARE)
     };
     agreed.plan.moves.values().all(whole).then_some(agreed)
 }
 
 /// Whether a row says another thing than the one that was told.
-fn differs(old: &Row, new: &Row) -> bool {
+fn differs(old: &EvidenceRow, new: &EvidenceRow) -> bool {
     if old.words != new.words
         || old.times != new.times
         || old.seen.len() != new.seen.len()
@@ -396,9 +397,9 @@
         return true;
     }
     let far = |old: f32, new: f32| (old - new).abs() > WORTH * old.max(new) + 1.0;
-    let seen = |(a, b): (&(u8, Seen), &(u8, Seen))| {
+    let seen = |(a, b): (&(u8, ZoneCounts), &(u8, ZoneCounts))| {
         let ((a_zone, a), (b_zone, b)) = (a, b);
-        let share = |seen: &Seen, part: f32| if seen.tried() > 0.0 { part / seen.tried() } else { 0.0 };
+        let share = |seen: &ZoneCounts, part: f32| if seen.tried() > 0.0 { part / seen.tried() } else { 0.0 };
         a_zone != b_zone
             || (a.listed, a.usable) != (b.listed, b.usable)
             || far(a.in_target + a.late, b.in_target + b.late)
@@ -413,14 +414,14 @@
 }
 
 /// An operator's word as it is said.
-impl std::str::FromStr for Word {
+impl std::str::FromStr for OperatorCommand {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Word, String> {
+    fn from_str(text: &str) -> Result<OperatorCommand, String> {
         match text {
-            "hold" => Ok(Word::Hold),
-            "drain-zone" => Ok(Word::Drain),
-            "return" => Ok(Word::Return),
+            "hold" => Ok(OperatorCommand::Hold),
+            "drain-zone" => Ok(OperatorCommand::Drain),
+            "return" => Ok(OperatorCommand::Return),
             other => Err(format!("'{other:.32}' is none of hold, drain-zone, return")),
         }
     }
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -4,14 +4,14 @@
 
 use serde::{Deserialize, Serialize};
 
+use crate::operator_commands::StampedCommand;
 use crate::verdict::{sight, Sight};
-use crate::words::Saying;
 use crate::Zone;
 
 /// What dispatches to one zone met, in dispatches of late; halves in a time that the caller sets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Small", into = "Small")]
-pub struct Seen {
+pub struct ZoneCounts {
     /// First tokens in target, and after it.
     pub in_target: f32,
     pub late: f32,
@@ -30,7 +30,7 @@
     pub usable: u16,
 }
 
-impl Seen {
+impl ZoneCounts {
     pub fn tried(&self) -> f32 {
         self.in_target + self.late + self.refused + self.silent + self.broken + self.full + self.answered
     }
@@ -54,7 +54,7 @@
         }
     }
 
-    fn add(&mut self, other: &Seen) {
+    fn add(&mut self, other: &ZoneCounts) {
         self.in_target += other.in_target;
         self.late += other.late;
         self.refused += other.refused;
@@ -69,7 +69,7 @@
 
     /// No number that is not one, none below 0, none beyond what a router could have tried.
     fn sound(&self) -> bool {
-        let Seen { in_target, late, refused, silent, broken, full, answered, load, .. } = *self;
+        let ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, .. } = *self;
         let counts = [in_target, late, refused, silent, broken, full, answered, load];
         counts.iter().all(|count| count.is_finite() && (0.0..=COUNT_MAX).contains(count))
     }
@@ -91,20 +91,21 @@
     (f32::from(step) / STEPS).exp2() - 1.0
 }
 
-impl From<Seen> for Small {
-    fn from(seen: Seen) -> Self {
-        let Seen { in_target, late, refused, silent, broken, full, answered, load, listed, usable } = seen;
+impl From<ZoneCounts> for Small {
+    fn from(seen: ZoneCounts) -> Self {
+        let ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, listed, usable } =
+            seen;
         let counts = [in_target, late, refused, silent, broken, full, answered].map(small);
         let [a, b, c, d, e, f, g] = counts;
         Small([a, b, c, d, e, f, g, (load.clamp(0.0, 2.0) * 100.0).round() as u8], listed, usable)
     }
 }
 
-impl From<Small> for Seen {
+impl From<Small> for ZoneCounts {
     fn from(Small([a, b, c, d, e, f, g, load], listed, usable): Small) -> Self {
         let [in_target, late, refused, silent, broken, full, answered] = [a, b, c, d, e, f, g].map(large);
         let load = f32::from(load) / 100.0;
-        Seen { in_target, late, refused, silent, broken, full, answered, load, listed, usable }
+        ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, listed, usable }
     }
 }
 
@@ -117,39 +118,39 @@
 
 /// What one router says: where it stands, and of each zone that it tried what it saw. Bounded by zones, never by servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct EvidenceRow {
     pub from: u8,
     /// Routers of its zone that it stands for: where a zone has many, some of them tell for all.
     pub times: f32,
-    pub seen: Vec<(u8, Seen)>,
+    pub seen: Vec<(u8, ZoneCounts)>,
     /// Completions of late whose sessions have their home in a zone while no plan is in force.
     pub homes: Vec<(u8, f32)>,
     /// Operators' words that it knows of.
-    pub words: Vec<Saying>,
+    pub words: Vec<StampedCommand>,
 }
 
-impl Default for Row {
+impl Default for EvidenceRow {
     fn default() -> Self {
-        Row { from: 0, times: 1.0, seen: Vec::new(), homes: Vec::new(), words: Vec::new() }
+        EvidenceRow { from: 0, times: 1.0, seen: Vec::new(), homes: Vec::new(), words: Vec::new() }
     }
 }
 
 /// Routers of a zone that tell what it sees; of more the lowest places do, each for its part of all. Keeps evidence at a
 /// thousand routers to some hundreds of rows. Harm: who tells stands for those whose traffic may differ.
-pub const TELLERS: usize = 9;
+pub const MAX_REPORTERS_PER_ZONE: usize = 9;
 
 /// For how many routers one tells that has so many of its zone below it, itself not counted, of so many; none where
 /// others do.
-pub fn tells(rank: usize, all: usize) -> Option<f32> {
-    (rank < TELLERS).then(|| all.max(1) as f32 / all.clamp(1, TELLERS) as f32)
+pub fn represented_routers(rank: usize, all: usize) -> Option<f32> {
+    (rank < MAX_REPORTERS_PER_ZONE).then(|| all.max(1) as f32 / all.clamp(1, MAX_REPORTERS_PER_ZONE) as f32)
 }
 
 /// Bytes that are no row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a row of evidence")]
-pub struct NoRow;
+pub struct EvidenceError;
 
-impl Row {
+impl EvidenceRow {
     /// Writing plain values to memory can't fail; an empty row is refused by its reader.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
@@ -159,8 +160,8 @@
     ///
     /// # Errors
     /// Bytes that are none, or figures that no router could have counted.
-    pub fn read(bytes: &[u8]) -> Result<Row, NoRow> {
-        let row: Row = postcard::from_bytes(bytes).map_err(|_| NoRow)?;
+    pub fn read(bytes: &[u8]) -> Result<EvidenceRow, EvidenceError> {
+        let row: EvidenceRow = postcard::from_bytes(bytes).map_err(|_| EvidenceError)?;
         let ordered = row.seen.windows(2).all(|pair| pair[0].0 < pair[1].0);
         let counted = |(_, count): &(u8, f32)| count.is_finite() && (0.0..=COUNT_MAX).contains(count);
         let sound = row.seen.len().max(row.homes.len()).max(row.words.len()) <= ZONES_MAX
@@ -172,7 +173,7 @@
         if sound {
             Ok(row)
         } else {
-            Err(NoRow)
+            Err(EvidenceError)
         }
     }
 }
@@ -180,7 +181,7 @@
 /// Who saw what from where: observing zone and observed zone, with the number of routers behind each.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Matrix {
-    pub seen: BTreeMap<(Zone, Zone), Saw>,
+    pub seen: BTreeMap<(Zone, Zone), ZoneObservation>,
     /// Completions of late by the home of their sessions, and the load of each zone as the middle one heard of it.
     pub homes: BTreeMap<Zone, f64>,
     pub loads: BTreeMap<Zone, f64>,
@@ -190,8 +191,8 @@
 
 /// What the routers of one zone saw of one.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Saw {
-    pub sum: Seen,
+pub struct ZoneObservation {
+    pub sum: ZoneCounts,
     pub routers: usize,
     /// Shares as the middle router has them, of two middle ones the better: of what was tried that met nobody; of what
     /// was answered or broke off that was in target; of that and what was turned away that was.
@@ -203,9 +204,9 @@
 /// Dispatches of late from which a router's share of one zone counts.
 const OWN_LEAST: f32 = 1.0;
 
-impl Saw {
-    fn of(sum: Seen, all: &[Seen]) -> Saw {
-        let shares = |part: fn(&Seen) -> f32, whole: fn(&Seen) -> f32| {
+impl ZoneObservation {
+    fn of(sum: ZoneCounts, all: &[ZoneCounts]) -> ZoneObservation {
+        let shares = |part: fn(&ZoneCounts) -> f32, whole: fn(&ZoneCounts) -> f32| {
             let mut shares: Vec<f32> = all
                 .iter()
                 .filter(|seen| whole(seen) >= OWN_LEAST)
@@ -214,14 +215,14 @@
             shares.sort_by(f32::total_cmp);
             shares
         };
-        let answered = |seen: &Seen| seen.in_target + seen.late + seen.dead();
-        let dead = shares(Seen::dead, Seen::tried);
+        let answered = |seen: &ZoneCounts| seen.in_target + seen.late + seen.dead();
+        let dead = shares(ZoneCounts::dead, ZoneCounts::tried);
         let good = shares(|seen| seen.in_target, answered);
         let full = shares(|seen| seen.full, |seen| seen.in_target + seen.late + seen.dead() + seen.full);
         // Of an even number the better of the middle two: one of two routers alone says nothing against a zone.
         let low = |shares: &[f32]| shares.get(shares.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
         let high = |shares: &[f32]| shares.get(shares.len() / 2).copied().unwrap_or(1.0);
-        Saw { sum, routers: all.len(), dead: low(&dead), good: high(&good), full: low(&full) }
+        ZoneObservation { sum, routers: all.len(), dead: low(&dead), good: high(&good), full: low(&full) }
     }
 }
 
@@ -232,8 +233,8 @@
 
 impl Matrix {
     /// The sum of all rows, whatever their order.
-    pub fn of<'a>(rows: impl IntoIterator<Item = &'a Row>) -> Matrix {
-        let mut by: BTreeMap<(Zone, Zone), Vec<Seen>> = BTreeMap::new();
+    pub fn of<'a>(rows: impl IntoIterator<Item = &'a EvidenceRow>) -> Matrix {
+        let mut by: BTreeMap<(Zone, Zone), Vec<ZoneCounts>> = BTreeMap::new();
         let mut homes: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut loads: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut lists: BTreeMap<Zone, (usize, usize)> = BTreeMap::new();
@@ -266,17 +267,17 @@
         for (key, mut all) in by {
             // Sorted by all they hold, so that sums of fractions come out the same everywhere.
             all.sort_by(|a, b| {
-                let figures = |seen: &Seen| {
-                    let Seen { in_target, late, refused, silent, broken, full, answered, .. } = *seen;
+                let figures = |seen: &ZoneCounts| {
+                    let ZoneCounts { in_target, late, refused, silent, broken, full, answered, .. } = *seen;
                     [in_target, late, refused, silent, broken, full, answered].map(f32::to_bits)
                 };
                 figures(a).cmp(&figures(b)).then((a.listed, a.usable).cmp(&(b.listed, b.usable)))
             });
-            let mut tried: Vec<f32> = all.iter().map(Seen::tried).collect();
+            let mut tried: Vec<f32> = all.iter().map(ZoneCounts::tried).collect();
             tried.sort_by(f32::total_cmp);
             let most =
                 if tried.len() > 2 { ONE_MOST * tried[tried.len() / 2].max(1.0) } else { f32::INFINITY };
-            let mut sum = Seen::default();
+            let mut sum = ZoneCounts::default();
             for mut seen in all.iter().copied() {
                 let tried = seen.tried();
                 if tried > most {
@@ -284,7 +285,7 @@
                 }
                 sum.add(&seen);
             }
-            matrix.seen.insert(key, Saw::of(sum, &all));
+            matrix.seen.insert(key, ZoneObservation::of(sum, &all));
         }
         matrix
     }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,23 +1,23 @@
 //! Failover between zones and regions: what each router saw of each zone ([`Row`]), what that comes to ([`judge`]), and
 //! which share of a zone's sessions has its home where ([`Plan`]). Pure: no socket, clock, log or chance.
 //!
-//! [`Desk`] holds all of one router: it is told what dispatches met and what fellows' rows say, and says which zone a
+//! [`FailoverController`] holds all of one router: it is told what dispatches met and what fellows' rows say, and says which zone a
 //! session's home moved to. Rows and plans travel as bytes with `paddleproxy-peers`; `docs/design/failover.md` has the
 //! options and tables.
 
-pub mod desk;
+pub mod controller;
 pub mod evidence;
 pub mod homes;
+pub mod operator_commands;
 pub mod plan;
 pub mod verdict;
-pub mod words;
 
-pub use desk::{Agreed, Desk, Met, Rules};
-pub use evidence::{Matrix, Row, Saw, Seen};
+pub use controller::{AgreedPlan, DispatchOutcome, FailoverController, Rules};
+pub use evidence::{EvidenceRow, Matrix, ZoneCounts, ZoneObservation};
 pub use homes::Homes;
-pub use plan::{Bounds, Hands, Plan, Word};
+pub use operator_commands::{CommandRegister, StampedCommand};
+pub use plan::{FlapHistory, OperatorCommand, Plan, PlanLimits};
 pub use verdict::{judge, Verdict};
-pub use words::{Saying, Sayings};
 
 use serde::{Deserialize, Serialize};
 
@@ -27,14 +27,14 @@
 
 /// Which zone is in which region, and what each pair costs; nothing that could be measured.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Map {
+pub struct Topology {
     /// Region of each zone.
     pub regions: Vec<u8>,
     /// Cost from each zone to each.
     pub costs: Vec<Vec<f64>>,
 }
 
-impl Map {
+impl Topology {
     pub fn zones(&self) -> impl Iterator<Item = Zone> {
         (0..self.regions.len()).map(|zone| Zone(zone as u8))
     }
--- a/crates/failover/src/words.rs
+++ b/crates/failover/src/operator_commands.rs
@@ -5,17 +5,17 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::plan::Word;
+use crate::plan::OperatorCommand;
 
 /// Most zones of which words are kept, and the longest time that one holds, in ms.
 const ZONES_MAX: usize = 64;
-pub const FOR_MAX_MS: f64 = 24.0 * 3_600_000.0;
+pub const MAX_COMMAND_MS: f64 = 24.0 * 3_600_000.0;
 
 /// One word as it is told.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Saying {
+pub struct StampedCommand {
     pub zone: u8,
-    pub word: Word,
+    pub word: OperatorCommand,
     /// Higher than any on this zone that its first hearer knew, then that one's place: no clock of the wall.
     pub stamp: (u32, u16),
     /// How long it holds at each who hears of it, in ms.
@@ -24,25 +24,33 @@
 
 /// What one router knows of them.
 #[derive(Clone, Debug, Default)]
-pub struct Sayings {
+pub struct CommandRegister {
     /// By zone, with the own clock's time at which it ends.
-    known: BTreeMap<u8, (Saying, f64)>,
+    known: BTreeMap<u8, (StampedCommand, f64)>,
 }
 
-impl Sayings {
+impl CommandRegister {
     /// An operator says it here.
-    pub fn say(&mut self, now_ms: f64, place: u16, zone: u8, word: Word, for_ms: f64) -> Saying {
+    pub fn say(
+        &mut self,
+        now_ms: f64,
+        place: u16,
+        zone: u8,
+        word: OperatorCommand,
+        for_ms: f64,
+    ) -> StampedCommand {
         let last = self.known.get(&zone).map_or(0, |(saying, _)| saying.stamp.0);
-        let for_ms = for_ms.clamp(0.0, FOR_MAX_MS);
-        let saying = Saying { zone, word, stamp: (last.saturating_add(1), place), for_ms: for_ms as f32 };
+        let for_ms = for_ms.clamp(0.0, MAX_COMMAND_MS);
+        let saying =
+            StampedCommand { zone, word, stamp: (last.saturating_add(1), place), for_ms: for_ms as f32 };
         self.known.insert(zone, (saying, now_ms + for_ms));
         saying
     }
 
     /// A fellow tells it, or a file of the own earlier run with `left_ms` to go. Whether it is news. A stamp that is
     /// known never comes back, however late it is told: what has ended stays so.
-    pub fn hear(&mut self, now_ms: f64, saying: Saying, left_ms: f64) -> bool {
-        let good = saying.for_ms.is_finite() && (0.0..=FOR_MAX_MS as f32).contains(&saying.for_ms);
+    pub fn hear(&mut self, now_ms: f64, saying: StampedCommand, left_ms: f64) -> bool {
+        let good = saying.for_ms.is_finite() && (0.0..=MAX_COMMAND_MS as f32).contains(&saying.for_ms);
         let newer = self.known.get(&saying.zone).is_none_or(|(known, _)| saying.stamp > known.stamp);
         let room = self.known.len() < ZONES_MAX || self.known.contains_key(&saying.zone);
         let news = good && newer && room;
@@ -54,13 +62,13 @@
     }
 
     /// Those that hold, with the time that they have left.
-    pub fn holding(&self, now_ms: f64) -> impl Iterator<Item = (Saying, f64)> + '_ {
-        let left = move |(saying, until): &(Saying, f64)| (*saying, until - now_ms);
+    pub fn holding(&self, now_ms: f64) -> impl Iterator<Item = (StampedCommand, f64)> + '_ {
+        let left = move |(saying, until): &(StampedCommand, f64)| (*saying, until - now_ms);
         self.known.values().map(left).filter(|(_, left)| *left > 0.0)
     }
 
     /// The words in force, by zone.
-    pub fn words(&self, now_ms: f64) -> BTreeMap<u8, Word> {
+    pub fn words(&self, now_ms: f64) -> BTreeMap<u8, OperatorCommand> {
         self.holding(now_ms).map(|(saying, _)| (saying.zone, saying.word)).collect()
     }
 }
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::verdict::Verdict;
-use crate::{Map, Zone};
+use crate::{Topology, Zone};
 
 /// What all sessions of a zone add up to.
-pub const WHOLE: u16 = 10_000;
+pub const WHOLE_SHARE: u16 = 10_000;
 
 /// For each zone that some sessions moved from: where to, in the order in which they moved.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -20,7 +20,7 @@
 
 /// What may be asked of zones: dispatches a second that their sessions ask for at home, and that they can take.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Bounds {
+pub struct PlanLimits {
     pub demand: Vec<f64>,
     pub capacity: Vec<f64>,
     /// Part of a zone's room beyond its own demand that is never given to others.
@@ -32,7 +32,7 @@
 
 /// An operator's word on a zone; it wins over what was seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum OperatorCommand {
     /// Its plan stays as it is.
     Hold,
     /// Its sessions move away, as far as there is room.
@@ -43,7 +43,7 @@
 
 /// What a zone's coming and going was like of late, so that hands grow calmer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Hands {
+pub struct FlapHistory {
     /// Times that each zone went out again while it was coming back.
     pub flaps: BTreeMap<u8, u32>,
     /// Zones that come back.
@@ -59,10 +59,10 @@
 /// All that one step of a plan goes by.
 struct Case<'a> {
     before: &'a Plan,
-    map: &'a Map,
+    map: &'a Topology,
     verdicts: &'a [Verdict],
-    bounds: &'a Bounds,
-    words: &'a BTreeMap<u8, Word>,
+    bounds: &'a PlanLimits,
+    words: &'a BTreeMap<u8, OperatorCommand>,
 }
 
 impl Plan {
@@ -74,7 +74,7 @@
     /// Where a session of a zone has its home, by its hash.
     pub fn home(&self, from: Zone, hash: u64) -> Zone {
         // The upper bits: the lower ones rank servers.
-        let mut at = ((u128::from(hash) * u128::from(WHOLE)) >> 64) as u16;
+        let mut at = ((u128::from(hash) * u128::from(WHOLE_SHARE)) >> 64) as u16;
         for (to, share) in self.moves.get(&from.0).into_iter().flatten() {
             if at < *share {
                 return Zone(*to);
@@ -87,7 +87,7 @@
     /// Share of a zone's sessions that has its home in another.
     pub fn share(&self, from: Zone, to: Zone) -> f64 {
         let rows = self.moves.get(&from.0).into_iter().flatten().filter(|(zone, _)| *zone == to.0);
-        rows.map(|(_, share)| f64::from(*share)).sum::<f64>() / f64::from(WHOLE)
+        rows.map(|(_, share)| f64::from(*share)).sum::<f64>() / f64::from(WHOLE_SHARE)
     }
 
     /// What a zone is given by others, in dispatches a second.
@@ -100,28 +100,28 @@
     /// The next plan. The same plan, verdicts, bounds and words give the same one, wherever it is made.
     pub fn next(
         &self,
-        map: &Map,
+        map: &Topology,
         verdicts: &[Verdict],
-        bounds: &Bounds,
-        words: &BTreeMap<u8, Word>,
-        hands: &mut Hands,
+        bounds: &PlanLimits,
+        words: &BTreeMap<u8, OperatorCommand>,
+        hands: &mut FlapHistory,
     ) -> Plan {
         let case = Case { before: self, map, verdicts, bounds, words };
         let mut plan = Plan { number: self.number.saturating_add(1), moves: self.moves.clone() };
         for zone in map.zones() {
             let verdict = verdicts.get(usize::from(zone.0)).unwrap_or(&Verdict::Unknown);
             let wanted = match (words.get(&zone.0), verdict) {
-                (Some(Word::Hold), _) => continue,
-                (Some(Word::Drain), _) => 1.0,
-                (Some(Word::Return), _) => 0.0,
+                (Some(OperatorCommand::Hold), _) => continue,
+                (Some(OperatorCommand::Drain), _) => 1.0,
+                (Some(OperatorCommand::Return), _) => 0.0,
                 (None, Verdict::Lost) => 1.0,
                 (None, Verdict::Impaired(share)) => (1.0 - share).min(1.0 - STAYS),
                 // Homes stay: overflow moves completion by completion, as without a plan.
-                (None, Verdict::Well | Verdict::Full) => 0.0,
+                (None, Verdict::Healthy | Verdict::Full) => 0.0,
                 // Without eyes on it, or with a path that is cut, what stands stands.
                 (None, Verdict::CutPath(_) | Verdict::Unknown) => continue,
             };
-            let now = f64::from(plan.moved(zone)) / f64::from(WHOLE);
+            let now = f64::from(plan.moved(zone)) / f64::from(WHOLE_SHARE);
             let impaired = matches!(verdict, Verdict::Impaired(_)) && !words.contains_key(&zone.0);
             // What an impaired zone still carries wavers: out by steps that are worth it, back when it is well.
             if impaired && wanted < now + STAYS {
@@ -154,8 +154,8 @@
     /// lease, so each zone of origin counts with the larger of what it gives by this plan and by the one before.
     fn room(&self, case: &Case, to: Zone) -> f64 {
         let at = usize::from(to.0);
-        let takes =
-            case.verdicts.get(at) == Some(&Verdict::Well) && case.words.get(&to.0) != Some(&Word::Drain);
+        let takes = case.verdicts.get(at) == Some(&Verdict::Healthy)
+            && case.words.get(&to.0) != Some(&OperatorCommand::Drain);
         let of = |rows: &[f64]| rows.get(at).copied().unwrap_or(0.0);
         // A zone whose own sessions are away or coming back takes nobody else's.
         if !takes || self.moved(to) > 0 {
@@ -173,13 +173,13 @@
     /// Moves a further share of a zone's sessions, as far as the others have room; the rest stays and is refused near.
     fn push(&mut self, case: &Case, from: Zone, share: f64) {
         let demand = case.bounds.demand.get(usize::from(from.0)).copied().unwrap_or(0.0).max(1e-9);
-        let mut left = (share * f64::from(WHOLE)).round() as u16;
+        let mut left = (share * f64::from(WHOLE_SHARE)).round() as u16;
         for to in case.map.order(from) {
             if left == 0 {
                 return;
             }
-            let room = self.room(case, to) / demand * f64::from(WHOLE);
-            let takes = left.min(room.floor().min(f64::from(WHOLE)) as u16);
+            let room = self.room(case, to) / demand * f64::from(WHOLE_SHARE);
+            let takes = left.min(room.floor().min(f64::from(WHOLE_SHARE)) as u16);
             if takes == 0 {
                 continue;
             }
@@ -214,7 +214,7 @@
                 // Those who moved last alone: the order in which sessions moved is the order of their hashes.
                 let last = self.moves.get(&from.0).and_then(|rows| rows.last()).copied();
                 if let Some((_, held)) = last.filter(|(last, _)| *last == to.0 && over > 0.0) {
-                    let share = (over / demand).min(bounds.out).min(f64::from(held) / f64::from(WHOLE));
+                    let share = (over / demand).min(bounds.out).min(f64::from(held) / f64::from(WHOLE_SHARE));
                     self.pop(from, share);
                     over -= share * demand;
                 }
@@ -225,7 +225,7 @@
     /// Brings back those who moved last.
     fn pop(&mut self, from: Zone, share: f64) {
         let Some(rows) = self.moves.get_mut(&from.0) else { return };
-        let mut left = (share * f64::from(WHOLE)).ceil() as u16;
+        let mut left = (share * f64::from(WHOLE_SHARE)).ceil() as u16;
         while let Some((_, held)) = rows.last_mut().filter(|_| left > 0) {
             let takes = left.min(*held);
             *held -= takes;
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -2,13 +2,14 @@
 
 use serde::Serialize;
 
-use crate::evidence::{Matrix, Saw};
-use crate::{Map, Zone};
+use crate::evidence::{Matrix, ZoneObservation};
+use crate::{Topology, Zone};
 
 /// How a zone is.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Verdict {
-    Well,
+    #[serde(rename = "Well")]
+    Healthy,
     /// Its own routers find it well; these zones can't reach it. Each side serves its own, nobody evacuates.
     CutPath(Vec<Zone>),
     /// Nobody reaches it, its own routers included where there are any.
@@ -22,7 +23,7 @@
 }
 
 /// Dispatches of late below which nothing is said of a zone.
-pub const LEAST: f32 = 4.0;
+pub const MIN_ATTEMPTS: f32 = 4.0;
 /// Share of dispatches that met nobody from which a zone counts as dead, and below which as reached.
 const DEAD: f32 = 0.8;
 /// Share of what was answered in target below which a zone is impaired.
@@ -37,9 +38,9 @@
     Reached,
 }
 
-pub(crate) fn sight(saw: Option<&Saw>) -> Sight {
+pub(crate) fn sight(saw: Option<&ZoneObservation>) -> Sight {
     match saw {
-        Some(saw) if saw.sum.tried() >= LEAST => {
+        Some(saw) if saw.sum.tried() >= MIN_ATTEMPTS => {
             if saw.dead >= DEAD {
                 Sight::Dead
             } else {
@@ -51,7 +52,7 @@
 }
 
 /// What to think of each zone. `speaking`: zones of which some router is in the agreed roster and heard.
-pub fn judge(map: &Map, matrix: &Matrix, speaking: &[Zone]) -> Vec<Verdict> {
+pub fn judge(map: &Topology, matrix: &Matrix, speaking: &[Zone]) -> Vec<Verdict> {
     let mut verdicts: Vec<Verdict> = map.zones().map(|zone| of(map, matrix, speaking, zone)).collect();
     let seen = |verdict: &Verdict| !matches!(verdict, Verdict::Unknown);
     let bad = |verdict: &Verdict| matches!(verdict, Verdict::Lost);
@@ -62,7 +63,7 @@
     verdicts
 }
 
-fn of(map: &Map, matrix: &Matrix, speaking: &[Zone], zone: Zone) -> Verdict {
+fn of(map: &Topology, matrix: &Matrix, speaking: &[Zone], zone: Zone) -> Verdict {
     let from = |observer: Zone| matrix.seen.get(&(observer, zone));
     // The list, as sockets let it stand, has none of its servers any more.
     if matrix.off.contains(&zone) {
@@ -94,17 +95,17 @@
     let share = |observer: Zone| {
         let saw = from(observer)?;
         let answered = saw.sum.in_target + saw.sum.late + saw.sum.dead();
-        (answered + saw.sum.full >= LEAST).then_some((saw.good, saw.full))
+        (answered + saw.sum.full >= MIN_ATTEMPTS).then_some((saw.good, saw.full))
     };
     let all: Vec<(f32, f32)> = others.iter().chain([&zone]).filter_map(|observer| share(*observer)).collect();
     let unheard = speaking.contains(&zone) && share(zone).is_none();
     if all.is_empty() {
         // Mere questions were answered and hardly a dispatch went there: it is there, and nothing speaks against it.
-        Verdict::Well
+        Verdict::Healthy
     } else if all.iter().all(|(_, full)| *full >= FULL) {
         Verdict::Full
     } else if !all.iter().all(|(good, _)| *good < GOOD) {
-        Verdict::Well
+        Verdict::Healthy
     } else if unheard {
         Verdict::Unknown
     } else {
--- a/crates/failover/tests/desks.rs
+++ b/crates/failover/tests/controllers.rs
@@ -7,8 +7,11 @@
 use std::sync::Arc;
 
 use paddleproxy::interface::*;
-use paddleproxy_failover::plan::WHOLE;
-use paddleproxy_failover::{Desk, Homes, Map, Met, Row, Rules, Saying, Sayings, Verdict, Word, Zone};
+use paddleproxy_failover::plan::WHOLE_SHARE;
+use paddleproxy_failover::{
+    CommandRegister, DispatchOutcome, EvidenceRow, FailoverController, Homes, OperatorCommand, Rules,
+    StampedCommand, Topology, Verdict, Zone,
+};
 
 const ZONES: usize = 3;
 const EACH: usize = 4;
@@ -36,7 +39,7 @@
 fn rules(place: usize) -> Rules {
     let costs = vec![vec![0.0, 1.0, 5.0], vec![1.0, 0.0, 5.0], vec![5.0, 5.0, 0.0]];
     Rules {
-        map: Map { regions: vec![0, 0, 1], costs },
+        map: Topology { regions: vec![0, 0, 1], costs },
         own: Zone((place % ZONES) as u8),
         place: place as u16,
         lease_ms: 1500.0,
@@ -52,7 +55,7 @@
 
 /// Routers that hear each other and go by one page; what a dispatch meets is `meets(from, to)`.
 struct Fleet {
-    desks: Vec<Desk>,
+    desks: Vec<FailoverController>,
     now_ms: f64,
     page: (u64, Vec<u8>),
     /// Whether servers say what room they have.
@@ -64,7 +67,7 @@
 impl Fleet {
     fn new() -> Fleet {
         let desk = |place| {
-            let mut desk = Desk::new(0.0, rules(place));
+            let mut desk = FailoverController::new(0.0, rules(place));
             desk.listed(ListKind::Whole, &all());
             desk
         };
@@ -78,7 +81,7 @@
     }
 
     /// Half a second: ten completions at each router, then rows, then perhaps another page.
-    fn step(&mut self, meets: impl Fn(Zone, usize) -> Met) {
+    fn step(&mut self, meets: impl Fn(Zone, usize) -> DispatchOutcome) {
         self.now_ms += 500.0;
         let now_ms = self.now_ms;
         for (place, desk) in self.desks.iter_mut().enumerate() {
@@ -98,16 +101,16 @@
             for server in desk.asks(now_ms as u64) {
                 let zone = (0..ZONES).find(|zone| (0..EACH).any(|s| name(*zone, s) == server)).unwrap();
                 let met = match meets(own, zone) {
-                    Met::InTarget | Met::Late => Met::Answered,
+                    DispatchOutcome::InTarget | DispatchOutcome::Late => DispatchOutcome::Answered,
                     other => other,
                 };
                 desk.met(now_ms, &server, met);
             }
         }
-        let rows: Vec<Row> = self
+        let rows: Vec<EvidenceRow> = self
             .desks
             .iter_mut()
-            .map(|desk| Row::read(&desk.row(now_ms, Some(1.0)).bytes()).unwrap())
+            .map(|desk| EvidenceRow::read(&desk.row(now_ms, Some(1.0)).bytes()).unwrap())
             .collect();
         for desk in &mut self.desks {
             desk.hear(now_ms, &rows);
@@ -140,15 +143,15 @@
     }
 }
 
-fn well(_: Zone, _: usize) -> Met {
-    Met::InTarget
+fn well(_: Zone, _: usize) -> DispatchOutcome {
+    DispatchOutcome::InTarget
 }
 
-fn lost(_: Zone, to: usize) -> Met {
+fn lost(_: Zone, to: usize) -> DispatchOutcome {
     if to == 2 {
-        Met::Refused
+        DispatchOutcome::Refused
     } else {
-        Met::InTarget
+        DispatchOutcome::InTarget
     }
 }
 
@@ -158,7 +161,7 @@
     (0..20).for_each(|_| fleet.step(well));
     assert_eq!(fleet.page.0, 1, "calm days change no page");
     (0..40).for_each(|_| fleet.step(lost));
-    assert_eq!(fleet.moved(2), WHOLE);
+    assert_eq!(fleet.moved(2), WHOLE_SHARE);
     assert_eq!(fleet.desks[0].last.verdicts[2], Verdict::Lost);
     let out = fleet.changes.len();
     assert_eq!(out, 2, "in two steps of a half");
@@ -174,7 +177,13 @@
 fn a_cut_path_moves_nobody() {
     let mut fleet = Fleet::new();
     (0..20).for_each(|_| fleet.step(well));
-    let cut = |from: Zone, to: usize| if to == 2 && from != Zone(2) { Met::Silent } else { Met::InTarget };
+    let cut = |from: Zone, to: usize| {
+        if to == 2 && from != Zone(2) {
+            DispatchOutcome::Silent
+        } else {
+            DispatchOutcome::InTarget
+        }
+    };
     (0..80).for_each(|_| fleet.step(cut));
     assert_eq!(fleet.page.0, 1);
     assert!(matches!(fleet.desks[4].last.verdicts[2], Verdict::CutPath(_)));
@@ -190,14 +199,14 @@
     }
     // A minute of it: at most the two steps out.
     assert!(fleet.changes.len() <= 3, "{:?}", fleet.changes);
-    assert!(fleet.moved(2) >= WHOLE / 2);
+    assert!(fleet.moved(2) >= WHOLE_SHARE / 2);
 }
 
 #[test]
 fn everything_dead_everywhere_moves_nobody() {
     let mut fleet = Fleet::new();
     (0..20).for_each(|_| fleet.step(well));
-    (0..40).for_each(|_| fleet.step(|_, _| Met::Silent));
+    (0..40).for_each(|_| fleet.step(|_, _| DispatchOutcome::Silent));
     assert_eq!(fleet.page.0, 1);
     assert!(fleet.desks[0].last.verdicts.iter().all(|verdict| *verdict == Verdict::Unknown));
 }
@@ -209,7 +218,7 @@
     for _ in 0..40 {
         let now_ms = fleet.now_ms;
         for server in 0..200 {
-            fleet.desks[4].met(now_ms, &name(server % ZONES, server % EACH), Met::Silent);
+            fleet.desks[4].met(now_ms, &name(server % ZONES, server % EACH), DispatchOutcome::Silent);
         }
         fleet.step(well);
     }
@@ -231,14 +240,14 @@
     let mut fleet = Fleet::new();
     (0..20).for_each(|_| fleet.step(well));
     let now_ms = fleet.now_ms;
-    fleet.desks[7].sayings.say(now_ms, 7, 1, Word::Drain, 20_000.0);
+    fleet.desks[7].sayings.say(now_ms, 7, 1, OperatorCommand::Drain, 20_000.0);
     (0..24).for_each(|_| fleet.step(well));
-    assert_eq!(fleet.moved(1), WHOLE, "a healthy zone moves by a word");
+    assert_eq!(fleet.moved(1), WHOLE_SHARE, "a healthy zone moves by a word");
     (0..120).for_each(|_| fleet.step(well));
     assert_eq!(fleet.moved(1), 0, "and comes back once it has ended");
     // Held, a lost zone's sessions stay.
     let now_ms = fleet.now_ms;
-    fleet.desks[3].sayings.say(now_ms, 3, 2, Word::Hold, 600_000.0);
+    fleet.desks[3].sayings.say(now_ms, 3, 2, OperatorCommand::Hold, 600_000.0);
     (0..40).for_each(|_| fleet.step(lost));
     assert_eq!(fleet.moved(2), 0);
 }
@@ -252,7 +261,8 @@
     let desk = &mut fleet.desks[1];
     let sessions: Vec<SessionId> =
         (0..500u64).map(|n| SessionId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect();
-    let away = |desk: &mut Desk| sessions.iter().filter(|s| desk.near(now_ms, **s).is_some()).count();
+    let away =
+        |desk: &mut FailoverController| sessions.iter().filter(|s| desk.near(now_ms, **s).is_some()).count();
     assert!(away(desk) > 100);
     assert!(desk.force(None));
     assert_eq!(away(desk), 0);
@@ -261,11 +271,11 @@
 
 #[test]
 fn words_are_registers_in_which_the_newest_stamp_wins() {
-    let (mut a, mut b) = (Sayings::default(), Sayings::default());
-    let first = a.say(0.0, 4, 1, Word::Drain, 1000.0);
+    let (mut a, mut b) = (CommandRegister::default(), CommandRegister::default());
+    let first = a.say(0.0, 4, 1, OperatorCommand::Drain, 1000.0);
     assert!(b.hear(50.0, first, f64::from(first.for_ms)));
     assert!(!b.hear(60.0, first, f64::from(first.for_ms)), "known");
-    let second = b.say(100.0, 2, 1, Word::Return, 5000.0);
+    let second = b.say(100.0, 2, 1, OperatorCommand::Return, 5000.0);
     assert!(second.stamp > first.stamp);
     assert!(a.hear(110.0, second, f64::from(second.for_ms)));
     assert!(!a.hear(120.0, first, 1000.0), "an older word never comes back");
@@ -275,13 +285,14 @@
     assert!(!b.hear(5105.0, second, f64::from(second.for_ms)));
     assert!(b.words(5106.0).is_empty());
     // Two at once: the same one wins everywhere, in either order.
-    let (one, two) = (a.say(6000.0, 4, 1, Word::Hold, 1e6), b.say(6000.0, 2, 1, Word::Drain, 1e6));
+    let (one, two) =
+        (a.say(6000.0, 4, 1, OperatorCommand::Hold, 1e6), b.say(6000.0, 2, 1, OperatorCommand::Drain, 1e6));
     a.hear(6010.0, two, 1e6);
     b.hear(6010.0, one, 1e6);
     assert_eq!(a.words(6020.0), b.words(6020.0));
-    assert_eq!(a.words(6020.0), BTreeMap::from([(1, Word::Hold)]));
-    let bad = Saying { for_ms: f32::NAN, ..one };
-    assert!(!Sayings::default().hear(0.0, bad, 5.0));
+    assert_eq!(a.words(6020.0), BTreeMap::from([(1, OperatorCommand::Hold)]));
+    let bad = StampedCommand { for_ms: f32::NAN, ..one };
+    assert!(!CommandRegister::default().hear(0.0, bad, 5.0));
 }
 
 /// A page's bytes come from a majority's page; whatever they are, sessions have some home and the next plan is made.
@@ -291,14 +302,14 @@
     let mut fleet = Fleet::new();
     (0..4).for_each(|_| fleet.step(well));
     let mut desk = fleet.desks.pop().unwrap();
-    let rows: Vec<Row> = Vec::new();
+    let rows: Vec<EvidenceRow> = Vec::new();
     let moves = BTreeMap::from([(2u8, vec![(0u8, 4000u16), (1, 3000)]), (1, vec![(0, 500)])]);
     let plan = paddleproxy_failover::Plan { number: 9, moves };
-    let hands = paddleproxy_failover::Hands {
+    let hands = paddleproxy_failover::FlapHistory {
         flaps: BTreeMap::from([(2, 3)]),
         returning: BTreeMap::from([(2, true)]),
     };
-    let good = postcard::to_stdvec(&paddleproxy_failover::Agreed { plan, hands }).unwrap();
+    let good = postcard::to_stdvec(&paddleproxy_failover::AgreedPlan { plan, hands }).unwrap();
     let mut plans = 0;
     for round in 0..20_000u64 {
         let mut bytes = good.clone();
@@ -314,7 +325,7 @@
         desk.asks(round);
     }
     assert!(plans > 100, "{plans} were plans");
-    let most = paddleproxy_failover::Agreed {
+    let most = paddleproxy_failover::AgreedPlan {
         plan: paddleproxy_failover::Plan { number: u64::MAX, ..Default::default() },
         ..Default::default()
     };
--- a/crates/failover/tests/plans.rs
+++ b/crates/failover/tests/plans.rs
@@ -3,45 +3,46 @@
 use std::collections::BTreeMap;
 
 use paddleproxy_failover::{
-    judge, plan::WHOLE, Bounds, Hands, Map, Matrix, Plan, Row, Seen, Verdict, Word, Zone,
+    judge, plan::WHOLE_SHARE, EvidenceRow, FlapHistory, Matrix, OperatorCommand, Plan, PlanLimits, Topology,
+    Verdict, Zone, ZoneCounts,
 };
 use proptest::prelude::*;
 
 /// Three zones in two regions.
-fn map() -> Map {
+fn map() -> Topology {
     let costs = vec![vec![0.0, 1.0, 5.0], vec![1.0, 0.0, 5.0], vec![5.0, 5.0, 0.0]];
-    Map { regions: vec![0, 0, 1], costs }
+    Topology { regions: vec![0, 0, 1], costs }
 }
 
-fn bounds(capacity: f64) -> Bounds {
-    Bounds { demand: vec![100.0; 3], capacity: vec![capacity; 3], reserve: 0.2, out: 0.5, back: 0.1 }
+fn bounds(capacity: f64) -> PlanLimits {
+    PlanLimits { demand: vec![100.0; 3], capacity: vec![capacity; 3], reserve: 0.2, out: 0.5, back: 0.1 }
 }
 
-fn well() -> Seen {
-    Seen { in_target: 50.0, late: 1.0, listed: 8, usable: 8, ..Seen::default() }
+fn well() -> ZoneCounts {
+    ZoneCounts { in_target: 50.0, late: 1.0, listed: 8, usable: 8, ..ZoneCounts::default() }
 }
 
-fn dead() -> Seen {
-    Seen { silent: 20.0, refused: 5.0, listed: 8, usable: 8, ..Seen::default() }
+fn dead() -> ZoneCounts {
+    ZoneCounts { silent: 20.0, refused: 5.0, listed: 8, usable: 8, ..ZoneCounts::default() }
 }
 
-fn row(from: u8, seen: [Option<Seen>; 3]) -> Row {
+fn row(from: u8, seen: [Option<ZoneCounts>; 3]) -> EvidenceRow {
     let rows = seen.into_iter().enumerate().filter_map(|(of, seen)| Some((of as u8, seen?)));
-    Row { from, seen: rows.collect(), ..Row::default() }
+    EvidenceRow { from, seen: rows.collect(), ..EvidenceRow::default() }
 }
 
 const ALL: [Zone; 3] = [Zone(0), Zone(1), Zone(2)];
 
-fn verdicts(rows: &[Row], speaking: &[Zone]) -> Vec<Verdict> {
+fn verdicts(rows: &[EvidenceRow], speaking: &[Zone]) -> Vec<Verdict> {
     judge(&map(), &Matrix::of(rows), speaking)
 }
 
 #[test]
 fn a_lost_zone_is_told_from_a_cut_path_and_from_lost_eyes() {
-    let sees = |of2: Option<Seen>| [Some(well()), Some(well()), of2];
+    let sees = |of2: Option<ZoneCounts>| [Some(well()), Some(well()), of2];
     // Its routers are gone with it.
     let lost = verdicts(&[row(0, sees(Some(dead()))), row(1, sees(Some(dead())))], &ALL[..2]);
-    assert_eq!(lost, [Verdict::Well, Verdict::Well, Verdict::Lost]);
+    assert_eq!(lost, [Verdict::Healthy, Verdict::Healthy, Verdict::Lost]);
     // One zone's word alone is not enough while another can speak and says nothing.
     let one = verdicts(&[row(0, sees(Some(dead()))), row(1, sees(None))], &ALL[..2]);
     assert_eq!(one[2], Verdict::Unknown);
@@ -55,37 +56,40 @@
     assert_eq!(cut[2], Verdict::CutPath(vec![Zone(0), Zone(1)]));
     assert_eq!(cut[0], Verdict::CutPath(vec![Zone(2)]));
     // Everybody finds everything dead.
-    let rows: Vec<Row> = (0..3).map(|from| row(from, [Some(dead()); 3])).collect();
+    let rows: Vec<EvidenceRow> = (0..3).map(|from| row(from, [Some(dead()); 3])).collect();
     assert_eq!(verdicts(&rows, &ALL), vec![Verdict::Unknown; 3]);
     assert_eq!(verdicts(&[], &ALL), vec![Verdict::Unknown; 3]);
-    let slow = Seen { in_target: 20.0, late: 30.0, listed: 8, ..Seen::default() };
-    let full = Seen { in_target: 30.0, full: 30.0, listed: 8, ..Seen::default() };
-    let rows: Vec<Row> = (0..3).map(|from| row(from, [Some(slow), Some(full), Some(well())])).collect();
+    let slow = ZoneCounts { in_target: 20.0, late: 30.0, listed: 8, ..ZoneCounts::default() };
+    let full = ZoneCounts { in_target: 30.0, full: 30.0, listed: 8, ..ZoneCounts::default() };
+    let rows: Vec<EvidenceRow> =
+        (0..3).map(|from| row(from, [Some(slow), Some(full), Some(well())])).collect();
     let found = verdicts(&rows, &ALL);
     assert!(matches!(found[0], Verdict::Impaired(share) if (share - 0.4).abs() < 0.01), "{found:?}");
-    assert_eq!(found[1..], [Verdict::Full, Verdict::Well]);
+    assert_eq!(found[1..], [Verdict::Full, Verdict::Healthy]);
 }
 
 #[test]
 fn one_router_that_lies_or_is_late_moves_nothing() {
     let sound = row(0, [Some(well()), Some(well()), Some(well())]);
-    let huge = Seen { silent: 900_000.0, listed: 8, ..Seen::default() };
+    let huge = ZoneCounts { silent: 900_000.0, listed: 8, ..ZoneCounts::default() };
     let liar = row(0, [Some(huge), Some(huge), Some(huge)]);
-    let rows: Vec<Row> = std::iter::once(liar).chain((0..4).map(|_| sound.clone())).collect();
-    assert!(verdicts(&rows, &ALL).iter().all(|verdict| matches!(verdict, Verdict::Well | Verdict::Unknown)));
+    let rows: Vec<EvidenceRow> = std::iter::once(liar).chain((0..4).map(|_| sound.clone())).collect();
+    assert!(verdicts(&rows, &ALL)
+        .iter()
+        .all(|verdict| matches!(verdict, Verdict::Healthy | Verdict::Unknown)));
     let plan = Plan::default().next(
         &map(),
         &verdicts(&rows, &ALL),
         &bounds(200.0),
         &BTreeMap::new(),
-        &mut Hands::default(),
+        &mut FlapHistory::default(),
     );
     assert!(ALL.iter().all(|zone| plan.moved(*zone) == 0), "{plan:?}");
     for bad in [f32::NAN, -1.0, f32::INFINITY, 1e9] {
-        let bad = Row { homes: vec![(0, bad)], ..Row::default() };
-        assert!(Row::read(&bad.bytes()).is_err());
+        let bad = EvidenceRow { homes: vec![(0, bad)], ..EvidenceRow::default() };
+        assert!(EvidenceRow::read(&bad.bytes()).is_err());
     }
-    let wide = Row {
+    let wide = EvidenceRow {
         from: 7,
         times: 1.0,
         seen: (0..30).map(|zone| (zone, well())).collect(),
@@ -94,8 +98,8 @@
     };
     assert!(wide.bytes().len() < 600, "{} bytes for 30 zones", wide.bytes().len());
     // Counts come back within a step of their logarithm, and the same from then on.
-    let once = Row::read(&wide.bytes()).unwrap();
-    assert_eq!(Row::read(&once.bytes()), Ok(once.clone()));
+    let once = EvidenceRow::read(&wide.bytes()).unwrap();
+    assert_eq!(EvidenceRow::read(&once.bytes()), Ok(once.clone()));
     let off = (once.seen[0].1.in_target / well().in_target - 1.0).abs();
     assert!(off < 0.07, "off by {off}");
 }
@@ -103,8 +107,8 @@
 #[test]
 fn what_moved_comes_back_to_where_it_was_and_slower_after_each_flap() {
     let (map, bounds, words) = (map(), bounds(220.0), BTreeMap::new());
-    let (lost, well) = ([Verdict::Well, Verdict::Well, Verdict::Lost], vec![Verdict::Well; 3]);
-    let mut hands = Hands::default();
+    let (lost, well) = ([Verdict::Healthy, Verdict::Healthy, Verdict::Lost], vec![Verdict::Healthy; 3]);
+    let mut hands = FlapHistory::default();
     let sessions: Vec<u64> = (0..2000u64).map(|n| n.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
     let mut plan = Plan::default();
     let mut before: Vec<Zone> = sessions.iter().map(|hash| plan.home(Zone(2), *hash)).collect();
@@ -116,8 +120,8 @@
         }
         before = now;
     }
-    assert_eq!(plan.moved(Zone(2)), WHOLE, "there is room for all");
-    let returns = |plan: &mut Plan, hands: &mut Hands| {
+    assert_eq!(plan.moved(Zone(2)), WHOLE_SHARE, "there is room for all");
+    let returns = |plan: &mut Plan, hands: &mut FlapHistory| {
         let mut steps = 0;
         while plan.moved(Zone(2)) > 0 {
             *plan = plan.next(&map, &well, &bounds, &words, hands);
@@ -140,22 +144,23 @@
 
 #[test]
 fn a_plan_that_changes_nothing_keeps_its_number() {
-    let well = vec![Verdict::Well; 3];
-    let plan = Plan::default().next(&map(), &well, &bounds(200.0), &BTreeMap::new(), &mut Hands::default());
+    let well = vec![Verdict::Healthy; 3];
+    let plan =
+        Plan::default().next(&map(), &well, &bounds(200.0), &BTreeMap::new(), &mut FlapHistory::default());
     assert_eq!(plan, Plan::default());
-    let cut = vec![Verdict::Well, Verdict::Well, Verdict::CutPath(vec![Zone(0)])];
-    assert_eq!(plan.next(&map(), &cut, &bounds(200.0), &BTreeMap::new(), &mut Hands::default()), plan);
-    let words = BTreeMap::from([(2, Word::Drain)]);
-    assert!(plan.next(&map(), &well, &bounds(200.0), &words, &mut Hands::default()).moved(Zone(2)) > 0);
-    let held = BTreeMap::from([(2, Word::Hold)]);
-    let lost = [Verdict::Well, Verdict::Well, Verdict::Lost];
-    assert_eq!(plan.next(&map(), &lost, &bounds(200.0), &held, &mut Hands::default()), plan);
+    let cut = vec![Verdict::Healthy, Verdict::Healthy, Verdict::CutPath(vec![Zone(0)])];
+    assert_eq!(plan.next(&map(), &cut, &bounds(200.0), &BTreeMap::new(), &mut FlapHistory::default()), plan);
+    let words = BTreeMap::from([(2, OperatorCommand::Drain)]);
+    assert!(plan.next(&map(), &well, &bounds(200.0), &words, &mut FlapHistory::default()).moved(Zone(2)) > 0);
+    let held = BTreeMap::from([(2, OperatorCommand::Hold)]);
+    let lost = [Verdict::Healthy, Verdict::Healthy, Verdict::Lost];
+    assert_eq!(plan.next(&map(), &lost, &bounds(200.0), &held, &mut FlapHistory::default()), plan);
 }
 
 /// Every sequence of so many verdicts on three zones: what a zone is given stays within its room, whatever came before.
 #[test]
 fn no_sequence_of_verdicts_gives_a_zone_more_than_its_room() {
-    let kinds = [Verdict::Well, Verdict::Lost, Verdict::Impaired(0.4), Verdict::Full, Verdict::Unknown];
+    let kinds = [Verdict::Healthy, Verdict::Lost, Verdict::Impaired(0.4), Verdict::Full, Verdict::Unknown];
     let all: Vec<Vec<Verdict>> = (0..kinds.len().pow(3))
         .map(|n| (0..3).map(|zone| kinds[n / kinds.len().pow(zone) % kinds.len()].clone()).collect())
         .collect();
@@ -167,14 +172,14 @@
             .sum()
     };
     let mut played = 0;
-    let mut go = vec![(Plan::default(), Hands::default(), 0)];
+    let mut go = vec![(Plan::default(), FlapHistory::default(), 0)];
     while let Some((plan, hands, depth)) = go.pop() {
         played += 1;
         for zone in map.zones() {
             let room = 50.0 * 0.8;
             let given = plan.given(zone, &bounds.demand);
             assert!(given <= room + 0.1, "{given} to {zone:?} by {plan:?}");
-            assert!(plan.moved(zone) <= WHOLE);
+            assert!(plan.moved(zone) <= WHOLE_SHARE);
         }
         if depth < 3 {
             for verdicts in &all {
@@ -201,11 +206,11 @@
         figures in proptest::collection::vec((0..3u8, 0..3u8, 0.0f32..100.0, 0.0f32..100.0, 0.0f32..100.0), 0..20),
         turn in 0..20usize,
     ) {
-        let mut rows: Vec<Row> = figures
+        let mut rows: Vec<EvidenceRow> = figures
             .iter()
             .map(|(from, of, a, b, c)| {
-                let seen = Seen { in_target: *a, silent: *b, full: *c, ..Seen::default() };
-                Row { from: *from, seen: vec![(*of, seen)], ..Row::default() }
+                let seen = ZoneCounts { in_target: *a, silent: *b, full: *c, ..ZoneCounts::default() };
+                EvidenceRow { from: *from, seen: vec![(*of, seen)], ..EvidenceRow::default() }
             })
             .collect();
         let first = Matrix::of(&rows);
@@ -220,9 +225,9 @@
     /// Bytes of any kind are no row, or one whose figures are bounded and come back the same.
     #[test]
     fn random_bytes_are_no_row_or_a_sound_one(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        if let Ok(row) = Row::read(&bytes) {
+        if let Ok(row) = EvidenceRow::read(&bytes) {
             prop_assert!(row.seen.iter().all(|(_, seen)| seen.tried().is_finite() && seen.tried() >= 0.0));
-            let again = Row::read(&row.bytes()).unwrap();
+            let again = EvidenceRow::read(&row.bytes()).unwrap();
             prop_assert_eq!(&again.seen, &row.seen);
             let matrix = Matrix::of([&row]);
             prop_assert_eq!(judge(&map(), &matrix, &ALL).len(), 3);
--- a/crates/peerlab/examples/zones.rs
+++ b/crates/peerlab/examples/zones.rs
@@ -160,20 +160,23 @@
 
 /// What planning costs at 1,000 routers and 30 zones: the size of a row, and the time of one look at all of them.
 fn cost() {
-    use paddleproxy_failover::{judge, Bounds, Hands, Map, Matrix, Plan, Row, Seen, Zone};
+    use paddleproxy_failover::{
+        judge, EvidenceRow, FlapHistory, Matrix, Plan, PlanLimits, Topology, Zone, ZoneCounts,
+    };
     let zones = 30usize;
-    let seen = Seen { in_target: 40.0, late: 2.0, load: 0.4, listed: 33, usable: 33, ..Seen::default() };
-    let lost = Seen { silent: 9.0, listed: 33, usable: 33, ..Seen::default() };
-    let row = |from: usize| Row {
+    let seen =
+        ZoneCounts { in_target: 40.0, late: 2.0, load: 0.4, listed: 33, usable: 33, ..ZoneCounts::default() };
+    let lost = ZoneCounts { silent: 9.0, listed: 33, usable: 33, ..ZoneCounts::default() };
+    let row = |from: usize| EvidenceRow {
         from: (from % zones) as u8,
         times: 1000.0 / 270.0,
         seen: (0..zones as u8).map(|of| (of, if of == 7 { lost } else { seen })).collect(),
         homes: (0..zones as u8).map(|of| (of, 20.0)).collect(),
         words: Vec::new(),
     };
-    let rows: Vec<Row> = (0..270).map(row).collect();
-    let bytes: Vec<Vec<u8>> = rows.iter().map(Row::bytes).collect();
-    let map = Map {
+    let rows: Vec<EvidenceRow> = (0..270).map(row).collect();
+    let bytes: Vec<Vec<u8>> = rows.iter().map(EvidenceRow::bytes).collect();
+    let map = Topology {
         regions: (0..zones).map(|zone| (zone / 10) as u8).collect(),
         costs: (0..zones).map(|a| (0..zones).map(|b| a.abs_diff(b) as f64).collect()).collect(),
     };
@@ -181,17 +184,18 @@
     let began = std::time::Instant::now();
     let looks = 20;
     for _ in 0..looks {
-        let rows: Vec<Row> = bytes.iter().filter_map(|bytes| Row::read(bytes).ok()).collect();
+        let rows: Vec<EvidenceRow> = bytes.iter().filter_map(|bytes| EvidenceRow::read(bytes).ok()).collect();
         let matrix = Matrix::of(&rows);
         let verdicts = judge(&map, &matrix, &speaking);
-        let bounds = Bounds {
+        let bounds = PlanLimits {
             demand: vec![100.0; zones],
             capacity: vec![180.0; zones],
             reserve: 0.25,
             out: 0.5,
             back: 0.1,
         };
-        let plan = Plan::default().next(&map, &verdicts, &bounds, &Default::default(), &mut Hands::default());
+        let plan =
+            Plan::default().next(&map, &verdicts, &bounds, &Default::default(), &mut FlapHistory::default());
         assert!(plan.moved(Zone(7)) > 0);
     }
     println!(
--- a/crates/peerlab/src/zones.rs
+++ b/crates/peerlab/src/zones.rs
@@ -8,8 +8,8 @@
 use paddleproxy::interface::{
     CellId, KindId, ListKind, Listing, Readiness, Role, SessionId, WorkerId, ZoneId,
 };
-use paddleproxy_failover::evidence::tells;
-use paddleproxy_failover::{Desk, Map, Met, Row, Rules, Zone};
+use paddleproxy_failover::evidence::represented_routers;
+use paddleproxy_failover::{DispatchOutcome, EvidenceRow, FailoverController, Rules, Topology, Zone};
 
 const TICK_MS: f64 = 100.0;
 const LEASE_MS: f64 = 1500.0;
@@ -114,10 +114,10 @@
 
 struct Lab {
     setting: Setting,
-    desks: Vec<Desk>,
+    desks: Vec<FailoverController>,
     distrust: Vec<Vec<f64>>,
     names: Vec<WorkerId>,
-    rows: VecDeque<(f64, Vec<Row>)>,
+    rows: VecDeque<(f64, Vec<EvidenceRow>)>,
     pages: VecDeque<(f64, u64, Vec<u8>)>,
     page: (u64, Vec<u8>),
     paged_ms: f64,
@@ -156,7 +156,7 @@
             f64::from(u8::from(a != b)) * (if near { 1.0 } else { 10.0 } + a.abs_diff(b) as f64 / 10.0)
         };
         let costs = (0..zones).map(|a| (0..zones).map(|b| cost(a, b)).collect()).collect();
-        let map = Map { regions: regions.clone(), costs };
+        let map = Topology { regions: regions.clone(), costs };
         let desk = |place: usize| {
             let rules = Rules {
                 map: map.clone(),
@@ -171,7 +171,7 @@
                 told: setting.way == Way::Told,
                 roles: vec![Role::Mixed],
             };
-            let mut desk = Desk::new(0.0, rules);
+            let mut desk = FailoverController::new(0.0, rules);
             desk.listed(ListKind::Whole, &rows);
             desk
         };
@@ -264,7 +264,7 @@
             if way == Way::Told && befalls.iter().any(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
                 for b in befalls.iter().filter(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
                     if let Case::Lost { zone, .. } | Case::Flap { zone, .. } = b.case {
-                        use paddleproxy_failover::Word::{Drain, Return};
+                        use paddleproxy_failover::OperatorCommand::{Drain, Return};
                         let word = if b.from_ms == now_ms { Drain } else { Return };
                         let router = (0..routers).find(|router| !down(*router)).unwrap_or(0);
                         let place = router as u16;
@@ -334,27 +334,31 @@
                             .any(|on| matches!(on.case, Case::Liars { routers } if router < routers));
                         let name = self.name_in(zone);
                         let met = if gone || cut {
-                            Met::Silent
+                            DispatchOutcome::Silent
                         } else if taken + served[zone] >= room {
-                            Met::Full
+                            DispatchOutcome::Full
                         } else if late.is_some_and(|late| self.rng.f64() < late) {
-                            Met::Late
+                            DispatchOutcome::Late
                         } else {
-                            Met::InTarget
+                            DispatchOutcome::InTarget
                         };
                         let load = served_mean[zone] * TICK_MS / 1e3 / room.max(1e-9);
-                        self.desks[router].met(now_ms, &name, if liar { Met::Silent } else { met });
+                        self.desks[router].met(
+                            now_ms,
+                            &name,
+                            if liar { DispatchOutcome::Silent } else { met },
+                        );
                         if !gone && !cut {
                             self.desks[router].reported(now_ms, &name, load.clamp(0.05, 1.5));
                         }
                         match met {
-                            Met::InTarget => {
+                            DispatchOutcome::InTarget => {
                                 taken += 1.0;
                                 good += 1.0;
                             }
-                            Met::Late => taken += 1.0,
+                            DispatchOutcome::Late => taken += 1.0,
                             _ => {
-                                if met == Met::Silent {
+                                if met == DispatchOutcome::Silent {
                                     self.distrust[router][zone] =
                                         (self.distrust[router][zone] + BLAME).min(1.0);
                                 }
@@ -468,15 +472,19 @@
             }
             for name in self.desks[router].asks(now_ms as u64 + router as u64) {
                 let row = self.names.iter().position(|known| *known == name).unwrap_or(0);
-                let met = if self.lost_ms[row % zones].is_some() { Met::Silent } else { Met::Answered };
+                let met = if self.lost_ms[row % zones].is_some() {
+                    DispatchOutcome::Silent
+                } else {
+                    DispatchOutcome::Answered
+                };
                 self.desks[router].met(now_ms, &name, met);
             }
         }
-        let rows: Vec<Row> = (0..self.setting.routers)
+        let rows: Vec<EvidenceRow> = (0..self.setting.routers)
             .filter(|router| !down(*router))
             .map(|router| {
                 let each = self.setting.routers.div_ceil(zones);
-                self.desks[router].row(now_ms, tells(router / zones, each))
+                self.desks[router].row(now_ms, represented_routers(router / zones, each))
             })
             .collect();
         self.rows.push_back((now_ms + delay_ms, rows));
@@ -488,7 +496,8 @@
             (0..zones).filter(|zone| !down(*zone)).map(|zone| Zone(zone as u8)).collect();
         let first = self.first_up(down);
         if let Some((_, rows)) = heard {
-            let rows: Vec<Row> = rows.iter().filter_map(|row| Row::read(&row.bytes()).ok()).collect();
+            let rows: Vec<EvidenceRow> =
+                rows.iter().filter_map(|row| EvidenceRow::read(&row.bytes()).ok()).collect();
             if way == Way::Alone {
                 for router in (0..self.setting.routers).filter(|router| !down(*router)) {
                     let desk = &mut self.desks[router];
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -8,7 +8,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use paddleproxy_failover::words::FOR_MAX_MS;
+use paddleproxy_failover::operator_commands::MAX_COMMAND_MS;
 use paddleproxy_membership::Word as ListSays;
 use paddleproxy_routing::Reason;
 use paddleproxy_sockets::Stream;
@@ -202,8 +202,8 @@
     let zone = value("zone").unwrap_or_default().to_owned();
     let for_ms = match value("for_ms").map(str::parse::<f64>) {
         None => WORD_FOR_MS,
-        Some(Ok(ms)) if (0.0..=FOR_MAX_MS).contains(&ms) => ms,
-        Some(_) => return Err(wrong(format!("for_ms: a time in ms from 0 to {FOR_MAX_MS}"))),
+        Some(Ok(ms)) if (0.0..=MAX_COMMAND_MS).contains(&ms) => ms,
+        Some(_) => return Err(wrong(format!("for_ms: a time in ms from 0 to {MAX_COMMAND_MS}"))),
     };
     let (sender, receiver) = oneshot::channel();
     let said = WordFor { zone, word, for_ms };
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -10,7 +10,7 @@
 use paddleproxy::interface::*;
 use paddleproxy_engine as wire;
 use paddleproxy_engine::Load;
-use paddleproxy_failover::Met;
+use paddleproxy_failover::DispatchOutcome;
 use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
 use paddleproxy_messages::{Answer, ApiError, ErrorKind};
 use paddleproxy_peers::Granted;
@@ -330,13 +330,13 @@
     /// What a mere question says of its zone.
     fn asked(&self, worker: &WorkerId, answered: bool) {
         if let Some(desk) = &self.desk {
-            let met = if answered { Met::Answered } else { Met::Silent };
+            let met = if answered { DispatchOutcome::Answered } else { DispatchOutcome::Silent };
             desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
         }
     }
 
     /// What a dispatch says of its zone.
-    fn met(&mut self, completion: CompletionId, seq: Seq, met: Option<Met>) {
+    fn met(&mut self, completion: CompletionId, seq: Seq, met: Option<DispatchOutcome>) {
         let (Some(desk), Some(met)) = (&self.desk, met) else { return };
         if let Some(worker) = self.book.worker(completion, seq) {
             desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -7,8 +7,10 @@
 
 use paddleproxy::interface::{Arrival, LoadReport, Settings, WorkerId};
 use paddleproxy_engine::Refusal;
-use paddleproxy_failover::evidence::tells;
-use paddleproxy_failover::{Desk, Met, Row, Rules, Saying, Verdict, Word, Zone};
+use paddleproxy_failover::evidence::represented_routers;
+use paddleproxy_failover::{
+    DispatchOutcome, EvidenceRow, FailoverController, OperatorCommand, Rules, StampedCommand, Verdict, Zone,
+};
 use paddleproxy_peers::allocation::MAX_EXTRA_BYTES;
 use paddleproxy_peers::status::ClusterReport;
 use paddleproxy_peers::{Peers, RouterInfo};
@@ -22,7 +24,7 @@
 use crate::files::write_whole;
 use crate::steady::SteadyClock;
 
-pub type Desked = Rc<RefCell<Desk>>;
+pub type Desked = Rc<RefCell<FailoverController>>;
 
 const FILE: &str = "zone-words.json";
 
@@ -43,7 +45,7 @@
         told: failover.told,
         roles: decisions.kinds.iter().map(|kind| kind.role).collect(),
     };
-    Some(Rc::new(RefCell::new(Desk::new(clock.now_ms(), rules))))
+    Some(Rc::new(RefCell::new(FailoverController::new(clock.now_ms(), rules))))
 }
 
 /// The time in which a completion's first token is in target.
@@ -54,19 +56,21 @@
 }
 
 /// What a first event says of its server's zone.
-pub fn began(target_ms: Option<&f64>, took_ms: f64) -> Option<Met> {
-    target_ms.map(|target_ms| if took_ms <= *target_ms { Met::InTarget } else { Met::Late })
+pub fn began(target_ms: Option<&f64>, took_ms: f64) -> Option<DispatchOutcome> {
+    target_ms.map(
+        |target_ms| if took_ms <= *target_ms { DispatchOutcome::InTarget } else { DispatchOutcome::Late },
+    )
 }
 
 /// What an end says of it; an answer that began has spoken already, and one that we called off says nothing.
-pub fn ended(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<Met> {
+pub fn ended(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<DispatchOutcome> {
     use SocketEnd::*;
     match end {
-        ConnectRefused | Unreachable | NoAddress => Some(Met::Refused),
-        ConnectTimedOut | TimedOut => Some(Met::Silent),
-        TurnedAway(Refusal::Full) => Some(Met::Full),
+        ConnectRefused | Unreachable | NoAddress => Some(DispatchOutcome::Refused),
+        ConnectTimedOut | TimedOut => Some(DispatchOutcome::Silent),
+        TurnedAway(Refusal::Full) => Some(DispatchOutcome::Full),
         ErrorStatus(_) | BrokeBeforeAnswer | BrokeWithinAnswer | BrokeAfterFirst | Stalled => {
-            Some(Met::Broken)
+            Some(DispatchOutcome::Broken)
         }
         ReadDone => began(target_ms, took_ms),
         NoRoom | NeverWritten | Withdrawn(_) | TurnedAway(_) | Stopped | Nonsense(_) | AnswerDone => None,
@@ -90,17 +94,18 @@
 }
 
 /// Reads what fellows carry and works out what to carry.
-pub fn carry(desk: &mut Desk, peers: &Peers, now_ms: f64) -> Carried {
-    let mut rows: Vec<Row> = peers.peer_extras().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
+pub fn carry(desk: &mut FailoverController, peers: &Peers, now_ms: f64) -> Carried {
+    let mut rows: Vec<EvidenceRow> =
+        peers.peer_extras().filter_map(|(_, bytes)| EvidenceRow::read(bytes).ok()).collect();
     let news = desk.hear(now_ms, &rows);
     // Of many routers of a zone the lowest tell what it sees, each for its part.
     let (zone, place) = (peers.info().zone, peers.rules().own);
     let fellows = || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
     let rank = fellows().filter(|member| member.router < place).count();
-    let own = desk.row(now_ms, tells(rank, fellows().count() + 1));
+    let own = desk.row(now_ms, represented_routers(rank, fellows().count() + 1));
     let row = own.bytes();
     // As fellows read it: counts on the wire are rounded.
-    let own_row = Row::read(&row).unwrap_or_default();
+    let own_row = EvidenceRow::read(&row).unwrap_or_default();
     rows.push(own_row.clone());
     let mut speaking: Vec<Zone> = peers
         .members()
@@ -130,14 +135,14 @@
 /// An operator's word as it comes in.
 pub struct WordFor {
     pub zone: String,
-    pub word: Word,
+    pub word: OperatorCommand,
     pub for_ms: f64,
 }
 
 #[derive(Serialize, Deserialize)]
 struct SavedWord {
     zone: String,
-    saying: Saying,
+    saying: StampedCommand,
     left_ms: f64,
     saved_at_ms: f64,
 }
@@ -154,7 +159,7 @@
         Words { file: settings.state_dir.join(FILE), zones: settings.names.zones.clone(), steady }
     }
 
-    pub fn recover(&self, desk: &mut Desk, now_ms: f64) {
+    pub fn recover(&self, desk: &mut FailoverController, now_ms: f64) {
         let Ok(bytes) = std::fs::read(&self.file) else { return };
         let saved: Vec<SavedWord> = match serde_json::from_slice(&bytes) {
             Ok(saved) => saved,
@@ -167,11 +172,11 @@
             // By name: settings may count zones otherwise now. A clock that went back makes no word longer.
             let Some(zone) = self.zones.iter().position(|zone| *zone == row.zone) else { continue };
             let left_ms = row.left_ms - (self.steady.now_ms() - row.saved_at_ms).max(0.0);
-            desk.sayings.hear(now_ms, Saying { zone: zone as u8, ..row.saying }, left_ms);
+            desk.sayings.hear(now_ms, StampedCommand { zone: zone as u8, ..row.saying }, left_ms);
         }
     }
 
-    pub fn keep(&self, desk: &Desk, now_ms: f64) {
+    pub fn keep(&self, desk: &FailoverController, now_ms: f64) {
         let saved: Vec<SavedWord> = desk
             .sayings
             .holding(now_ms)
@@ -189,7 +194,7 @@
     /// Takes a word that is said here.
     pub fn say(
         &self,
-        desk: &mut Desk,
+        desk: &mut FailoverController,
         zones: &[String],
         said: &WordFor,
         now_ms: f64,
@@ -206,16 +211,22 @@
     }
 }
 
-fn name(word: Word) -> &'static str {
+fn name(word: OperatorCommand) -> &'static str {
     match word {
-        Word::Hold => "hold",
-        Word::Drain => "drain-zone",
-        Word::Return => "return",
+        OperatorCommand::Hold => "hold",
+        OperatorCommand::Drain => "drain-zone",
+        OperatorCommand::Return => "return",
     }
 }
 
 /// All that operators may ask for.
-pub fn view(desk: &Desk, zones: &[String], about: &RouterInfo, stand: ClusterReport, now_ms: f64) -> Value {
+pub fn view(
+    desk: &FailoverController,
+    zones: &[String],
+    about: &RouterInfo,
+    stand: ClusterReport,
+    now_ms: f64,
+) -> Value {
     let zone = |zone: Zone| zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
     let (looked, agreed) = (&desk.last, desk.agreed());
     let words = desk.sayings.holding(now_ms).collect::<Vec<_>>();
@@ -263,7 +274,7 @@
         list.iter().filter_map(|zone| zones.get(usize::from(zone.0)).cloned()).collect::<Vec<_>>()
     };
     match verdict {
-        Verdict::Well => json!({ "is": "well" }),
+        Verdict::Healthy => json!({ "is": "well" }),
         Verdict::CutPath(from) => json!({ "is": "cut path", "from": names(from) }),
         Verdict::Lost => json!({ "is": "lost" }),
         Verdict::Impaired(share) => json!({ "is": "impaired", "carries": share }),
--- a/crates/settings/src/failover.rs
+++ b/crates/settings/src/failover.rs
@@ -1,12 +1,12 @@
 //! The block `failover` of a router: which zone is in which region, what each pair costs, and how calm the hands are.
 
-use paddleproxy_failover::Map;
+use paddleproxy_failover::Topology;
 
 use crate::reader::{Block, Share};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
-    pub map: Map,
+    pub map: Topology,
     /// Part of a zone's room beyond its own demand that is never given to others.
     pub reserve: f64,
     /// Most of a zone's sessions that one step moves out, and back.
@@ -76,7 +76,7 @@
     }
     let share = |name, otherwise| block.maybe::<Share>(name).map_or(otherwise, |share| share.0);
     let settings = FailoverSettings {
-        map: Map { regions, costs },
+        map: Topology { regions, costs },
         reserve: share("reserve", 0.25),
         out: share("out", 0.5),
         back: share("back", 0.1),
