--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -19,27 +19,27 @@
     InTarget,
     Late,
     Refused,
-    Silent,
+    TimedOut,
     Broken,
     Full,
-    Answered,
+    ProbeAnswered,
 }
 
 /// The figures by which a desk goes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rules {
-    pub map: Topology,
-    pub own: Zone,
-    pub place: u16,
+    pub topology: Topology,
+    pub own_zone: Zone,
+    pub router_index: u16,
     /// Time in which what was met counts half, and that a plan in force may lag, in ms.
     pub lease_ms: f64,
     pub reserve: f64,
-    pub out: f64,
-    pub back: f64,
+    pub max_step_out: f64,
+    pub max_step_back: f64,
     pub weights_act: bool,
     /// To compare with: each router by its own evidence; by operators' words alone.
-    pub alone: bool,
-    pub told: bool,
+    pub own_evidence_only: bool,
+    pub commands_only: bool,
     /// Kinds at which sessions have their homes.
     pub roles: Vec<Role>,
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct AgreedPlan {
     pub plan: Plan,
-    pub hands: FlapHistory,
+    pub history: FlapHistory,
 }
 
 /// Leases for which a zone has to be well without a break before its sessions come back; doubles with each flap, up to
@@ -82,7 +82,7 @@
     loads: BTreeMap<WorkerId, Load>,
     zones: BTreeMap<WorkerId, (Zone, Role, bool)>,
     homes: Homes,
-    pub sayings: CommandRegister,
+    pub commands: CommandRegister,
     said: (EvidenceRow, f64),
     /// In force here: none without a lease.
     agreed: Option<AgreedPlan>,
@@ -91,10 +91,10 @@
     /// As proposer: since when each zone is well without a break.
     well: BTreeMap<Zone, f64>,
     /// What was last made of all rows, for operators.
-    pub last: Assessment,
+    pub last_assessment: Assessment,
     /// Completions that had their home moved, and all, since the start.
     pub moved_total: u64,
-    pub homed_total: u64,
+    pub completions_total: u64,
 }
 
 /// What all rows came to.
@@ -104,7 +104,7 @@
     pub demand: Vec<f64>,
     pub capacity: Vec<f64>,
     pub matrix: Matrix,
-    pub speaking: Vec<Zone>,
+    pub reporting_zones: Vec<Zone>,
 }
 
 impl FailoverController {
@@ -118,14 +118,14 @@
             faded_ms: now_ms,
             loads: BTreeMap::new(),
             zones: BTreeMap::new(),
-            sayings: CommandRegister::default(),
+            commands: CommandRegister::default(),
             said: (EvidenceRow::default(), f64::NEG_INFINITY),
             agreed: None,
             forced: None,
             well: BTreeMap::new(),
-            last: Assessment::default(),
+            last_assessment: Assessment::default(),
             moved_total: 0,
-            homed_total: 0,
+            completions_total: 0,
             rules,
         }
     }
@@ -142,15 +142,15 @@
         self.now_ms = self.now_ms.max(now_ms);
         let by = 0.5f64.powf((self.now_ms - self.faded_ms) / self.rules.lease_ms.max(1.0)) as f32;
         self.faded_ms = self.now_ms;
-        self.seen.values_mut().for_each(|seen| seen.fade(by));
+        self.seen.values_mut().for_each(|seen| seen.scale(by));
         self.asked.values_mut().for_each(|count| *count *= by);
     }
 
     /// The list, as the decisions are told of it.
-    pub fn listed(&mut self, kind: ListKind, rows: &[Listing]) {
+    pub fn apply_list(&mut self, kind: ListKind, rows: &[Listing]) {
         let roles = self.rules.roles.clone();
         let role = |kind: KindId| roles.get(kind.0).copied();
-        self.homes.listed(kind, rows, |kind| role(kind) == Some(Role::Mixed));
+        self.homes.apply_list(kind, rows, |kind| role(kind) == Some(Role::Mixed));
         if kind != ListKind::Changes && kind != ListKind::Failed {
             self.zones.clear();
         }
@@ -168,7 +168,7 @@
     }
 
     /// What a dispatch of ours met at a server, or a mere question.
-    pub fn met(&mut self, now_ms: f64, worker: &WorkerId, met: DispatchOutcome) {
+    pub fn record_outcome(&mut self, now_ms: f64, worker: &WorkerId, met: DispatchOutcome) {
         let Some((zone, ..)) = self.zones.get(worker).copied() else { return };
         self.fade(now_ms);
         let seen = self.seen.entry(zone).or_default();
@@ -176,16 +176,16 @@
             DispatchOutcome::InTarget => &mut seen.in_target,
             DispatchOutcome::Late => &mut seen.late,
             DispatchOutcome::Refused => &mut seen.refused,
-            DispatchOutcome::Silent => &mut seen.silent,
+            DispatchOutcome::TimedOut => &mut seen.timed_out,
             DispatchOutcome::Broken => &mut seen.broken,
             DispatchOutcome::Full => &mut seen.full,
-            DispatchOutcome::Answered => &mut seen.answered,
+            DispatchOutcome::ProbeAnswered => &mut seen.probe_answers,
         };
         *count += 1.0;
     }
 
     /// What a server said of its room: the share in use, above 1 where some wait.
-    pub fn reported(&mut self, now_ms: f64, worker: &WorkerId, share: f64) {
+    pub fn record_load(&mut self, now_ms: f64, worker: &WorkerId, share: f64) {
         let Some((zone, role, _)) = self.zones.get(worker).copied() else { return };
         let load = Load { zone, role, share: share.clamp(0.0, 2.0) as f32, at_ms: now_ms };
         self.loads.insert(worker.clone(), load);
@@ -197,11 +197,11 @@
     }
 
     /// The zone that a session's home moved to, where it did; a plan of which no lease holds moves nobody.
-    pub fn near(&mut self, now_ms: f64, session: SessionId) -> Option<ZoneId> {
+    pub fn moved_home(&mut self, now_ms: f64, session: SessionId) -> Option<ZoneId> {
         let origin = self.homes.origin(session)?;
         self.fade(now_ms);
         *self.asked.entry(origin).or_default() += 1.0;
-        self.homed_total += 1;
+        self.completions_total += 1;
         let home = self.agreed.as_ref()?.plan.home(origin, hash(session));
         self.moved_total += u64::from(home != origin);
         (home != origin).then_some(ZoneId(usize::from(home.0)))
@@ -209,15 +209,17 @@
 
     /// Servers to ask whether they are there: one of each zone whose sessions are away, since no dispatch would tell when
     /// it is back, and of each that somebody finds dead, since those who pass it by see nothing more of it.
-    pub fn asks(&self, turn: u64) -> Vec<WorkerId> {
+    pub fn probe_targets(&self, turn: u64) -> Vec<WorkerId> {
         let plan = self.agreed.as_ref().map(|agreed| &agreed.plan);
-        let away =
-            |zone: &Zone| plan.is_some_and(|plan| plan.moved(*zone) > 0) || self.last.matrix.dead(*zone);
+        let away = |zone: &Zone| {
+            plan.is_some_and(|plan| plan.moved(*zone) > 0)
+                || self.last_assessment.matrix.unreachable_from_any(*zone)
+        };
         let pick = |zone: Zone| {
             let all: Vec<_> = self.zones.iter().filter(|(_, row)| row.0 == zone).map(|(id, _)| id).collect();
             all.get(turn as usize % all.len().max(1)).map(|id| (*id).clone())
         };
-        self.rules.map.zones().filter(away).filter_map(pick).collect()
+        self.rules.topology.zones().filter(away).filter_map(pick).collect()
     }
 
     fn load(&self, zone: Zone) -> f32 {
@@ -237,26 +239,32 @@
 
     /// The own row as it is now; the one told before as long as that says nearly the same. `times`: routers that it
     /// stands for; none where others of its zone tell, and it passes operators' words on alone.
-    pub fn row(&mut self, now_ms: f64, times: Option<f32>) -> EvidenceRow {
+    pub fn own_row(&mut self, now_ms: f64, times: Option<f32>) -> EvidenceRow {
         self.fade(now_ms);
         let Some(times) = times else {
-            let words = self.sayings.holding(self.now_ms).map(|(saying, _)| saying).collect();
-            return EvidenceRow { from: self.rules.own.0, words, ..EvidenceRow::default() };
+            let words = self.commands.active(self.now_ms).map(|(saying, _)| saying).collect();
+            return EvidenceRow { from: self.rules.own_zone.0, commands: words, ..EvidenceRow::default() };
         };
         let count = |zone: Zone, usable: bool| {
             let all = self.zones.values().filter(|row| row.0 == zone && (row.2 || !usable)).count();
             all.min(usize::from(u16::MAX)) as u16
         };
-        let seen = self.rules.map.zones().filter_map(|zone| {
+        let seen = self.rules.topology.zones().filter_map(|zone| {
             let seen = self.seen.get(&zone).copied().unwrap_or_default();
             let (listed, usable, load) = (count(zone, false), count(zone, true), self.load(zone));
-            (listed > 0 || self.homes.knows(zone))
+            (listed > 0 || self.homes.knows_zone(zone))
                 .then_some((zone.0, ZoneCounts { listed, usable, load, ..seen }))
         });
         let seen: Vec<_> = seen.collect();
         let homes = self.asked.iter().map(|(zone, count)| (zone.0, (4.0 * count).round() / 4.0)).collect();
-        let words = self.sayings.holding(self.now_ms).map(|(saying, _)| saying).collect();
-        let row = EvidenceRow { from: self.rules.own.0, times, seen, homes, words };
+        let words = self.commands.active(self.now_ms).map(|(saying, _)| saying).collect();
+        let row = EvidenceRow {
+            from: self.rules.own_zone.0,
+            represented_routers: times,
+            counts: seen,
+            completions_by_home: homes,
+            commands: words,
+        };
         let (said, at_ms) = &self.said;
         if differs(said, &row) || now_ms >= at_ms + TOLD_ANEW * self.rules.lease_ms {
             self.said = (row, now_ms);
@@ -265,17 +273,21 @@
     }
 
     /// Takes in words that fellows know of; whether there was news.
-    pub fn hear<'a>(&mut self, now_ms: f64, rows: impl IntoIterator<Item = &'a EvidenceRow>) -> bool {
+    pub fn merge_commands<'a>(
+        &mut self,
+        now_ms: f64,
+        rows: impl IntoIterator<Item = &'a EvidenceRow>,
+    ) -> bool {
         let mut news = false;
-        for saying in rows.into_iter().flat_map(|row| &row.words) {
-            news |= self.sayings.hear(now_ms, *saying, f64::from(saying.for_ms));
+        for saying in rows.into_iter().flat_map(|row| &row.commands) {
+            news |= self.commands.merge(now_ms, *saying, f64::from(saying.for_ms));
         }
         news
     }
 
     /// The plan that is in force here: what the page of that number carries while a lease holds, else none. Bytes that
     /// are none are no plan. Whether it is another than before.
-    pub fn force(&mut self, page: Option<(u64, &[u8])>) -> bool {
+    pub fn apply_allocation(&mut self, page: Option<(u64, &[u8])>) -> bool {
         let number = page.map(|(number, _)| number);
         if number == self.forced {
             return false;
@@ -290,53 +302,62 @@
     }
 
     /// The own plan of one that decides alone, as bytes, and the next one in its place.
-    pub fn alone_before(&self) -> Vec<u8> {
+    pub fn own_plan(&self) -> Vec<u8> {
         self.agreed.as_ref().and_then(|agreed| postcard::to_stdvec(agreed).ok()).unwrap_or_default()
     }
 
-    pub fn force_alone(&mut self, extra: &[u8]) {
+    pub fn apply_own_plan(&mut self, extra: &[u8]) {
         self.agreed = read(extra);
     }
 
     /// Number of the page that the plan in force came with.
-    pub fn forced(&self) -> Option<u64> {
+    pub fn allocation_number(&self) -> Option<u64> {
         self.forced
     }
 
     /// What the page after one that carries `before` is to carry: the same rows, verdicts and words give the same
     /// plan. `rows`: of all who are heard, this router's own among them; `speaking`: zones that some of them are in.
-    pub fn next(&mut self, now_ms: f64, before: &[u8], rows: &[EvidenceRow], speaking: &[Zone]) -> Vec<u8> {
+    pub fn propose(
+        &mut self,
+        now_ms: f64,
+        before: &[u8],
+        rows: &[EvidenceRow],
+        speaking: &[Zone],
+    ) -> Vec<u8> {
         self.fade(now_ms);
         let before = read(before).unwrap_or_default();
-        let map = self.rules.map.clone();
-        let matrix = Matrix::of(rows);
+        let map = self.rules.topology.clone();
+        let matrix = Matrix::from_rows(rows);
         let mut verdicts = judge(&map, &matrix, speaking);
-        if self.rules.told {
+        if self.rules.commands_only {
             // Who sees the true state needs no evidence: all is well but where a word says otherwise.
             verdicts.fill(Verdict::Healthy);
         }
         // Counts that halve in a lease hold what came in 1.44 of them.
         let per_s = std::f64::consts::LN_2 / self.rules.lease_ms.max(1.0) * 1e3;
-        let demand: Vec<f64> =
-            map.zones().map(|zone| matrix.homes.get(&zone).copied().unwrap_or(0.0) * per_s).collect();
+        let demand: Vec<f64> = map
+            .zones()
+            .map(|zone| matrix.completions_by_home.get(&zone).copied().unwrap_or(0.0) * per_s)
+            .collect();
         let capacity: Vec<f64> = map.zones().map(|zone| capacity(&matrix, zone, per_s)).collect();
         let bounds = PlanLimits {
             demand: demand.clone(),
             capacity: capacity.clone(),
             reserve: self.rules.reserve,
-            out: self.rules.out,
-            back: self.rules.back,
+            max_step_out: self.rules.max_step_out,
+            max_step_back: self.rules.max_step_back,
         };
-        let AgreedPlan { plan, mut hands } = before;
+        let AgreedPlan { plan, history: mut hands } = before;
         let patient = self.patient(&plan, &mut hands, &verdicts);
-        let words = self.sayings.words(self.now_ms);
+        let words = self.commands.commands(self.now_ms);
         let plan = plan.next(&map, &patient, &bounds, &words, &mut hands);
-        self.last = Assessment { verdicts, demand, capacity, matrix, speaking: speaking.to_vec() };
+        self.last_assessment =
+            Assessment { verdicts, demand, capacity, matrix, reporting_zones: speaking.to_vec() };
         if plan.number == 0 {
             // Nothing ever moved: pages stay as they are without failover.
             return Vec::new();
         }
-        postcard::to_stdvec(&AgreedPlan { plan, hands }).unwrap_or_default()
+        postcard::to_stdvec(&AgreedPlan { plan, history: hands }).unwrap_or_default()
     }
 
     /// A zone whose sessions are away and that is well counts as unknown until it was well for long enough.
@@ -358,7 +379,7 @@
             }
             Verdict::Healthy
         };
-        self.rules.map.zones().zip(verdicts).map(one).collect()
+        self.rules.topology.zones().zip(verdicts).map(one).collect()
     }
 }
 
@@ -367,7 +388,7 @@
 fn capacity(matrix: &Matrix, zone: Zone, per_s: f64) -> f64 {
     let load = matrix.loads.get(&zone).copied().unwrap_or(0.0);
     if load > 0.0 {
-        matrix.served(zone) * per_s / load.max(LOAD_LEAST)
+        matrix.answered_dispatches(zone) * per_s / load.max(LOAD_LEAST)
     } else {
         0.0
     }
@@ -389,28 +410,30 @@
 
 /// Whether a row says another thing than the one that was told.
 fn differs(old: &EvidenceRow, new: &EvidenceRow) -> bool {
-    if old.words != new.words
-        || old.times != new.times
-        || old.seen.len() != new.seen.len()
-        || old.homes.len() != new.homes.len()
+    if old.commands != new.commands
+        || old.represented_routers != new.represented_routers
+        || old.counts.len() != new.counts.len()
+        || old.completions_by_home.len() != new.completions_by_home.len()
     {
         return true;
     }
     let far = |old: f32, new: f32| (old - new).abs() > WORTH * old.max(new) + 1.0;
     let seen = |(a, b): (&(u8, ZoneCounts), &(u8, ZoneCounts))| {
         let ((a_zone, a), (b_zone, b)) = (a, b);
-        let share = |seen: &ZoneCounts, part: f32| if seen.tried() > 0.0 { part / seen.tried() } else { 0.0 };
+        let share =
+            |seen: &ZoneCounts, part: f32| if seen.attempts() > 0.0 { part / seen.attempts() } else { 0.0 };
         a_zone != b_zone
             || (a.listed, a.usable) != (b.listed, b.usable)
             || far(a.in_target + a.late, b.in_target + b.late)
-            || far(a.tried(), b.tried())
-            || (share(a, a.dead()) - share(b, b.dead())).abs() > 0.1
+            || far(a.attempts(), b.attempts())
+            || (share(a, a.failed()) - share(b, b.failed())).abs() > 0.1
             || (share(a, a.full) - share(b, b.full)).abs() > 0.1
             || (share(a, a.in_target) - share(b, b.in_target)).abs() > 0.1
             || (a.load - b.load).abs() > 0.1
     };
     let homes = |(a, b): (&(u8, f32), &(u8, f32))| a.0 != b.0 || far(a.1, b.1);
-    old.seen.iter().zip(&new.seen).any(seen) || old.homes.iter().zip(&new.homes).any(homes)
+    old.counts.iter().zip(&new.counts).any(seen)
+        || old.completions_by_home.iter().zip(&new.completions_by_home).any(homes)
 }
 
 /// An operator's word as it is said.
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -15,14 +15,14 @@
     /// First tokens in target, and after it.
     pub in_target: f32,
     pub late: f32,
-    /// Connects that were refused or stayed silent, answers that broke off, and those that never came.
+    /// Connects that were refused or timed out, answers that broke off, and those that never came.
     pub refused: f32,
-    pub silent: f32,
+    pub timed_out: f32,
     pub broken: f32,
     /// Turned away for want of room.
     pub full: f32,
     /// Answers to mere questions, asked where no dispatch goes.
-    pub answered: f32,
+    pub probe_answers: f32,
     /// Share of their room that its servers say is in use, of the role that has least left; 0 where none said.
     pub load: f32,
     /// Servers listed, and those of them that may be used. None listed: there were some, and the list has dropped all.
@@ -31,24 +31,30 @@
 }
 
 impl ZoneCounts {
-    pub fn tried(&self) -> f32 {
-        self.in_target + self.late + self.refused + self.silent + self.broken + self.full + self.answered
+    pub fn attempts(&self) -> f32 {
+        self.in_target
+            + self.late
+            + self.refused
+            + self.timed_out
+            + self.broken
+            + self.full
+            + self.probe_answers
     }
 
     /// That nobody was there, or nothing came.
-    pub fn dead(&self) -> f32 {
-        self.refused + self.silent + self.broken
+    pub fn failed(&self) -> f32 {
+        self.refused + self.timed_out + self.broken
     }
 
-    pub fn fade(&mut self, by: f32) {
+    pub fn scale(&mut self, by: f32) {
         for count in [
             &mut self.in_target,
             &mut self.late,
             &mut self.refused,
-            &mut self.silent,
+            &mut self.timed_out,
             &mut self.broken,
             &mut self.full,
-            &mut self.answered,
+            &mut self.probe_answers,
         ] {
             *count *= by;
         }
@@ -58,10 +64,10 @@
         self.in_target += other.in_target;
         self.late += other.late;
         self.refused += other.refused;
-        self.silent += other.silent;
+        self.timed_out += other.timed_out;
         self.broken += other.broken;
         self.full += other.full;
-        self.answered += other.answered;
+        self.probe_answers += other.probe_answers;
         // What is listed is the same for all; the most that anyone knows of.
         self.listed = self.listed.max(other.listed);
         self.usable = self.usable.max(other.usable);
@@ -69,8 +75,8 @@
 
     /// No number that is not one, none below 0, none beyond what a router could have tried.
     fn sound(&self) -> bool {
-        let ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, .. } = *self;
-        let counts = [in_target, late, refused, silent, broken, full, answered, load];
+        let ZoneCounts { in_target, late, refused, timed_out, broken, full, probe_answers, load, .. } = *self;
+        let counts = [in_target, late, refused, timed_out, broken, full, probe_answers, load];
         counts.iter().all(|count| count.is_finite() && (0.0..=COUNT_MAX).contains(count))
     }
 }
@@ -93,9 +99,19 @@
 
 impl From<ZoneCounts> for Small {
     fn from(seen: ZoneCounts) -> Self {
-        let ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, listed, usable } =
-            seen;
-        let counts = [in_target, late, refused, silent, broken, full, answered].map(small);
+        let ZoneCounts {
+            in_target,
+            late,
+            refused,
+            timed_out,
+            broken,
+            full,
+            probe_answers,
+            load,
+            listed,
+            usable,
+        } = seen;
+        let counts = [in_target, late, refused, timed_out, broken, full, probe_answers].map(small);
         let [a, b, c, d, e, f, g] = counts;
         Small([a, b, c, d, e, f, g, (load.clamp(0.0, 2.0) * 100.0).round() as u8], listed, usable)
     }
@@ -103,9 +119,10 @@
 
 impl From<Small> for ZoneCounts {
     fn from(Small([a, b, c, d, e, f, g, load], listed, usable): Small) -> Self {
-        let [in_target, late, refused, silent, broken, full, answered] = [a, b, c, d, e, f, g].map(large);
+        let [in_target, late, refused, timed_out, broken, full, probe_answers] =
+            [a, b, c, d, e, f, g].map(large);
         let load = f32::from(load) / 100.0;
-        ZoneCounts { in_target, late, refused, silent, broken, full, answered, load, listed, usable }
+        ZoneCounts { in_target, late, refused, timed_out, broken, full, probe_answers, load, listed, usable }
     }
 }
 
@@ -121,17 +138,23 @@
 pub struct EvidenceRow {
     pub from: u8,
     /// Routers of its zone that it stands for: where a zone has many, some of them tell for all.
-    pub times: f32,
-    pub seen: Vec<(u8, ZoneCounts)>,
+    pub represented_routers: f32,
+    pub counts: Vec<(u8, ZoneCounts)>,
     /// Completions of late whose sessions have their home in a zone while no plan is in force.
-    pub homes: Vec<(u8, f32)>,
+    pub completions_by_home: Vec<(u8, f32)>,
     /// Operators' words that it knows of.
-    pub words: Vec<StampedCommand>,
+    pub commands: Vec<StampedCommand>,
 }
 
 impl Default for EvidenceRow {
     fn default() -> Self {
-        EvidenceRow { from: 0, times: 1.0, seen: Vec::new(), homes: Vec::new(), words: Vec::new() }
+        EvidenceRow {
+            from: 0,
+            represented_routers: 1.0,
+            counts: Vec::new(),
+            completions_by_home: Vec::new(),
+            commands: Vec::new(),
+        }
     }
 }
 
@@ -162,14 +185,14 @@
     /// Bytes that are none, or figures that no router could have counted.
     pub fn read(bytes: &[u8]) -> Result<EvidenceRow, EvidenceError> {
         let row: EvidenceRow = postcard::from_bytes(bytes).map_err(|_| EvidenceError)?;
-        let ordered = row.seen.windows(2).all(|pair| pair[0].0 < pair[1].0);
+        let ordered = row.counts.windows(2).all(|pair| pair[0].0 < pair[1].0);
         let counted = |(_, count): &(u8, f32)| count.is_finite() && (0.0..=COUNT_MAX).contains(count);
-        let sound = row.seen.len().max(row.homes.len()).max(row.words.len()) <= ZONES_MAX
+        let sound = row.counts.len().max(row.completions_by_home.len()).max(row.commands.len()) <= ZONES_MAX
             && ordered
-            && row.times.is_finite()
-            && (1.0..=TIMES_MAX).contains(&row.times)
-            && row.seen.iter().all(|(_, seen)| seen.sound())
-            && row.homes.iter().all(counted);
+            && row.represented_routers.is_finite()
+            && (1.0..=TIMES_MAX).contains(&row.represented_routers)
+            && row.counts.iter().all(|(_, seen)| seen.sound())
+            && row.completions_by_home.iter().all(counted);
         if sound {
             Ok(row)
         } else {
@@ -181,12 +204,12 @@
 /// Who saw what from where: observing zone and observed zone, with the number of routers behind each.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Matrix {
-    pub seen: BTreeMap<(Zone, Zone), ZoneObservation>,
+    pub observations: BTreeMap<(Zone, Zone), ZoneObservation>,
     /// Completions of late by the home of their sessions, and the load of each zone as the middle one heard of it.
-    pub homes: BTreeMap<Zone, f64>,
+    pub completions_by_home: BTreeMap<Zone, f64>,
     pub loads: BTreeMap<Zone, f64>,
     /// Zones of which most routers that know of servers there have none on their list.
-    pub off: BTreeSet<Zone>,
+    pub unlisted: BTreeSet<Zone>,
 }
 
 /// What the routers of one zone saw of one.
@@ -196,9 +219,9 @@
     pub routers: usize,
     /// Shares as the middle router has them, of two middle ones the better: of what was tried that met nobody; of what
     /// was answered or broke off that was in target; of that and what was turned away that was.
-    pub dead: f32,
-    pub good: f32,
-    pub full: f32,
+    pub failed_share: f32,
+    pub in_target_share: f32,
+    pub full_share: f32,
 }
 
 /// Dispatches of late from which a router's share of one zone counts.
@@ -215,14 +238,20 @@
             shares.sort_by(f32::total_cmp);
             shares
         };
-        let answered = |seen: &ZoneCounts| seen.in_target + seen.late + seen.dead();
-        let dead = shares(ZoneCounts::dead, ZoneCounts::tried);
+        let answered = |seen: &ZoneCounts| seen.in_target + seen.late + seen.failed();
+        let dead = shares(ZoneCounts::failed, ZoneCounts::attempts);
         let good = shares(|seen| seen.in_target, answered);
-        let full = shares(|seen| seen.full, |seen| seen.in_target + seen.late + seen.dead() + seen.full);
+        let full = shares(|seen| seen.full, |seen| seen.in_target + seen.late + seen.failed() + seen.full);
         // Of an even number the better of the middle two: one of two routers alone says nothing against a zone.
         let low = |shares: &[f32]| shares.get(shares.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
         let high = |shares: &[f32]| shares.get(shares.len() / 2).copied().unwrap_or(1.0);
-        ZoneObservation { sum, routers: all.len(), dead: low(&dead), good: high(&good), full: low(&full) }
+        ZoneObservation {
+            sum,
+            routers: all.len(),
+            failed_share: low(&dead),
+            in_target_share: high(&good),
+            full_share: low(&full),
+        }
     }
 }
 
@@ -233,15 +262,15 @@
 
 impl Matrix {
     /// The sum of all rows, whatever their order.
-    pub fn of<'a>(rows: impl IntoIterator<Item = &'a EvidenceRow>) -> Matrix {
+    pub fn from_rows<'a>(rows: impl IntoIterator<Item = &'a EvidenceRow>) -> Matrix {
         let mut by: BTreeMap<(Zone, Zone), Vec<ZoneCounts>> = BTreeMap::new();
         let mut homes: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut loads: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut lists: BTreeMap<Zone, (usize, usize)> = BTreeMap::new();
         for row in rows {
-            for (of, seen) in &row.seen {
+            for (of, seen) in &row.counts {
                 let mut all = *seen;
-                all.fade(row.times);
+                all.scale(row.represented_routers);
                 by.entry((Zone(row.from), Zone(*of))).or_default().push(all);
                 let (none, all) = lists.entry(Zone(*of)).or_default();
                 (*none, *all) = (*none + usize::from(seen.listed == 0), *all + 1);
@@ -249,8 +278,8 @@
                     loads.entry(Zone(*of)).or_default().push(f64::from(seen.load));
                 }
             }
-            for (of, count) in &row.homes {
-                homes.entry(Zone(*of)).or_default().push(f64::from(*count * row.times));
+            for (of, count) in &row.completions_by_home {
+                homes.entry(Zone(*of)).or_default().push(f64::from(*count * row.represented_routers));
             }
         }
         // Sorted, so that sums come out the same in whatever order the rows came.
@@ -259,8 +288,15 @@
             all
         };
         let mut matrix = Matrix {
-            homes: homes.into_iter().map(|(zone, all)| (zone, sorted(all).iter().sum())).collect(),
-            off: lists.into_iter().filter(|(_, (none, all))| 2 * none > *all).map(|(zone, _)| zone).collect(),
+            completions_by_home: homes
+                .into_iter()
+                .map(|(zone, all)| (zone, sorted(all).iter().sum()))
+                .collect(),
+            unlisted: lists
+                .into_iter()
+                .filter(|(_, (none, all))| 2 * none > *all)
+                .map(|(zone, _)| zone)
+                .collect(),
             loads: loads.into_iter().map(|(zone, all)| (zone, sorted(all.clone())[all.len() / 2])).collect(),
             ..Matrix::default()
         };
@@ -268,37 +304,39 @@
             // Sorted by all they hold, so that sums of fractions come out the same everywhere.
             all.sort_by(|a, b| {
                 let figures = |seen: &ZoneCounts| {
-                    let ZoneCounts { in_target, late, refused, silent, broken, full, answered, .. } = *seen;
-                    [in_target, late, refused, silent, broken, full, answered].map(f32::to_bits)
+                    let ZoneCounts {
+                        in_target, late, refused, timed_out, broken, full, probe_answers, ..
+                    } = *seen;
+                    [in_target, late, refused, timed_out, broken, full, probe_answers].map(f32::to_bits)
                 };
                 figures(a).cmp(&figures(b)).then((a.listed, a.usable).cmp(&(b.listed, b.usable)))
             });
-            let mut tried: Vec<f32> = all.iter().map(ZoneCounts::tried).collect();
+            let mut tried: Vec<f32> = all.iter().map(ZoneCounts::attempts).collect();
             tried.sort_by(f32::total_cmp);
             let most =
                 if tried.len() > 2 { ONE_MOST * tried[tried.len() / 2].max(1.0) } else { f32::INFINITY };
             let mut sum = ZoneCounts::default();
             for mut seen in all.iter().copied() {
-                let tried = seen.tried();
+                let tried = seen.attempts();
                 if tried > most {
-                    seen.fade(most / tried);
+                    seen.scale(most / tried);
                 }
                 sum.add(&seen);
             }
-            matrix.seen.insert(key, ZoneObservation::of(sum, &all));
+            matrix.observations.insert(key, ZoneObservation::of(sum, &all));
         }
         matrix
     }
 
     /// Whether anybody finds a zone dead.
-    pub fn dead(&self, of: Zone) -> bool {
-        let rows = self.seen.iter().filter(|((_, zone), _)| *zone == of);
+    pub fn unreachable_from_any(&self, of: Zone) -> bool {
+        let rows = self.observations.iter().filter(|((_, zone), _)| *zone == of);
         rows.into_iter().any(|(_, row)| sight(Some(row)) == Sight::Dead)
     }
 
     /// Dispatches to a zone of late that were answered, from everywhere.
-    pub fn served(&self, of: Zone) -> f64 {
-        let seen = self.seen.iter().filter(|((_, zone), _)| *zone == of);
+    pub fn answered_dispatches(&self, of: Zone) -> f64 {
+        let seen = self.observations.iter().filter(|((_, zone), _)| *zone == of);
         seen.map(|(_, saw)| f64::from(saw.sum.in_target + saw.sum.late)).sum()
     }
 }
--- a/crates/failover/src/homes.rs
+++ b/crates/failover/src/homes.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes in what the decisions are told of the list; `mixed`: the kinds at which sessions have their homes.
-    pub fn listed(&mut self, kind: ListKind, rows: &[Listing], mixed: impl Fn(KindId) -> bool) {
+    pub fn apply_list(&mut self, kind: ListKind, rows: &[Listing], mixed: impl Fn(KindId) -> bool) {
         if kind == ListKind::Failed {
             return;
         }
@@ -64,7 +64,7 @@
     }
 
     /// Whether servers of a zone are remembered.
-    pub fn knows(&self, zone: Zone) -> bool {
+    pub fn knows_zone(&self, zone: Zone) -> bool {
         self.servers.values().any(|server| server.zone == zone)
     }
 
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -44,10 +44,10 @@
     }
 
     /// How far each zone is from each: 0 is itself, then the order in which its overflow goes.
-    pub fn far(&self) -> Vec<Vec<u8>> {
+    pub fn distance_ranks(&self) -> Vec<Vec<u8>> {
         let of = |from: Zone| {
             let mut far = vec![0; self.regions.len()];
-            for (row, to) in self.order(from).into_iter().enumerate() {
+            for (row, to) in self.failover_order(from).into_iter().enumerate() {
                 far[usize::from(to.0)] = row as u8 + 1;
             }
             far
@@ -56,7 +56,7 @@
     }
 
     /// Other zones in the order in which sessions of one go there: its region by cost, then the others by cost.
-    pub fn order(&self, from: Zone) -> Vec<Zone> {
+    pub fn failover_order(&self, from: Zone) -> Vec<Zone> {
         let cost = |to: &Zone| {
             let row = self.costs.get(usize::from(from.0)).and_then(|row| row.get(usize::from(to.0)));
             (!self.same_region(from, *to), row.copied().unwrap_or(f64::INFINITY))
--- a/crates/failover/src/operator_commands.rs
+++ b/crates/failover/src/operator_commands.rs
@@ -15,7 +15,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedCommand {
     pub zone: u8,
-    pub word: OperatorCommand,
+    #[serde(rename = "word")]
+    pub command: OperatorCommand,
     /// Higher than any on this zone that its first hearer knew, then that one's place: no clock of the wall.
     pub stamp: (u32, u16),
     /// How long it holds at each who hears of it, in ms.
@@ -31,7 +32,7 @@
 
 impl CommandRegister {
     /// An operator says it here.
-    pub fn say(
+    pub fn issue(
         &mut self,
         now_ms: f64,
         place: u16,
@@ -41,15 +42,19 @@
     ) -> StampedCommand {
         let last = self.known.get(&zone).map_or(0, |(saying, _)| saying.stamp.0);
         let for_ms = for_ms.clamp(0.0, MAX_COMMAND_MS);
-        let saying =
-            StampedCommand { zone, word, stamp: (last.saturating_add(1), place), for_ms: for_ms as f32 };
+        let saying = StampedCommand {
+            zone,
+            command: word,
+            stamp: (last.saturating_add(1), place),
+            for_ms: for_ms as f32,
+        };
         self.known.insert(zone, (saying, now_ms + for_ms));
         saying
     }
 
     /// A fellow tells it, or a file of the own earlier run with `left_ms` to go. Whether it is news. A stamp that is
     /// known never comes back, however late it is told: what has ended stays so.
-    pub fn hear(&mut self, now_ms: f64, saying: StampedCommand, left_ms: f64) -> bool {
+    pub fn merge(&mut self, now_ms: f64, saying: StampedCommand, left_ms: f64) -> bool {
         let good = saying.for_ms.is_finite() && (0.0..=MAX_COMMAND_MS as f32).contains(&saying.for_ms);
         let newer = self.known.get(&saying.zone).is_none_or(|(known, _)| saying.stamp > known.stamp);
         let room = self.known.len() < ZONES_MAX || self.known.contains_key(&saying.zone);
@@ -62,13 +67,13 @@
     }
 
     /// Those that hold, with the time that they have left.
-    pub fn holding(&self, now_ms: f64) -> impl Iterator<Item = (StampedCommand, f64)> + '_ {
+    pub fn active(&self, now_ms: f64) -> impl Iterator<Item = (StampedCommand, f64)> + '_ {
         let left = move |(saying, until): &(StampedCommand, f64)| (*saying, until - now_ms);
         self.known.values().map(left).filter(|(_, left)| *left > 0.0)
     }
 
     /// The words in force, by zone.
-    pub fn words(&self, now_ms: f64) -> BTreeMap<u8, OperatorCommand> {
-        self.holding(now_ms).map(|(saying, _)| (saying.zone, saying.word)).collect()
+    pub fn commands(&self, now_ms: f64) -> BTreeMap<u8, OperatorCommand> {
+        self.active(now_ms).map(|(saying, _)| (saying.zone, saying.command)).collect()
     }
 }
--- a/crates/failover/src/plan.rs
+++ b/crates/failover/src/plan.rs
@@ -26,8 +26,8 @@
     /// Part of a zone's room beyond its own demand that is never given to others.
     pub reserve: f64,
     /// Most that one plan may move away of a zone's sessions, and may bring back, as shares.
-    pub out: f64,
-    pub back: f64,
+    pub max_step_out: f64,
+    pub max_step_back: f64,
 }
 
 /// An operator's word on a zone; it wins over what was seen.
@@ -91,7 +91,7 @@
     }
 
     /// What a zone is given by others, in dispatches a second.
-    pub fn given(&self, to: Zone, demand: &[f64]) -> f64 {
+    pub fn received_per_s(&self, to: Zone, demand: &[f64]) -> f64 {
         let of =
             |from: &u8| self.share(Zone(*from), to) * demand.get(usize::from(*from)).copied().unwrap_or(0.0);
         self.moves.keys().map(of).sum()
@@ -132,13 +132,13 @@
                     let flaps = hands.flaps.entry(zone.0).or_default();
                     *flaps = flaps.saturating_add(1);
                 }
-                let step = (wanted - now).min(bounds.out);
+                let step = (wanted - now).min(bounds.max_step_out);
                 plan.push(&case, zone, step);
             } else if wanted < now {
                 hands.returning.insert(zone.0, true);
                 let flaps = hands.flaps.get(&zone.0).copied().unwrap_or(0);
                 let calm = CALMER.powi(flaps.min(30) as i32).max(CALMEST);
-                plan.pop(zone, (now - wanted).min(bounds.back * calm));
+                plan.pop(zone, (now - wanted).min(bounds.max_step_back * calm));
             } else if now == 0.0 {
                 hands.returning.remove(&zone.0);
             }
@@ -174,7 +174,7 @@
     fn push(&mut self, case: &Case, from: Zone, share: f64) {
         let demand = case.bounds.demand.get(usize::from(from.0)).copied().unwrap_or(0.0).max(1e-9);
         let mut left = (share * f64::from(WHOLE_SHARE)).round() as u16;
-        for to in case.map.order(from) {
+        for to in case.map.failover_order(from) {
             if left == 0 {
                 return;
             }
@@ -204,7 +204,7 @@
                 matches!(case.verdicts.get(at), Some(Verdict::Full | Verdict::Impaired(_) | Verdict::Lost));
             let measured = of(&bounds.capacity) > 0.0;
             let free = if full { 0.0 } else { (of(&bounds.capacity) - of(&bounds.demand)).max(0.0) };
-            let given = self.given(to, &bounds.demand);
+            let given = self.received_per_s(to, &bounds.demand);
             if given <= free || !(measured || full) {
                 continue;
             }
@@ -214,7 +214,9 @@
                 // Those who moved last alone: the order in which sessions moved is the order of their hashes.
                 let last = self.moves.get(&from.0).and_then(|rows| rows.last()).copied();
                 if let Some((_, held)) = last.filter(|(last, _)| *last == to.0 && over > 0.0) {
-                    let share = (over / demand).min(bounds.out).min(f64::from(held) / f64::from(WHOLE_SHARE));
+                    let share = (over / demand)
+                        .min(bounds.max_step_out)
+                        .min(f64::from(held) / f64::from(WHOLE_SHARE));
                     self.pop(from, share);
                     over -= share * demand;
                 }
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -40,8 +40,8 @@
 
 pub(crate) fn sight(saw: Option<&ZoneObservation>) -> Sight {
     match saw {
-        Some(saw) if saw.sum.tried() >= MIN_ATTEMPTS => {
-            if saw.dead >= DEAD {
+        Some(saw) if saw.sum.attempts() >= MIN_ATTEMPTS => {
+            if saw.failed_share >= DEAD {
                 Sight::Dead
             } else {
                 Sight::Reached
@@ -64,9 +64,9 @@
 }
 
 fn of(map: &Topology, matrix: &Matrix, speaking: &[Zone], zone: Zone) -> Verdict {
-    let from = |observer: Zone| matrix.seen.get(&(observer, zone));
+    let from = |observer: Zone| matrix.observations.get(&(observer, zone));
     // The list, as sockets let it stand, has none of its servers any more.
-    if matrix.off.contains(&zone) {
+    if matrix.unlisted.contains(&zone) {
         return Verdict::Lost;
     }
     let own = if speaking.contains(&zone) { sight(from(zone)) } else { Sight::Nothing };
@@ -94,8 +94,8 @@
     // is the way there that is bad.
     let share = |observer: Zone| {
         let saw = from(observer)?;
-        let answered = saw.sum.in_target + saw.sum.late + saw.sum.dead();
-        (answered + saw.sum.full >= MIN_ATTEMPTS).then_some((saw.good, saw.full))
+        let answered = saw.sum.in_target + saw.sum.late + saw.sum.failed();
+        (answered + saw.sum.full >= MIN_ATTEMPTS).then_some((saw.in_target_share, saw.full_share))
     };
     let all: Vec<(f32, f32)> = others.iter().chain([&zone]).filter_map(|observer| share(*observer)).collect();
     let unheard = speaking.contains(&zone) && share(zone).is_none();
--- a/crates/failover/tests/plans.rs
+++ b/crates/failover/tests/plans.rs
@@ -15,7 +15,13 @@
 }
 
 fn bounds(capacity: f64) -> PlanLimits {
-    PlanLimits { demand: vec![100.0; 3], capacity: vec![capacity; 3], reserve: 0.2, out: 0.5, back: 0.1 }
+    PlanLimits {
+        demand: vec![100.0; 3],
+        capacity: vec![capacity; 3],
+        reserve: 0.2,
+        max_step_out: 0.5,
+        max_step_back: 0.1,
+    }
 }
 
 fn well() -> ZoneCounts {
@@ -23,18 +29,18 @@
 }
 
 fn dead() -> ZoneCounts {
-    ZoneCounts { silent: 20.0, refused: 5.0, listed: 8, usable: 8, ..ZoneCounts::default() }
+    ZoneCounts { timed_out: 20.0, refused: 5.0, listed: 8, usable: 8, ..ZoneCounts::default() }
 }
 
 fn row(from: u8, seen: [Option<ZoneCounts>; 3]) -> EvidenceRow {
     let rows = seen.into_iter().enumerate().filter_map(|(of, seen)| Some((of as u8, seen?)));
-    EvidenceRow { from, seen: rows.collect(), ..EvidenceRow::default() }
+    EvidenceRow { from, counts: rows.collect(), ..EvidenceRow::default() }
 }
 
 const ALL: [Zone; 3] = [Zone(0), Zone(1), Zone(2)];
 
 fn verdicts(rows: &[EvidenceRow], speaking: &[Zone]) -> Vec<Verdict> {
-    judge(&map(), &Matrix::of(rows), speaking)
+    judge(&map(), &Matrix::from_rows(rows), speaking)
 }
 
 #[test]
@@ -71,7 +77,7 @@
 #[test]
 fn one_router_that_lies_or_is_late_moves_nothing() {
     let sound = row(0, [Some(well()), Some(well()), Some(well())]);
-    let huge = ZoneCounts { silent: 900_000.0, listed: 8, ..ZoneCounts::default() };
+    let huge = ZoneCounts { timed_out: 900_000.0, listed: 8, ..ZoneCounts::default() };
     let liar = row(0, [Some(huge), Some(huge), Some(huge)]);
     let rows: Vec<EvidenceRow> = std::iter::once(liar).chain((0..4).map(|_| sound.clone())).collect();
     assert!(verdicts(&rows, &ALL)
@@ -86,21 +92,21 @@
     );
     assert!(ALL.iter().all(|zone| plan.moved(*zone) == 0), "{plan:?}");
     for bad in [f32::NAN, -1.0, f32::INFINITY, 1e9] {
-        let bad = EvidenceRow { homes: vec![(0, bad)], ..EvidenceRow::default() };
+        let bad = EvidenceRow { completions_by_home: vec![(0, bad)], ..EvidenceRow::default() };
         assert!(EvidenceRow::read(&bad.bytes()).is_err());
     }
     let wide = EvidenceRow {
         from: 7,
-        times: 1.0,
-        seen: (0..30).map(|zone| (zone, well())).collect(),
-        homes: (0..30).map(|zone| (zone, 40.0)).collect(),
-        words: Vec::new(),
+        represented_routers: 1.0,
+        counts: (0..30).map(|zone| (zone, well())).collect(),
+        completions_by_home: (0..30).map(|zone| (zone, 40.0)).collect(),
+        commands: Vec::new(),
     };
     assert!(wide.bytes().len() < 600, "{} bytes for 30 zones", wide.bytes().len());
     // Counts come back within a step of their logarithm, and the same from then on.
     let once = EvidenceRow::read(&wide.bytes()).unwrap();
     assert_eq!(EvidenceRow::read(&once.bytes()), Ok(once.clone()));
-    let off = (once.seen[0].1.in_target / well().in_target - 1.0).abs();
+    let off = (once.counts[0].1.in_target / well().in_target - 1.0).abs();
     assert!(off < 0.07, "off by {off}");
 }
 
@@ -177,7 +183,7 @@
         played += 1;
         for zone in map.zones() {
             let room = 50.0 * 0.8;
-            let given = plan.given(zone, &bounds.demand);
+            let given = plan.received_per_s(zone, &bounds.demand);
             assert!(given <= room + 0.1, "{given} to {zone:?} by {plan:?}");
             assert!(plan.moved(zone) <= WHOLE_SHARE);
         }
@@ -209,27 +215,27 @@
         let mut rows: Vec<EvidenceRow> = figures
             .iter()
             .map(|(from, of, a, b, c)| {
-                let seen = ZoneCounts { in_target: *a, silent: *b, full: *c, ..ZoneCounts::default() };
-                EvidenceRow { from: *from, seen: vec![(*of, seen)], ..EvidenceRow::default() }
+                let seen = ZoneCounts { in_target: *a, timed_out: *b, full: *c, ..ZoneCounts::default() };
+                EvidenceRow { from: *from, counts: vec![(*of, seen)], ..EvidenceRow::default() }
             })
             .collect();
-        let first = Matrix::of(&rows);
+        let first = Matrix::from_rows(&rows);
         if !rows.is_empty() {
             let by = turn % rows.len();
             rows.rotate_left(by);
             rows.reverse();
         }
-        prop_assert_eq!(first, Matrix::of(&rows));
+        prop_assert_eq!(first, Matrix::from_rows(&rows));
     }
 
     /// Bytes of any kind are no row, or one whose figures are bounded and come back the same.
     #[test]
     fn random_bytes_are_no_row_or_a_sound_one(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Ok(row) = EvidenceRow::read(&bytes) {
-            prop_assert!(row.seen.iter().all(|(_, seen)| seen.tried().is_finite() && seen.tried() >= 0.0));
+            prop_assert!(row.counts.iter().all(|(_, seen)| seen.attempts().is_finite() && seen.attempts() >= 0.0));
             let again = EvidenceRow::read(&row.bytes()).unwrap();
-            prop_assert_eq!(&again.seen, &row.seen);
-            let matrix = Matrix::of([&row]);
+            prop_assert_eq!(&again.counts, &row.counts);
+            let matrix = Matrix::from_rows([&row]);
             prop_assert_eq!(judge(&map(), &matrix, &ALL).len(), 3);
         }
     }
--- a/crates/peerlab/examples/zones.rs
+++ b/crates/peerlab/examples/zones.rs
@@ -166,13 +166,13 @@
     let zones = 30usize;
     let seen =
         ZoneCounts { in_target: 40.0, late: 2.0, load: 0.4, listed: 33, usable: 33, ..ZoneCounts::default() };
-    let lost = ZoneCounts { silent: 9.0, listed: 33, usable: 33, ..ZoneCounts::default() };
+    let lost = ZoneCounts { timed_out: 9.0, listed: 33, usable: 33, ..ZoneCounts::default() };
     let row = |from: usize| EvidenceRow {
         from: (from % zones) as u8,
-        times: 1000.0 / 270.0,
-        seen: (0..zones as u8).map(|of| (of, if of == 7 { lost } else { seen })).collect(),
-        homes: (0..zones as u8).map(|of| (of, 20.0)).collect(),
-        words: Vec::new(),
+        represented_routers: 1000.0 / 270.0,
+        counts: (0..zones as u8).map(|of| (of, if of == 7 { lost } else { seen })).collect(),
+        completions_by_home: (0..zones as u8).map(|of| (of, 20.0)).collect(),
+        commands: Vec::new(),
     };
     let rows: Vec<EvidenceRow> = (0..270).map(row).collect();
     let bytes: Vec<Vec<u8>> = rows.iter().map(EvidenceRow::bytes).collect();
@@ -185,14 +185,14 @@
     let looks = 20;
     for _ in 0..looks {
         let rows: Vec<EvidenceRow> = bytes.iter().filter_map(|bytes| EvidenceRow::read(bytes).ok()).collect();
-        let matrix = Matrix::of(&rows);
+        let matrix = Matrix::from_rows(&rows);
         let verdicts = judge(&map, &matrix, &speaking);
         let bounds = PlanLimits {
             demand: vec![100.0; zones],
             capacity: vec![180.0; zones],
             reserve: 0.25,
-            out: 0.5,
-            back: 0.1,
+            max_step_out: 0.5,
+            max_step_back: 0.1,
         };
         let plan =
             Plan::default().next(&map, &verdicts, &bounds, &Default::default(), &mut FlapHistory::default());
--- a/crates/peerlab/src/zones.rs
+++ b/crates/peerlab/src/zones.rs
@@ -159,20 +159,20 @@
         let map = Topology { regions: regions.clone(), costs };
         let desk = |place: usize| {
             let rules = Rules {
-                map: map.clone(),
-                own: Zone((place % zones) as u8),
-                place: place as u16,
+                topology: map.clone(),
+                own_zone: Zone((place % zones) as u8),
+                router_index: place as u16,
                 lease_ms: LEASE_MS,
                 reserve: 0.25,
-                out: if setting.way == Way::Told { 1.0 } else { setting.out },
-                back: setting.back,
+                max_step_out: if setting.way == Way::Told { 1.0 } else { setting.out },
+                max_step_back: setting.back,
                 weights_act: false,
-                alone: setting.way == Way::Alone,
-                told: setting.way == Way::Told,
+                own_evidence_only: setting.way == Way::Alone,
+                commands_only: setting.way == Way::Told,
                 roles: vec![Role::Mixed],
             };
             let mut desk = FailoverController::new(0.0, rules);
-            desk.listed(ListKind::Whole, &rows);
+            desk.apply_list(ListKind::Whole, &rows);
             desk
         };
         Lab {
@@ -268,7 +268,7 @@
                         let word = if b.from_ms == now_ms { Drain } else { Return };
                         let router = (0..routers).find(|router| !down(*router)).unwrap_or(0);
                         let place = router as u16;
-                        self.desks[router].sayings.say(now_ms, place, zone as u8, word, 600_000.0);
+                        self.desks[router].commands.issue(now_ms, place, zone as u8, word, 600_000.0);
                     }
                 }
             }
@@ -291,7 +291,8 @@
                 });
                 for _ in 0..times.unwrap_or(1.0) as usize {
                     arrived += 1.0;
-                    let near = if way == Way::Off { None } else { self.desks[router].near(now_ms, session) };
+                    let near =
+                        if way == Way::Off { None } else { self.desks[router].moved_home(now_ms, session) };
                     homed.0 += 1.0;
                     homed.1 += f64::from(u8::from(near.is_none()));
                     if now_ms < first_ms {
@@ -334,7 +335,7 @@
                             .any(|on| matches!(on.case, Case::Liars { routers } if router < routers));
                         let name = self.name_in(zone);
                         let met = if gone || cut {
-                            DispatchOutcome::Silent
+                            DispatchOutcome::TimedOut
                         } else if taken + served[zone] >= room {
                             DispatchOutcome::Full
                         } else if late.is_some_and(|late| self.rng.f64() < late) {
@@ -343,13 +344,13 @@
                             DispatchOutcome::InTarget
                         };
                         let load = served_mean[zone] * TICK_MS / 1e3 / room.max(1e-9);
-                        self.desks[router].met(
+                        self.desks[router].record_outcome(
                             now_ms,
                             &name,
-                            if liar { DispatchOutcome::Silent } else { met },
+                            if liar { DispatchOutcome::TimedOut } else { met },
                         );
                         if !gone && !cut {
-                            self.desks[router].reported(now_ms, &name, load.clamp(0.05, 1.5));
+                            self.desks[router].record_load(now_ms, &name, load.clamp(0.05, 1.5));
                         }
                         match met {
                             DispatchOutcome::InTarget => {
@@ -358,7 +359,7 @@
                             }
                             DispatchOutcome::Late => taken += 1.0,
                             _ => {
-                                if met == DispatchOutcome::Silent {
+                                if met == DispatchOutcome::TimedOut {
                                     self.distrust[router][zone] =
                                         (self.distrust[router][zone] + BLAME).min(1.0);
                                 }
@@ -421,7 +422,7 @@
                         moved_before[zone] = now;
                         let demand = vec![per_s / zones as f64; zones];
                         let free = (self.carries(&on, now_ms, zone) - demand[zone]).max(1e-9);
-                        let given = plan.given(Zone(zone as u8), &demand);
+                        let given = plan.received_per_s(Zone(zone as u8), &demand);
                         if given > 0.0 && self.lost_ms[zone].is_none() {
                             outcome.fullest = outcome.fullest.max(given / free);
                         }
@@ -470,21 +471,21 @@
             if down(router) {
                 continue;
             }
-            for name in self.desks[router].asks(now_ms as u64 + router as u64) {
+            for name in self.desks[router].probe_targets(now_ms as u64 + router as u64) {
                 let row = self.names.iter().position(|known| *known == name).unwrap_or(0);
                 let met = if self.lost_ms[row % zones].is_some() {
-                    DispatchOutcome::Silent
+                    DispatchOutcome::TimedOut
                 } else {
-                    DispatchOutcome::Answered
+                    DispatchOutcome::ProbeAnswered
                 };
-                self.desks[router].met(now_ms, &name, met);
+                self.desks[router].record_outcome(now_ms, &name, met);
             }
         }
         let rows: Vec<EvidenceRow> = (0..self.setting.routers)
             .filter(|router| !down(*router))
             .map(|router| {
                 let each = self.setting.routers.div_ceil(zones);
-                self.desks[router].row(now_ms, represented_routers(router / zones, each))
+                self.desks[router].own_row(now_ms, represented_routers(router / zones, each))
             })
             .collect();
         self.rows.push_back((now_ms + delay_ms, rows));
@@ -501,21 +502,21 @@
             if way == Way::Alone {
                 for router in (0..self.setting.routers).filter(|router| !down(*router)) {
                     let desk = &mut self.desks[router];
-                    let own = [desk.row(now_ms, Some(1.0))];
-                    let before = desk.alone_before();
-                    let next = desk.next(now_ms, &before, &own, &[Zone((router % zones) as u8)]);
-                    desk.force_alone(&next);
+                    let own = [desk.own_row(now_ms, Some(1.0))];
+                    let before = desk.own_plan();
+                    let next = desk.propose(now_ms, &before, &own, &[Zone((router % zones) as u8)]);
+                    desk.apply_own_plan(&next);
                 }
                 return;
             }
-            self.desks[first].hear(now_ms, &rows);
+            self.desks[first].merge_commands(now_ms, &rows);
             let before = self.page.1.clone();
             // Everybody looks, since who finds what dead is asked after; the first one's look makes the page.
             let whole = (0..self.setting.routers).filter(|router| !down(*router)).count();
             for router in (0..self.setting.routers)
                 .filter(|router| !down(*router) && (*router == first || router % 10 < 2))
             {
-                let next = self.desks[router].next(now_ms, &before, &rows, &speaking);
+                let next = self.desks[router].propose(now_ms, &before, &rows, &speaking);
                 let due = now_ms >= self.paged_ms + PAGE_MS && 2 * whole > self.setting.routers;
                 if router == first && due && next != before {
                     self.paged_ms = now_ms;
@@ -527,7 +528,7 @@
         while self.pages.front().is_some_and(|(at, ..)| *at <= now_ms) {
             if let Some((_, number, extra)) = self.pages.pop_front() {
                 self.desks.iter_mut().for_each(|desk| {
-                    desk.force(Some((number, &extra)));
+                    desk.apply_allocation(Some((number, &extra)));
                 });
             }
         }
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -126,7 +126,7 @@
         }
         info!(servers = rows.len(), "saved list taken");
         if let Some(desk) = &self.desk {
-            desk.borrow_mut().listed(ListKind::Saved, &rows);
+            desk.borrow_mut().apply_list(ListKind::Saved, &rows);
         }
         self.handle(Input::Listed { kind: ListKind::Saved, rows });
         let kept = left.believed(self.state.steady.now_ms(), &self.membership.starts());
@@ -164,7 +164,7 @@
             self.lapses = None;
             self.shared = self.floor.clone();
             self.desk.iter().for_each(|desk| {
-                desk.borrow_mut().force(None);
+                desk.borrow_mut().apply_allocation(None);
             });
             self.resettle();
         }
@@ -186,7 +186,7 @@
             Told::Arrived { completion, facts, received_ms, ask, owed } => {
                 let mut arrival = facts.arrival(completion, received_ms);
                 if let Some(desk) = &self.desk {
-                    arrival.near = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
+                    arrival.near = desk.borrow_mut().moved_home(self.book.clock.now_ms(), arrival.session);
                     let target_ms = failover::target_ms(&self.base, &arrival);
                     self.targets.insert(completion, target_ms);
                 }
@@ -305,7 +305,7 @@
         if let Heard::Listed { kind, rows } = heard {
             info!(revision = self.membership.revision(), ?kind, rows = rows.len(), "list taken");
             if let Some(desk) = &self.desk {
-                desk.borrow_mut().listed(kind, &rows);
+                desk.borrow_mut().apply_list(kind, &rows);
             }
             self.handle(Input::Listed { kind, rows });
             self.saves.send_replace(self.membership.save(now_ms, self.state.steady.now_ms()));
@@ -330,8 +330,8 @@
     /// What a mere question says of its zone.
     fn asked(&self, worker: &WorkerId, answered: bool) {
         if let Some(desk) = &self.desk {
-            let met = if answered { DispatchOutcome::Answered } else { DispatchOutcome::Silent };
-            desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
+            let met = if answered { DispatchOutcome::ProbeAnswered } else { DispatchOutcome::TimedOut };
+            desk.borrow_mut().record_outcome(self.book.clock.now_ms(), worker, met);
         }
     }
 
@@ -339,7 +339,7 @@
     fn met(&mut self, completion: CompletionId, seq: Seq, met: Option<DispatchOutcome>) {
         let (Some(desk), Some(met)) = (&self.desk, met) else { return };
         if let Some(worker) = self.book.worker(completion, seq) {
-            desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
+            desk.borrow_mut().record_outcome(self.book.clock.now_ms(), worker, met);
         }
     }
 
@@ -372,7 +372,7 @@
             waiting_kilotokens: load.metric(wire::WAITING_TOKENS).map(|tokens| tokens / 1e3),
         };
         if let Some((desk, share)) = self.desk.as_ref().zip(failover::share(&load)) {
-            desk.borrow_mut().reported(self.book.clock.now_ms(), &worker, share);
+            desk.borrow_mut().record_load(self.book.clock.now_ms(), &worker, share);
         }
         self.handle(Input::Reported { worker, load });
     }
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -33,16 +33,16 @@
     let (failover, peers) = settings.failover.as_ref().zip(settings.peers.as_ref())?;
     let decisions = &settings.decisions;
     let rules = Rules {
-        map: failover.map.clone(),
-        own: Zone(decisions.zone.map_or(0, |zone| zone.0 as u8)),
-        place: decisions.own_number as u16,
+        topology: failover.map.clone(),
+        own_zone: Zone(decisions.zone.map_or(0, |zone| zone.0 as u8)),
+        router_index: decisions.own_number as u16,
         lease_ms: peers.lease_ms,
         reserve: failover.reserve,
-        out: failover.out,
-        back: failover.back,
+        max_step_out: failover.out,
+        max_step_back: failover.back,
         weights_act: decisions.weights_act,
-        alone: failover.alone,
-        told: failover.told,
+        own_evidence_only: failover.alone,
+        commands_only: failover.told,
         roles: decisions.kinds.iter().map(|kind| kind.role).collect(),
     };
     Some(Rc::new(RefCell::new(FailoverController::new(clock.now_ms(), rules))))
@@ -67,7 +67,7 @@
     use SocketEnd::*;
     match end {
         ConnectRefused | Unreachable | NoAddress => Some(DispatchOutcome::Refused),
-        ConnectTimedOut | TimedOut => Some(DispatchOutcome::Silent),
+        ConnectTimedOut | TimedOut => Some(DispatchOutcome::TimedOut),
         TurnedAway(Refusal::Full) => Some(DispatchOutcome::Full),
         ErrorStatus(_) | BrokeBeforeAnswer | BrokeWithinAnswer | BrokeAfterFirst | Stalled => {
             Some(DispatchOutcome::Broken)
@@ -97,12 +97,12 @@
 pub fn carry(desk: &mut FailoverController, peers: &Peers, now_ms: f64) -> Carried {
     let mut rows: Vec<EvidenceRow> =
         peers.peer_extras().filter_map(|(_, bytes)| EvidenceRow::read(bytes).ok()).collect();
-    let news = desk.hear(now_ms, &rows);
+    let news = desk.merge_commands(now_ms, &rows);
     // Of many routers of a zone the lowest tell what it sees, each for its part.
     let (zone, place) = (peers.info().zone, peers.rules().own);
     let fellows = || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
     let rank = fellows().filter(|member| member.router < place).count();
-    let own = desk.row(now_ms, represented_routers(rank, fellows().count() + 1));
+    let own = desk.own_row(now_ms, represented_routers(rank, fellows().count() + 1));
     let row = own.bytes();
     // As fellows read it: counts on the wire are rounded.
     let own_row = EvidenceRow::read(&row).unwrap_or_default();
@@ -116,20 +116,20 @@
     speaking.push(own_zone);
     speaking.sort();
     speaking.dedup();
-    if desk.rules().alone {
+    if desk.rules().own_evidence_only {
         // Its own plan, from its own row, in force at once.
         let own = [own_row];
-        let before = desk.alone_before();
-        let page = desk.next(now_ms, &before, &own, &[own_zone]);
-        desk.force_alone(&page);
-        return Carried { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
+        let before = desk.own_plan();
+        let page = desk.propose(now_ms, &before, &own, &[own_zone]);
+        desk.apply_own_plan(&page);
+        return Carried { row, page: Vec::new(), after: 0, asks: desk.probe_targets(now_ms as u64), news };
     }
     let (after, before) =
         peers.consensus().allocation().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
-    let page = desk.next(now_ms, before, &rows, &speaking);
+    let page = desk.propose(now_ms, before, &rows, &speaking);
     // What no page carries is no plan: the one that stands goes on.
     let page = if page.len() > MAX_EXTRA_BYTES { before.to_vec() } else { page };
-    Carried { row, page, after, asks: desk.asks(now_ms as u64), news }
+    Carried { row, page, after, asks: desk.probe_targets(now_ms as u64), news }
 }
 
 /// An operator's word as it comes in.
@@ -172,14 +172,14 @@
             // By name: settings may count zones otherwise now. A clock that went back makes no word longer.
             let Some(zone) = self.zones.iter().position(|zone| *zone == row.zone) else { continue };
             let left_ms = row.left_ms - (self.steady.now_ms() - row.saved_at_ms).max(0.0);
-            desk.sayings.hear(now_ms, StampedCommand { zone: zone as u8, ..row.saying }, left_ms);
+            desk.commands.merge(now_ms, StampedCommand { zone: zone as u8, ..row.saying }, left_ms);
         }
     }
 
     pub fn keep(&self, desk: &FailoverController, now_ms: f64) {
         let saved: Vec<SavedWord> = desk
-            .sayings
-            .holding(now_ms)
+            .commands
+            .active(now_ms)
             .filter_map(|(saying, left_ms)| {
                 let zone = self.zones.get(usize::from(saying.zone))?.clone();
                 Some(SavedWord { zone, saying, left_ms, saved_at_ms: self.steady.now_ms() })
@@ -201,8 +201,8 @@
     ) -> Result<Value, String> {
         let zone = zones.iter().position(|zone| *zone == said.zone);
         let zone = zone.ok_or_else(|| format!("zone '{:.64}' is none of {}", said.zone, zones.join(", ")))?;
-        let place = desk.rules().place;
-        let saying = desk.sayings.say(now_ms, place, zone as u8, said.word, said.for_ms);
+        let place = desk.rules().router_index;
+        let saying = desk.commands.issue(now_ms, place, zone as u8, said.word, said.for_ms);
         info!(zone = said.zone, word = ?said.word, for_ms = said.for_ms, "an operator's word on a zone");
         self.keep(desk, now_ms);
         Ok(
@@ -228,11 +228,11 @@
     now_ms: f64,
 ) -> Value {
     let zone = |zone: Zone| zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
-    let (looked, agreed) = (&desk.last, desk.agreed());
-    let words = desk.sayings.holding(now_ms).collect::<Vec<_>>();
+    let (looked, agreed) = (&desk.last_assessment, desk.agreed());
+    let words = desk.commands.active(now_ms).collect::<Vec<_>>();
     let rows: Vec<Value> = desk
         .rules()
-        .map
+        .topology
         .zones()
         .map(|of| {
             let at = usize::from(of.0);
@@ -240,22 +240,22 @@
             let moves = agreed.and_then(|agreed| agreed.plan.moves.get(&of.0)).into_iter().flatten();
             let moves =
                 moves.map(|(to, share)| json!({ "to": zone(Zone(*to)), "share": f64::from(*share) / 1e4 }));
-            let seen = looked.matrix.seen.iter().filter(|((_, seen), _)| *seen == of);
+            let seen = looked.matrix.observations.iter().filter(|((_, seen), _)| *seen == of);
             let seen = seen.map(|((from, _), saw)| {
                 let seen = &saw.sum;
                 json!({
-                    "from": zone(*from), "routers": saw.routers, "dead": saw.dead, "good": saw.good, "in_target": seen.in_target, "late": seen.late,
-                    "refused": seen.refused, "silent": seen.silent, "broken": seen.broken, "full": seen.full,
-                    "answered": seen.answered, "listed": seen.listed, "usable": seen.usable,
+                    "from": zone(*from), "routers": saw.routers, "dead": saw.failed_share, "good": saw.in_target_share, "in_target": seen.in_target, "late": seen.late,
+                    "refused": seen.refused, "silent": seen.timed_out, "broken": seen.broken, "full": seen.full,
+                    "answered": seen.probe_answers, "listed": seen.listed, "usable": seen.usable,
                 })
             });
             let word = words.iter().find(|(saying, _)| saying.zone == of.0);
             json!({
-                "zone": zone(of), "region": desk.rules().map.regions.get(at), "verdict": said(verdict, zones),
+                "zone": zone(of), "region": desk.rules().topology.regions.get(at), "verdict": said(verdict, zones),
                 "demand_per_s": looked.demand.get(at), "capacity_per_s": looked.capacity.get(at),
                 "load": looked.matrix.loads.get(&of), "moves": moves.collect::<Vec<_>>(),
-                "word": word.map(|(saying, left)| json!({ "word": name(saying.word), "left_ms": left })),
-                "flaps": agreed.and_then(|agreed| agreed.hands.flaps.get(&of.0)),
+                "word": word.map(|(saying, left)| json!({ "word": name(saying.command), "left_ms": left })),
+                "flaps": agreed.and_then(|agreed| agreed.history.flaps.get(&of.0)),
                 "seen": seen.collect::<Vec<_>>(),
             })
         })
@@ -263,9 +263,9 @@
     json!({
         "schema": "paddleproxy.failover.v1",
         "name": about.name, "zone": zone(Zone(about.zone)), "mind": stand.status.name(), "why": stand.reason,
-        "page": desk.forced(), "plan": agreed.map(|agreed| agreed.plan.number),
-        "speaking": looked.speaking.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
-        "completions": desk.homed_total, "moved": desk.moved_total, "zones": rows,
+        "page": desk.allocation_number(), "plan": agreed.map(|agreed| agreed.plan.number),
+        "speaking": looked.reporting_zones.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
+        "completions": desk.completions_total, "moved": desk.moved_total, "zones": rows,
     })
 }
 
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -341,10 +341,10 @@
 
     /// Tells the core and the gates what may be used, where that changed.
     async fn share(&mut self) {
-        if let Some(desk) = self.desk.as_ref().filter(|desk| !desk.borrow().rules().alone) {
+        if let Some(desk) = self.desk.as_ref().filter(|desk| !desk.borrow().rules().own_evidence_only) {
             let page = self.peers.agreed_extra(self.clock.now_ms());
             let mut desk = desk.borrow_mut();
-            if desk.force(page) {
+            if desk.apply_allocation(page) {
                 let plan = desk.agreed().map(|agreed| &agreed.plan);
                 info!(page = page.map(|(number, _)| number), number = plan.map(|plan| plan.number),
                     moves = ?plan.map(|plan| &plan.moves), "plan in force");
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -409,7 +409,7 @@
     if let (Some(block), Some(router)) = (top.block("failover"), &mut read_router) {
         let read = failover::read(&block, &router.names.zones);
         block.done();
-        router.decisions.far = read.map.far();
+        router.decisions.far = read.map.distance_ranks();
         router.failover = Some(read);
         router_nodes.iter_mut().for_each(|nodes| nodes.nodes_mut().extend(block.node().cloned()));
         if router.peers.is_none() {
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -292,7 +292,7 @@
         top.problem_of("failover", "'failover' needs 'peers': a plan is what fellows agree on");
     }
     if let Some(failover) = &failover {
-        decisions.far = failover.map.far();
+        decisions.far = failover.map.distance_ranks();
     }
     let rules = top.need_block("requests").map(|block| finish(block, requests));
     let front = top.need_block("front").map(|block| finish(block, |block| front(block, answer_slack_ms)));
