--- a/crates/failover/tests/controllers.rs
+++ b/crates/failover/tests/controllers.rs
@@ -1,4 +1,4 @@
-//! Desks of several routers with one page between them, in virtual time.
+//! Failover controllers of several routers that share one allocation, in virtual time.
 
 #[path = "../../../tests/helpers/mod.rs"]
 mod helpers;
@@ -14,15 +14,15 @@
 };
 
 const ZONES: usize = 3;
-const EACH: usize = 4;
+const WORKERS_PER_ZONE: usize = 4;
 
-fn name(zone: usize, server: usize) -> WorkerId {
-    WorkerId(Arc::from(format!("z{zone}-m{server}")))
+fn name(zone: usize, worker: usize) -> WorkerId {
+    WorkerId(Arc::from(format!("z{zone}-m{worker}")))
 }
 
-fn listing(zone: usize, server: usize) -> Listing {
+fn listing(zone: usize, worker: usize) -> Listing {
     Listing {
-        worker: name(zone, server),
+        worker: name(zone, worker),
         zone: ZoneId(zone),
         kind: KindId(0),
         cell: CellId(zone as u32),
@@ -33,15 +33,15 @@
 }
 
 fn all() -> Vec<Listing> {
-    (0..ZONES * EACH).map(|row| listing(row / EACH, row % EACH)).collect()
+    (0..ZONES * WORKERS_PER_ZONE).map(|row| listing(row / WORKERS_PER_ZONE, row % WORKERS_PER_ZONE)).collect()
 }
 
-fn rules(place: usize) -> Rules {
+fn rules(router_index: usize) -> Rules {
     let costs = vec![vec![0.0, 1.0, 5.0], vec![1.0, 0.0, 5.0], vec![5.0, 5.0, 0.0]];
     Rules {
         topology: Topology { regions: vec![0, 0, 1], costs },
-        own_zone: Zone((place % ZONES) as u8),
-        router_index: place as u16,
+        own_zone: Zone((router_index % ZONES) as u8),
+        router_index: router_index as u16,
         lease_ms: 1500.0,
         reserve: 0.25,
         max_step_out: 0.5,
@@ -53,101 +53,110 @@
     }
 }
 
-/// Routers that hear each other and go by one page; what a dispatch meets is `meets(from, to)`.
-struct Fleet {
-    desks: Vec<FailoverController>,
+/// Routers that receive each other's rows and follow one allocation.
+struct Cluster {
+    controllers: Vec<FailoverController>,
     now_ms: f64,
-    page: (u64, Vec<u8>),
-    /// Whether servers say what room they have.
-    reports: bool,
-    /// Plans that moved somebody or brought somebody back, and when.
-    changes: Vec<f64>,
+    allocation: (u64, Vec<u8>),
+    /// Whether workers report their load.
+    reports_load: bool,
+    /// Times at which a new plan changed moves, in ms.
+    change_times_ms: Vec<f64>,
 }
 
-impl Fleet {
-    fn new() -> Fleet {
-        let desk = |place| {
-            let mut desk = FailoverController::new(0.0, rules(place));
-            desk.apply_list(ListKind::Whole, &all());
-            desk
+impl Cluster {
+    fn new() -> Cluster {
+        let controller = |router_index| {
+            let mut controller = FailoverController::new(0.0, rules(router_index));
+            controller.apply_list(ListKind::Whole, &all());
+            controller
         };
-        Fleet {
-            desks: (0..9).map(desk).collect(),
+        Cluster {
+            controllers: (0..9).map(controller).collect(),
             now_ms: 0.0,
-            page: (1, Vec::new()),
-            reports: true,
-            changes: Vec::new(),
+            allocation: (1, Vec::new()),
+            reports_load: true,
+            change_times_ms: Vec::new(),
         }
     }
 
-    /// Half a second: ten completions at each router, then rows, then perhaps another page.
-    fn step(&mut self, meets: impl Fn(Zone, usize) -> DispatchOutcome) {
+    /// Simulates half a second: ten completions at each router, then an exchange of rows, then a new
+    /// allocation if one is due. The outcome of a dispatch is `outcome(from, to)`.
+    fn step(&mut self, outcome: impl Fn(Zone, usize) -> DispatchOutcome) {
         self.now_ms += 500.0;
         let now_ms = self.now_ms;
-        for (place, desk) in self.desks.iter_mut().enumerate() {
-            let own = Zone((place % ZONES) as u8);
+        for (router_index, controller) in self.controllers.iter_mut().enumerate() {
+            let own = Zone((router_index % ZONES) as u8);
             for n in 0..10u64 {
                 let session = SessionId(
-                    (now_ms as u64 * 31 + n * 17 + place as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
+                    (now_ms as u64 * 31 + n * 17 + router_index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15),
                 );
-                let home = desk.moved_home(now_ms, session);
-                let zone = home.map_or((n as usize + place) % ZONES, |zone| zone.0);
-                let server = name(zone, n as usize % EACH);
-                desk.record_outcome(now_ms, &server, meets(own, zone));
-                if self.reports {
-                    desk.record_load(now_ms, &server, 0.2);
+                let home = controller.moved_home(now_ms, session);
+                let zone = home.map_or((n as usize + router_index) % ZONES, |zone| zone.0);
+                let worker = name(zone, n as usize % WORKERS_PER_ZONE);
+                controller.record_outcome(now_ms, &worker, outcome(own, zone));
+                if self.reports_load {
+                    controller.record_load(now_ms, &worker, 0.2);
                 }
             }
-            for server in desk.probe_targets(now_ms as u64) {
-                let zone = (0..ZONES).find(|zone| (0..EACH).any(|s| name(*zone, s) == server)).unwrap();
-                let met = match meets(own, zone) {
+            for worker in controller.probe_targets(now_ms as u64) {
+                let zone =
+                    (0..ZONES).find(|zone| (0..WORKERS_PER_ZONE).any(|s| name(*zone, s) == worker)).unwrap();
+                let probe_outcome = match outcome(own, zone) {
                     DispatchOutcome::InTarget | DispatchOutcome::Late => DispatchOutcome::ProbeAnswered,
                     other => other,
                 };
-                desk.record_outcome(now_ms, &server, met);
+                controller.record_outcome(now_ms, &worker, probe_outcome);
             }
         }
         let rows: Vec<EvidenceRow> = self
-            .desks
+            .controllers
             .iter_mut()
-            .map(|desk| EvidenceRow::read(&desk.own_row(now_ms, Some(1.0)).bytes()).unwrap())
+            .map(|controller| EvidenceRow::read(&controller.own_row(now_ms, Some(1.0)).bytes()).unwrap())
             .collect();
-        for desk in &mut self.desks {
-            desk.merge_commands(now_ms, &rows);
+        for controller in &mut self.controllers {
+            controller.merge_commands(now_ms, &rows);
         }
-        let speaking: Vec<Zone> = (0..ZONES as u8).map(Zone).collect();
-        let pages: Vec<Vec<u8>> = self
-            .desks
+        let reporting_zones: Vec<Zone> = (0..ZONES as u8).map(Zone).collect();
+        let proposals: Vec<Vec<u8>> = self
+            .controllers
             .iter_mut()
-            .map(|desk| desk.propose(now_ms, &self.page.1.clone(), &rows, &speaking))
+            .map(|controller| controller.propose(now_ms, &self.allocation.1.clone(), &rows, &reporting_zones))
             .collect();
-        // Who has the same rows, words and page before makes the same page after; words end at each by its own clock.
-        let said = self.desks.iter().any(|desk| desk.commands.active(now_ms - 1000.0).next().is_some());
-        assert!(said || pages.iter().all(|page| *page == pages[0]), "at {now_ms} ms");
-        if pages[0] != self.page.1 && (now_ms as u64).is_multiple_of(2500) {
-            self.page = (self.page.0 + 1, pages[0].clone());
-            let (number, extra) = (self.page.0, self.page.1.clone());
+        // The same rows, commands and previous allocation give the same proposal. Not checked around the
+        // expiry of a command, since commands expire on each router's own clock.
+        let recently_active = self
+            .controllers
+            .iter()
+            .any(|controller| controller.commands.active(now_ms - 1000.0).next().is_some());
+        assert!(
+            recently_active || proposals.iter().all(|proposal| *proposal == proposals[0]),
+            "at {now_ms} ms"
+        );
+        if proposals[0] != self.allocation.1 && (now_ms as u64).is_multiple_of(2500) {
+            self.allocation = (self.allocation.0 + 1, proposals[0].clone());
+            let (number, extra) = (self.allocation.0, self.allocation.1.clone());
             let moved = self
-                .desks
+                .controllers
                 .iter_mut()
-                .map(|desk| desk.apply_allocation(Some((number, &extra))))
+                .map(|controller| controller.apply_allocation(Some((number, &extra))))
                 .fold(false, |a, b| a | b);
             if moved {
-                self.changes.push(now_ms);
+                self.change_times_ms.push(now_ms);
             }
         }
     }
 
     fn moved(&self, zone: u8) -> u16 {
-        self.desks[0].agreed().map_or(0, |agreed| agreed.plan.moved(Zone(zone)))
+        self.controllers[0].agreed().map_or(0, |agreed| agreed.plan.moved(Zone(zone)))
     }
 }
 
-fn well(_: Zone, _: usize) -> DispatchOutcome {
+fn healthy(_: Zone, _: usize) -> DispatchOutcome {
     DispatchOutcome::InTarget
 }
 
-fn lost(_: Zone, to: usize) -> DispatchOutcome {
+fn zone_2_lost(_: Zone, to: usize) -> DispatchOutcome {
     if to == 2 {
         DispatchOutcome::Refused
     } else {
@@ -156,27 +165,27 @@
 }
 
 #[test]
-fn a_lost_zone_is_left_and_comes_back_step_by_step() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
-    assert_eq!(fleet.page.0, 1, "calm days change no page");
-    (0..40).for_each(|_| fleet.step(lost));
-    assert_eq!(fleet.moved(2), WHOLE_SHARE);
-    assert_eq!(fleet.desks[0].last_assessment.verdicts[2], Verdict::Lost);
-    let out = fleet.changes.len();
-    assert_eq!(out, 2, "in two steps of a half");
-    let back_ms = fleet.now_ms;
-    (0..100).for_each(|_| fleet.step(well));
-    assert_eq!(fleet.moved(2), 0);
-    assert_eq!(fleet.changes.len() - out, 10);
-    let first = fleet.changes[out] - back_ms;
-    assert!(first >= 6000.0, "well for four leases first, came back after {first} ms");
+fn lost_zone_is_evacuated_and_returns_step_by_step() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
+    assert_eq!(cluster.allocation.0, 1, "without faults the allocation stays the same");
+    (0..40).for_each(|_| cluster.step(zone_2_lost));
+    assert_eq!(cluster.moved(2), WHOLE_SHARE);
+    assert_eq!(cluster.controllers[0].last_assessment.verdicts[2], Verdict::Lost);
+    let out = cluster.change_times_ms.len();
+    assert_eq!(out, 2, "moved out in two steps of a half");
+    let back_ms = cluster.now_ms;
+    (0..100).for_each(|_| cluster.step(healthy));
+    assert_eq!(cluster.moved(2), 0);
+    assert_eq!(cluster.change_times_ms.len() - out, 10);
+    let first = cluster.change_times_ms[out] - back_ms;
+    assert!(first >= 6000.0, "must be healthy for four leases first, came back after {first} ms");
 }
 
 #[test]
-fn a_cut_path_moves_nobody() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
+fn cut_path_moves_no_sessions() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
     let cut = |from: Zone, to: usize| {
         if to == 2 && from != Zone(2) {
             DispatchOutcome::TimedOut
@@ -184,112 +193,117 @@
             DispatchOutcome::InTarget
         }
     };
-    (0..80).for_each(|_| fleet.step(cut));
-    assert_eq!(fleet.page.0, 1);
-    assert!(matches!(fleet.desks[4].last_assessment.verdicts[2], Verdict::CutPath(_)));
+    (0..80).for_each(|_| cluster.step(cut));
+    assert_eq!(cluster.allocation.0, 1);
+    assert!(matches!(cluster.controllers[4].last_assessment.verdicts[2], Verdict::CutPath(_)));
 }
 
 #[test]
-fn a_zone_that_flaps_goes_out_at_once_and_stays_out() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
+fn flapping_zone_is_evacuated_at_once_and_stays_evacuated() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
     for _ in 0..10 {
-        (0..6).for_each(|_| fleet.step(lost));
-        (0..6).for_each(|_| fleet.step(well));
+        (0..6).for_each(|_| cluster.step(zone_2_lost));
+        (0..6).for_each(|_| cluster.step(healthy));
     }
-    // A minute of it: at most the two steps out.
-    assert!(fleet.changes.len() <= 3, "{:?}", fleet.changes);
-    assert!(fleet.moved(2) >= WHOLE_SHARE / 2);
+    // One minute of flapping: the two steps out are expected, three change_times_ms are tolerated.
+    assert!(cluster.change_times_ms.len() <= 3, "{:?}", cluster.change_times_ms);
+    assert!(cluster.moved(2) >= WHOLE_SHARE / 2);
 }
 
 #[test]
-fn everything_dead_everywhere_moves_nobody() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
-    (0..40).for_each(|_| fleet.step(|_, _| DispatchOutcome::TimedOut));
-    assert_eq!(fleet.page.0, 1);
-    assert!(fleet.desks[0].last_assessment.verdicts.iter().all(|verdict| *verdict == Verdict::Unknown));
+fn no_sessions_move_if_every_zone_is_unreachable() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
+    (0..40).for_each(|_| cluster.step(|_, _| DispatchOutcome::TimedOut));
+    assert_eq!(cluster.allocation.0, 1);
+    assert!(cluster.controllers[0]
+        .last_assessment
+        .verdicts
+        .iter()
+        .all(|verdict| *verdict == Verdict::Unknown));
 }
 
 #[test]
-fn one_router_that_finds_everything_dead_moves_nobody() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
+fn one_router_that_reaches_nothing_moves_no_sessions() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
     for _ in 0..40 {
-        let now_ms = fleet.now_ms;
-        for server in 0..200 {
-            fleet.desks[4].record_outcome(
+        let now_ms = cluster.now_ms;
+        for worker in 0..200 {
+            cluster.controllers[4].record_outcome(
                 now_ms,
-                &name(server % ZONES, server % EACH),
+                &name(worker % ZONES, worker % WORKERS_PER_ZONE),
                 DispatchOutcome::TimedOut,
             );
         }
-        fleet.step(well);
+        cluster.step(healthy);
     }
-    assert_eq!(fleet.page.0, 1);
+    assert_eq!(cluster.allocation.0, 1);
 }
 
 #[test]
-fn what_nobody_measured_takes_nothing() {
-    let mut fleet = Fleet::new();
-    // As if no server said anything of its room.
-    fleet.reports = false;
-    (0..60).for_each(|_| fleet.step(lost));
-    assert_eq!(fleet.desks[0].last_assessment.verdicts[2], Verdict::Lost);
-    assert_eq!(fleet.moved(2), 0);
+fn zones_without_load_reports_receive_no_sessions() {
+    let mut cluster = Cluster::new();
+    // No worker reports its load.
+    cluster.reports_load = false;
+    (0..60).for_each(|_| cluster.step(zone_2_lost));
+    assert_eq!(cluster.controllers[0].last_assessment.verdicts[2], Verdict::Lost);
+    assert_eq!(cluster.moved(2), 0);
 }
 
 #[test]
-fn an_operators_word_wins_is_told_to_all_and_ends() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
-    let now_ms = fleet.now_ms;
-    fleet.desks[7].commands.issue(now_ms, 7, 1, OperatorCommand::Drain, 20_000.0);
-    (0..24).for_each(|_| fleet.step(well));
-    assert_eq!(fleet.moved(1), WHOLE_SHARE, "a healthy zone moves by a word");
-    (0..120).for_each(|_| fleet.step(well));
-    assert_eq!(fleet.moved(1), 0, "and comes back once it has ended");
-    // Held, a lost zone's sessions stay.
-    let now_ms = fleet.now_ms;
-    fleet.desks[3].commands.issue(now_ms, 3, 2, OperatorCommand::Hold, 600_000.0);
-    (0..40).for_each(|_| fleet.step(lost));
-    assert_eq!(fleet.moved(2), 0);
+fn operator_command_overrides_evidence_reaches_all_routers_and_expires() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
+    let now_ms = cluster.now_ms;
+    cluster.controllers[7].commands.issue(now_ms, 7, 1, OperatorCommand::Drain, 20_000.0);
+    (0..24).for_each(|_| cluster.step(healthy));
+    assert_eq!(cluster.moved(1), WHOLE_SHARE, "a command evacuates a healthy zone");
+    (0..120).for_each(|_| cluster.step(healthy));
+    assert_eq!(cluster.moved(1), 0, "sessions return after the command expired");
+    // On hold, the sessions of a lost zone stay.
+    let now_ms = cluster.now_ms;
+    cluster.controllers[3].commands.issue(now_ms, 3, 2, OperatorCommand::Hold, 600_000.0);
+    (0..40).for_each(|_| cluster.step(zone_2_lost));
+    assert_eq!(cluster.moved(2), 0);
 }
 
 #[test]
-fn a_lease_that_lapses_leaves_homes_where_hashes_say() {
-    let mut fleet = Fleet::new();
-    (0..20).for_each(|_| fleet.step(well));
-    (0..40).for_each(|_| fleet.step(lost));
-    let now_ms = fleet.now_ms;
-    let desk = &mut fleet.desks[1];
+fn expired_lease_restores_homes_by_hash() {
+    let mut cluster = Cluster::new();
+    (0..20).for_each(|_| cluster.step(healthy));
+    (0..40).for_each(|_| cluster.step(zone_2_lost));
+    let now_ms = cluster.now_ms;
+    let controller = &mut cluster.controllers[1];
     let sessions: Vec<SessionId> =
         (0..500u64).map(|n| SessionId(n.wrapping_mul(0x9e37_79b9_7f4a_7c15))).collect();
-    let away = |desk: &mut FailoverController| {
-        sessions.iter().filter(|s| desk.moved_home(now_ms, **s).is_some()).count()
+    let away = |controller: &mut FailoverController| {
+        sessions.iter().filter(|s| controller.moved_home(now_ms, **s).is_some()).count()
     };
-    assert!(away(desk) > 100);
-    assert!(desk.apply_allocation(None));
-    assert_eq!(away(desk), 0);
-    assert_eq!(desk.allocation_number(), None);
+    assert!(away(controller) > 100);
+    assert!(controller.apply_allocation(None));
+    assert_eq!(away(controller), 0);
+    assert_eq!(controller.allocation_number(), None);
 }
 
 #[test]
-fn words_are_registers_in_which_the_newest_stamp_wins() {
+fn newest_stamp_wins_in_command_registers() {
     let (mut a, mut b) = (CommandRegister::default(), CommandRegister::default());
     let first = a.issue(0.0, 4, 1, OperatorCommand::Drain, 1000.0);
     assert!(b.merge(50.0, first, f64::from(first.for_ms)));
-    assert!(!b.merge(60.0, first, f64::from(first.for_ms)), "known");
+    assert!(!b.merge(60.0, first, f64::from(first.for_ms)), "already known");
     let second = b.issue(100.0, 2, 1, OperatorCommand::Return, 5000.0);
     assert!(second.stamp > first.stamp);
     assert!(a.merge(110.0, second, f64::from(second.for_ms)));
-    assert!(!a.merge(120.0, first, 1000.0), "an older word never comes back");
+    assert!(!a.merge(120.0, first, 1000.0), "an older command is never accepted again");
     assert_eq!(a.commands(120.0), b.commands(120.0));
-    // It ends at each by its own clock, and is not heard anew from one that still holds it.
+    // A command expires on each router's own clock, and is not accepted again from a router where it is
+    // active.
     assert!(b.commands(5101.0).is_empty());
     assert!(!b.merge(5105.0, second, f64::from(second.for_ms)));
     assert!(b.commands(5106.0).is_empty());
-    // Two at once: the same one wins everywhere, in either order.
+    // Two commands issued at the same time: the same one wins everywhere, in either order.
     let (one, two) = (
         a.issue(6000.0, 4, 1, OperatorCommand::Hold, 1e6),
         b.issue(6000.0, 2, 1, OperatorCommand::Drain, 1e6),
@@ -302,21 +316,22 @@
     assert!(!CommandRegister::default().merge(0.0, bad, 5.0));
 }
 
-/// A page's bytes come from a majority's page; whatever they are, sessions have some home and the next plan is made.
+/// Bytes of an allocation come from a quorum of voters. Whatever they are, sessions have a home and the
+/// next plan is computed without a panic.
 #[test]
-fn bytes_of_any_page_do_no_harm() {
+fn corrupt_allocation_bytes_are_handled() {
     let mut rng = fastrand::Rng::with_seed(7);
-    let mut fleet = Fleet::new();
-    (0..4).for_each(|_| fleet.step(well));
-    let mut desk = fleet.desks.pop().unwrap();
+    let mut cluster = Cluster::new();
+    (0..4).for_each(|_| cluster.step(healthy));
+    let mut controller = cluster.controllers.pop().unwrap();
     let rows: Vec<EvidenceRow> = Vec::new();
     let moves = BTreeMap::from([(2u8, vec![(0u8, 4000u16), (1, 3000)]), (1, vec![(0, 500)])]);
     let plan = paddleproxy_failover::Plan { number: 9, moves };
-    let hands = paddleproxy_failover::FlapHistory {
+    let history = paddleproxy_failover::FlapHistory {
         flaps: BTreeMap::from([(2, 3)]),
         returning: BTreeMap::from([(2, true)]),
     };
-    let good = postcard::to_stdvec(&paddleproxy_failover::AgreedPlan { plan, history: hands }).unwrap();
+    let good = postcard::to_stdvec(&paddleproxy_failover::AgreedPlan { plan, history }).unwrap();
     let mut plans = 0;
     for round in 0..20_000u64 {
         let mut bytes = good.clone();
@@ -325,23 +340,23 @@
             bytes[at] = rng.u8(..);
         }
         bytes.truncate(rng.usize(bytes.len() / 2..=bytes.len()));
-        desk.apply_allocation(Some((round + 2, &bytes)));
-        plans += u64::from(desk.agreed().is_some_and(|agreed| !agreed.plan.moves.is_empty()));
-        desk.moved_home(1e6, SessionId(rng.u64(..)));
-        desk.propose(1e6, &bytes, &rows, &[Zone(0)]);
-        desk.probe_targets(round);
+        controller.apply_allocation(Some((round + 2, &bytes)));
+        plans += u64::from(controller.agreed().is_some_and(|agreed| !agreed.plan.moves.is_empty()));
+        controller.moved_home(1e6, SessionId(rng.u64(..)));
+        controller.propose(1e6, &bytes, &rows, &[Zone(0)]);
+        controller.probe_targets(round);
     }
-    assert!(plans > 100, "{plans} were plans");
+    assert!(plans > 100, "{plans} inputs decoded to plans");
     let most = paddleproxy_failover::AgreedPlan {
         plan: paddleproxy_failover::Plan { number: u64::MAX, ..Default::default() },
         ..Default::default()
     };
-    desk.propose(1e6, &postcard::to_stdvec(&most).unwrap(), &rows, &[]);
+    controller.propose(1e6, &postcard::to_stdvec(&most).unwrap(), &rows, &[]);
 }
 
-/// The desk's origin of a session is the zone in which the module has its home.
+/// The origin of a session is the zone of the worker to which the routing decisions send it.
 #[test]
-fn origins_are_the_modules_homes() {
+fn origins_match_the_homes_of_the_routing_decisions() {
     for weights_act in [false, true] {
         let rows: Vec<Listing> = all()
             .into_iter()
@@ -365,22 +380,22 @@
 }
 
 #[test]
-fn a_zone_off_the_list_is_remembered_and_one_that_shrinks_is_not() {
+fn unlisted_zone_is_remembered_and_a_shrunk_one_is_not() {
     let mut homes = Homes::new(false);
     homes.apply_list(ListKind::Whole, &all(), |_| true);
     let sessions: Vec<SessionId> = (0..600u64).map(|n| SessionId(n * 7919)).collect();
     let origins = |homes: &Homes| sessions.iter().map(|s| homes.origin(*s)).collect::<Vec<_>>();
     let before = origins(&homes);
-    let gone = |zone: usize, servers: std::ops::Range<usize>| -> Vec<Listing> {
-        servers.map(|s| Listing { readiness: Readiness::Gone, ..listing(zone, s) }).collect()
+    let gone = |zone: usize, workers: std::ops::Range<usize>| -> Vec<Listing> {
+        workers.map(|s| Listing { readiness: Readiness::Gone, ..listing(zone, s) }).collect()
     };
-    homes.apply_list(ListKind::Changes, &gone(2, 0..EACH), |_| true);
-    assert_eq!(origins(&homes), before, "its sessions are its own while it is out");
+    homes.apply_list(ListKind::Changes, &gone(2, 0..WORKERS_PER_ZONE), |_| true);
+    assert_eq!(origins(&homes), before, "sessions keep their origin while the zone is off the list");
     let without: Vec<Listing> = all().into_iter().filter(|row| row.zone != ZoneId(2)).collect();
     homes.apply_list(ListKind::Whole, &without, |_| true);
     assert_eq!(origins(&homes), before);
     homes.apply_list(ListKind::Whole, &all(), |_| true);
     assert_eq!(origins(&homes), before);
     homes.apply_list(ListKind::Changes, &gone(1, 0..1), |_| true);
-    assert_ne!(origins(&homes), before, "one server less is no zone lost: its sessions have other homes");
+    assert_ne!(origins(&homes), before, "one worker less is not a lost zone: its sessions get other homes");
 }
