--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -1,36 +1,43 @@
-//! What routers saw of zones: fading counts of what their own dispatches met, summed by who saw it from where.
+//! Evidence on zones: decaying counts of the outcomes of each router's own dispatches, summed by observing
+//! and observed zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::operator_commands::StampedCommand;
-use crate::verdict::{sight, Sight};
+use crate::verdict::{reachability, Reachability};
 use crate::Zone;
 
-/// What dispatches to one zone met, in dispatches of late; halves in a time that the caller sets.
+/// Recent outcomes of dispatches to one zone; the counts decay with a half-life that the caller sets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(from = "Small", into = "Small")]
+#[serde(from = "EncodedCounts", into = "EncodedCounts")]
 pub struct ZoneCounts {
-    /// First tokens in target, and after it.
+    /// First tokens within the latency target.
     pub in_target: f32,
+    /// First tokens after the latency target.
     pub late: f32,
-    /// Connects that were refused or timed out, answers that broke off, and those that never came.
+    /// Workers that could not be reached, e.g. refused connections.
     pub refused: f32,
+    /// Connections or answers that did not come in time.
     pub timed_out: f32,
+    /// Answers that failed, broke off or stalled.
     pub broken: f32,
-    /// Turned away for want of room.
+    /// Rejections for lack of capacity.
     pub full: f32,
-    /// Answers to mere questions, asked where no dispatch goes.
+    /// Answers to probes, which go where no dispatch goes.
     pub probe_answers: f32,
-    /// Share of their room that its servers say is in use, of the role that has least left; 0 where none said.
+    /// Share of its capacity in use, as reported by its workers, of the role that has least left; 0 without
+    /// reports.
     pub load: f32,
-    /// Servers listed, and those of them that may be used. None listed: there were some, and the list has dropped all.
+    /// Workers listed. 0 means that workers of the zone were known and the list has dropped all of them.
     pub listed: u16,
+    /// Listed workers that can be used.
     pub usable: u16,
 }
 
 impl ZoneCounts {
+    /// All dispatches and answered probes.
     pub fn attempts(&self) -> f32 {
         self.in_target
             + self.late
@@ -41,12 +48,13 @@
             + self.probe_answers
     }
 
-    /// That nobody was there, or nothing came.
+    /// Attempts that did not reach a worker or got no complete answer.
     pub fn failed(&self) -> f32 {
         self.refused + self.timed_out + self.broken
     }
 
-    pub fn scale(&mut self, by: f32) {
+    /// Multiplies the counts of outcomes.
+    pub fn scale(&mut self, factor: f32) {
         for count in [
             &mut self.in_target,
             &mut self.late,
@@ -56,7 +64,7 @@
             &mut self.full,
             &mut self.probe_answers,
         ] {
-            *count *= by;
+            *count *= factor;
         }
     }
 
@@ -68,37 +76,37 @@
         self.broken += other.broken;
         self.full += other.full;
         self.probe_answers += other.probe_answers;
-        // What is listed is the same for all; the most that anyone knows of.
+        // The list is the same for all routers; the highest number that any of them knows is taken.
         self.listed = self.listed.max(other.listed);
         self.usable = self.usable.max(other.usable);
     }
 
-    /// No number that is not one, none below 0, none beyond what a router could have tried.
-    fn sound(&self) -> bool {
+    /// Whether all counts are finite, not negative and not above what a router can have counted.
+    fn is_valid(&self) -> bool {
         let ZoneCounts { in_target, late, refused, timed_out, broken, full, probe_answers, load, .. } = *self;
         let counts = [in_target, late, refused, timed_out, broken, full, probe_answers, load];
-        counts.iter().all(|count| count.is_finite() && (0.0..=COUNT_MAX).contains(count))
+        counts.iter().all(|count| count.is_finite() && (0.0..=MAX_COUNT).contains(count))
     }
 }
 
-/// How it stands on the wire: counts by their logarithm, a byte each, so that 30 zones fit a datagram and what hardly
-/// changed stays the same.
+/// Counts as sent: one byte each for the rounded logarithm, so that 30 zones fit into a datagram and a
+/// count that hardly changed is encoded the same.
 #[derive(Serialize, Deserialize)]
-struct Small([u8; 8], u16, u16);
+struct EncodedCounts([u8; 8], u16, u16);
 
-/// Steps of a count for each doubling.
-const STEPS: f32 = 6.0;
+/// Steps of the encoding for each doubling of a count.
+const STEPS_PER_DOUBLING: f32 = 6.0;
 
-fn small(count: f32) -> u8 {
-    (STEPS * (1.0 + count.max(0.0)).log2()).round().min(255.0) as u8
+fn encode_count(count: f32) -> u8 {
+    (STEPS_PER_DOUBLING * (1.0 + count.max(0.0)).log2()).round().min(255.0) as u8
 }
 
-fn large(step: u8) -> f32 {
-    (f32::from(step) / STEPS).exp2() - 1.0
+fn decode_count(step: u8) -> f32 {
+    (f32::from(step) / STEPS_PER_DOUBLING).exp2() - 1.0
 }
 
-impl From<ZoneCounts> for Small {
-    fn from(seen: ZoneCounts) -> Self {
+impl From<ZoneCounts> for EncodedCounts {
+    fn from(counts: ZoneCounts) -> Self {
         let ZoneCounts {
             in_target,
             late,
@@ -110,39 +118,44 @@
             load,
             listed,
             usable,
-        } = seen;
-        let counts = [in_target, late, refused, timed_out, broken, full, probe_answers].map(small);
+        } = counts;
+        let counts = [in_target, late, refused, timed_out, broken, full, probe_answers].map(encode_count);
         let [a, b, c, d, e, f, g] = counts;
-        Small([a, b, c, d, e, f, g, (load.clamp(0.0, 2.0) * 100.0).round() as u8], listed, usable)
+        EncodedCounts([a, b, c, d, e, f, g, (load.clamp(0.0, 2.0) * 100.0).round() as u8], listed, usable)
     }
 }
 
-impl From<Small> for ZoneCounts {
-    fn from(Small([a, b, c, d, e, f, g, load], listed, usable): Small) -> Self {
+impl From<EncodedCounts> for ZoneCounts {
+    fn from(EncodedCounts([a, b, c, d, e, f, g, load], listed, usable): EncodedCounts) -> Self {
         let [in_target, late, refused, timed_out, broken, full, probe_answers] =
-            [a, b, c, d, e, f, g].map(large);
+            [a, b, c, d, e, f, g].map(decode_count);
         let load = f32::from(load) / 100.0;
         ZoneCounts { in_target, late, refused, timed_out, broken, full, probe_answers, load, listed, usable }
     }
 }
 
-/// Dispatches of late beyond which a count is not believed.
-const COUNT_MAX: f32 = 1e7;
-/// Most routers that one may stand for.
-const TIMES_MAX: f32 = 4096.0;
-/// Most zones of a row.
-const ZONES_MAX: usize = 64;
+/// Highest count that is accepted from a peer.
+const MAX_COUNT: f32 = 1e7;
+/// Most routers that one row may represent.
+const MAX_REPRESENTED_ROUTERS: f32 = 4096.0;
+/// Most zones in a row.
+const MAX_ZONES: usize = 64;
 
-/// What one router says: where it stands, and of each zone that it tried what it saw. Bounded by zones, never by servers.
+/// Evidence of one router: its zone, and what it observed of each zone. Its size grows with the number of
+/// zones, not of workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceRow {
+    /// Zone of the router.
     pub from: u8,
-    /// Routers of its zone that it stands for: where a zone has many, some of them tell for all.
+    /// Number of routers of its zone that the row stands for: in a zone with many routers, some report for
+    /// all.
     pub represented_routers: f32,
+    /// Observed zones, in ascending order.
     pub counts: Vec<(u8, ZoneCounts)>,
-    /// Completions of late whose sessions have their home in a zone while no plan is in force.
+    /// Recent completions by the origin zone of their sessions, which is their home while no plan is in
+    /// force.
     pub completions_by_home: Vec<(u8, f32)>,
-    /// Operators' words that it knows of.
+    /// Operator commands that the router knows of.
     pub commands: Vec<StampedCommand>,
 }
 
@@ -158,42 +171,43 @@
     }
 }
 
-/// Routers of a zone that tell what it sees; of more the lowest places do, each for its part of all. Keeps evidence at a
-/// thousand routers to some hundreds of rows. Harm: who tells stands for those whose traffic may differ.
+/// Routers of a zone that report what they observe. With more routers, those with the lowest indices
+/// report, each for an equal part of all. Limits the evidence of a thousand routers to some hundreds of
+/// rows; the price is that the reporters stand for routers whose traffic may differ.
 pub const MAX_REPORTERS_PER_ZONE: usize = 9;
 
-/// For how many routers one tells that has so many of its zone below it, itself not counted, of so many; none where
-/// others do.
+/// Number of routers that a router represents; none if others report for it. `rank`: routers of its zone
+/// with a lower index; `all`: routers of its zone, itself included.
 pub fn represented_routers(rank: usize, all: usize) -> Option<f32> {
     (rank < MAX_REPORTERS_PER_ZONE).then(|| all.max(1) as f32 / all.clamp(1, MAX_REPORTERS_PER_ZONE) as f32)
 }
 
-/// Bytes that are no row.
+/// The bytes are not a valid row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a row of evidence")]
+#[error("invalid evidence row")]
 pub struct EvidenceError;
 
 impl EvidenceRow {
-    /// Writing plain values to memory can't fail; an empty row is refused by its reader.
+    /// Encodes the row. Writing plain values to memory can't fail; a reader would refuse an empty result.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a row.
+    /// Decodes a row.
     ///
     /// # Errors
-    /// Bytes that are none, or figures that no router could have counted.
+    /// The bytes are not a row, or it contains counts that no router can have.
     pub fn read(bytes: &[u8]) -> Result<EvidenceRow, EvidenceError> {
         let row: EvidenceRow = postcard::from_bytes(bytes).map_err(|_| EvidenceError)?;
         let ordered = row.counts.windows(2).all(|pair| pair[0].0 < pair[1].0);
-        let counted = |(_, count): &(u8, f32)| count.is_finite() && (0.0..=COUNT_MAX).contains(count);
-        let sound = row.counts.len().max(row.completions_by_home.len()).max(row.commands.len()) <= ZONES_MAX
+        let count_is_valid = |(_, count): &(u8, f32)| count.is_finite() && (0.0..=MAX_COUNT).contains(count);
+        let valid = row.counts.len().max(row.completions_by_home.len()).max(row.commands.len()) <= MAX_ZONES
             && ordered
             && row.represented_routers.is_finite()
-            && (1.0..=TIMES_MAX).contains(&row.represented_routers)
-            && row.counts.iter().all(|(_, seen)| seen.sound())
-            && row.completions_by_home.iter().all(counted);
-        if sound {
+            && (1.0..=MAX_REPRESENTED_ROUTERS).contains(&row.represented_routers)
+            && row.counts.iter().all(|(_, counts)| counts.is_valid())
+            && row.completions_by_home.iter().all(count_is_valid);
+        if valid {
             Ok(row)
         } else {
             Err(EvidenceError)
@@ -201,88 +215,98 @@
     }
 }
 
-/// Who saw what from where: observing zone and observed zone, with the number of routers behind each.
+/// The evidence of all routers by observing and observed zone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Matrix {
+    /// Keyed by observing zone, then observed zone.
     pub observations: BTreeMap<(Zone, Zone), ZoneObservation>,
-    /// Completions of late by the home of their sessions, and the load of each zone as the middle one heard of it.
+    /// Recent completions by the origin zone of their sessions.
     pub completions_by_home: BTreeMap<Zone, f64>,
+    /// Load of each zone, as the median of the rows has it.
     pub loads: BTreeMap<Zone, f64>,
-    /// Zones of which most routers that know of servers there have none on their list.
+    /// Zones of which most of the routers that know workers there have none on their list.
     pub unlisted: BTreeSet<Zone>,
 }
 
-/// What the routers of one zone saw of one.
+/// What the routers of one zone observed of another, or of their own.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneObservation {
     pub sum: ZoneCounts,
+    /// Number of rows behind the sum.
     pub routers: usize,
-    /// Shares as the middle router has them, of two middle ones the better: of what was tried that met nobody; of what
-    /// was answered or broke off that was in target; of that and what was turned away that was.
+    /// Share of attempts that failed. This share and the next two are medians over the routers; of the two
+    /// middle values of an even number, the better one.
     pub failed_share: f32,
+    /// Share within the latency target of the dispatches that were answered or failed.
     pub in_target_share: f32,
+    /// Share rejected for lack of capacity of the dispatches that were answered, failed or were rejected.
     pub full_share: f32,
 }
 
-/// Dispatches of late from which a router's share of one zone counts.
-const OWN_LEAST: f32 = 1.0;
+/// Attempts from which a router's share for one zone counts.
+const MIN_ROUTER_ATTEMPTS: f32 = 1.0;
 
 impl ZoneObservation {
     fn of(sum: ZoneCounts, all: &[ZoneCounts]) -> ZoneObservation {
         let shares = |part: fn(&ZoneCounts) -> f32, whole: fn(&ZoneCounts) -> f32| {
             let mut shares: Vec<f32> = all
                 .iter()
-                .filter(|seen| whole(seen) >= OWN_LEAST)
-                .map(|seen| part(seen) / whole(seen))
+                .filter(|counts| whole(counts) >= MIN_ROUTER_ATTEMPTS)
+                .map(|counts| part(counts) / whole(counts))
                 .collect();
             shares.sort_by(f32::total_cmp);
             shares
         };
-        let answered = |seen: &ZoneCounts| seen.in_target + seen.late + seen.failed();
-        let dead = shares(ZoneCounts::failed, ZoneCounts::attempts);
-        let good = shares(|seen| seen.in_target, answered);
-        let full = shares(|seen| seen.full, |seen| seen.in_target + seen.late + seen.failed() + seen.full);
-        // Of an even number the better of the middle two: one of two routers alone says nothing against a zone.
-        let low = |shares: &[f32]| shares.get(shares.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
-        let high = |shares: &[f32]| shares.get(shares.len() / 2).copied().unwrap_or(1.0);
+        let answered = |counts: &ZoneCounts| counts.in_target + counts.late + counts.failed();
+        let failed = shares(ZoneCounts::failed, ZoneCounts::attempts);
+        let in_target = shares(|counts| counts.in_target, answered);
+        let full = shares(
+            |counts| counts.full,
+            |counts| counts.in_target + counts.late + counts.failed() + counts.full,
+        );
+        // Of an even number the better of the two middle values: one of two routers alone is no evidence
+        // against a zone.
+        let lower_median =
+            |shares: &[f32]| shares.get(shares.len().saturating_sub(1) / 2).copied().unwrap_or(0.0);
+        let upper_median = |shares: &[f32]| shares.get(shares.len() / 2).copied().unwrap_or(1.0);
         ZoneObservation {
             sum,
             routers: all.len(),
-            failed_share: low(&dead),
-            in_target_share: high(&good),
-            full_share: low(&full),
+            failed_share: lower_median(&failed),
+            in_target_share: upper_median(&in_target),
+            full_share: lower_median(&full),
         }
     }
 }
 
-/// Most that one router counts for, as a part of what all saw from its zone: the median of the others' dispatches by
-/// so much. Guards against one that lies, or stopped long ago, moving anything by itself. Harm: in a zone with few
-/// routers the busiest counts for less than it saw.
-const ONE_MOST: f32 = 2.0;
+/// Limit on the weight of one row: its attempts count up to this multiple of the median attempts from its
+/// zone. Keeps one router that reports wrong figures, or that stopped long ago, from moving anything by
+/// itself; the price is that in a zone with few routers the busiest one counts for less than it observed.
+const MAX_MULTIPLE_OF_MEDIAN: f32 = 2.0;
 
 impl Matrix {
-    /// The sum of all rows, whatever their order.
+    /// Sums up all rows; the result does not depend on their order.
     pub fn from_rows<'a>(rows: impl IntoIterator<Item = &'a EvidenceRow>) -> Matrix {
-        let mut by: BTreeMap<(Zone, Zone), Vec<ZoneCounts>> = BTreeMap::new();
+        let mut by_pair: BTreeMap<(Zone, Zone), Vec<ZoneCounts>> = BTreeMap::new();
         let mut homes: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut loads: BTreeMap<Zone, Vec<f64>> = BTreeMap::new();
         let mut lists: BTreeMap<Zone, (usize, usize)> = BTreeMap::new();
         for row in rows {
-            for (of, seen) in &row.counts {
-                let mut all = *seen;
+            for (of, counts) in &row.counts {
+                let mut all = *counts;
                 all.scale(row.represented_routers);
-                by.entry((Zone(row.from), Zone(*of))).or_default().push(all);
+                by_pair.entry((Zone(row.from), Zone(*of))).or_default().push(all);
                 let (none, all) = lists.entry(Zone(*of)).or_default();
-                (*none, *all) = (*none + usize::from(seen.listed == 0), *all + 1);
-                if seen.load > 0.0 {
-                    loads.entry(Zone(*of)).or_default().push(f64::from(seen.load));
+                (*none, *all) = (*none + usize::from(counts.listed == 0), *all + 1);
+                if counts.load > 0.0 {
+                    loads.entry(Zone(*of)).or_default().push(f64::from(counts.load));
                 }
             }
             for (of, count) in &row.completions_by_home {
                 homes.entry(Zone(*of)).or_default().push(f64::from(*count * row.represented_routers));
             }
         }
-        // Sorted, so that sums come out the same in whatever order the rows came.
+        // Sorted, so that floating-point sums do not depend on the order of the rows.
         let sorted = |mut all: Vec<f64>| {
             all.sort_by(f64::total_cmp);
             all
@@ -300,43 +324,48 @@
             loads: loads.into_iter().map(|(zone, all)| (zone, sorted(all.clone())[all.len() / 2])).collect(),
             ..Matrix::default()
         };
-        for (key, mut all) in by {
-            // Sorted by all they hold, so that sums of fractions come out the same everywhere.
+        for (key, mut all) in by_pair {
+            // Sorted by all fields, so that floating-point sums are the same at every router.
             all.sort_by(|a, b| {
-                let figures = |seen: &ZoneCounts| {
+                let bits = |counts: &ZoneCounts| {
                     let ZoneCounts {
                         in_target, late, refused, timed_out, broken, full, probe_answers, ..
-                    } = *seen;
+                    } = *counts;
                     [in_target, late, refused, timed_out, broken, full, probe_answers].map(f32::to_bits)
                 };
-                figures(a).cmp(&figures(b)).then((a.listed, a.usable).cmp(&(b.listed, b.usable)))
+                bits(a).cmp(&bits(b)).then((a.listed, a.usable).cmp(&(b.listed, b.usable)))
             });
-            let mut tried: Vec<f32> = all.iter().map(ZoneCounts::attempts).collect();
-            tried.sort_by(f32::total_cmp);
-            let most =
-                if tried.len() > 2 { ONE_MOST * tried[tried.len() / 2].max(1.0) } else { f32::INFINITY };
+            let mut attempts: Vec<f32> = all.iter().map(ZoneCounts::attempts).collect();
+            attempts.sort_by(f32::total_cmp);
+            let max_attempts = if attempts.len() > 2 {
+                MAX_MULTIPLE_OF_MEDIAN * attempts[attempts.len() / 2].max(1.0)
+            } else {
+                f32::INFINITY
+            };
             let mut sum = ZoneCounts::default();
-            for mut seen in all.iter().copied() {
-                let tried = seen.attempts();
-                if tried > most {
-                    seen.scale(most / tried);
+            for mut counts in all.iter().copied() {
+                let attempts = counts.attempts();
+                if attempts > max_attempts {
+                    counts.scale(max_attempts / attempts);
                 }
-                sum.add(&seen);
+                sum.add(&counts);
             }
             matrix.observations.insert(key, ZoneObservation::of(sum, &all));
         }
         matrix
     }
 
-    /// Whether anybody finds a zone dead.
+    /// Whether at least one zone finds a zone unreachable.
     pub fn unreachable_from_any(&self, of: Zone) -> bool {
-        let rows = self.observations.iter().filter(|((_, zone), _)| *zone == of);
-        rows.into_iter().any(|(_, row)| sight(Some(row)) == Sight::Dead)
+        let observations = self.observations.iter().filter(|((_, zone), _)| *zone == of);
+        observations
+            .into_iter()
+            .any(|(_, observation)| reachability(Some(observation)) == Reachability::Unreachable)
     }
 
-    /// Dispatches to a zone of late that were answered, from everywhere.
+    /// Recent dispatches to a zone that were answered, from all zones.
     pub fn answered_dispatches(&self, of: Zone) -> f64 {
-        let seen = self.observations.iter().filter(|((_, zone), _)| *zone == of);
-        seen.map(|(_, saw)| f64::from(saw.sum.in_target + saw.sum.late)).sum()
+        let observations = self.observations.iter().filter(|((_, zone), _)| *zone == of);
+        observations.map(|(_, observation)| f64::from(observation.sum.in_target + observation.sum.late)).sum()
     }
 }
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -1,114 +1,130 @@
-//! What the joined evidence says of each zone.
+//! Verdicts on zones, derived from the evidence of all routers.
 
 use serde::Serialize;
 
 use crate::evidence::{Matrix, ZoneObservation};
 use crate::{Topology, Zone};
 
-/// How a zone is.
+/// Condition of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub enum Verdict {
     #[serde(rename = "Well")]
     Healthy,
-    /// Its own routers find it well; these zones can't reach it. Each side serves its own, nobody evacuates.
+    /// Its own routers find it healthy, the listed zones can't reach it. Each side serves its own sessions,
+    /// none are moved.
     CutPath(Vec<Zone>),
-    /// Nobody reaches it, its own routers included where there are any.
+    /// No zone reaches it, its own routers included if there are any.
     Lost,
-    /// Slow or failing for all; the share that it still carries.
+    /// Slow or failing for all observers; carries the share of its load that it still handles.
     Impaired(f64),
-    /// No room: overflow moves, homes stay.
+    /// No spare capacity: overflow goes elsewhere, homes stay.
     Full,
-    /// Too little was seen, or everything is bad everywhere: a fleet that believes all is lost has lost its eyes.
+    /// Too little evidence, or every zone appears lost: then the observers are more likely at fault than
+    /// all zones.
     Unknown,
 }
 
-/// Dispatches of late below which nothing is said of a zone.
+/// Recent attempts below which an observation gives no verdict.
 pub const MIN_ATTEMPTS: f32 = 4.0;
-/// Share of dispatches that met nobody from which a zone counts as dead, and below which as reached.
-const DEAD: f32 = 0.8;
-/// Share of what was answered in target below which a zone is impaired.
-const GOOD: f32 = 0.7;
-/// Share turned away from which a zone is full.
-const FULL: f32 = 0.3;
+/// Share of failed attempts from which a zone counts as unreachable; below it, as reachable.
+const UNREACHABLE_FAILED_SHARE: f32 = 0.8;
+/// Share of dispatches in target below which a zone is impaired.
+const IMPAIRED_IN_TARGET_SHARE: f32 = 0.7;
+/// Share of dispatches rejected for lack of capacity from which a zone is full.
+const FULL_REJECTED_SHARE: f32 = 0.3;
 
+/// Whether the routers of one zone reach another.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Sight {
-    Nothing,
-    Dead,
-    Reached,
+pub(crate) enum Reachability {
+    /// Too few attempts.
+    Unobserved,
+    Unreachable,
+    Reachable,
 }
 
-pub(crate) fn sight(saw: Option<&ZoneObservation>) -> Sight {
-    match saw {
-        Some(saw) if saw.sum.attempts() >= MIN_ATTEMPTS => {
-            if saw.failed_share >= DEAD {
-                Sight::Dead
+pub(crate) fn reachability(observation: Option<&ZoneObservation>) -> Reachability {
+    match observation {
+        Some(observation) if observation.sum.attempts() >= MIN_ATTEMPTS => {
+            if observation.failed_share >= UNREACHABLE_FAILED_SHARE {
+                Reachability::Unreachable
             } else {
-                Sight::Reached
+                Reachability::Reachable
             }
         }
-        _ => Sight::Nothing,
+        _ => Reachability::Unobserved,
     }
 }
 
-/// What to think of each zone. `speaking`: zones of which some router is in the agreed roster and heard.
-pub fn judge(map: &Topology, matrix: &Matrix, speaking: &[Zone]) -> Vec<Verdict> {
-    let mut verdicts: Vec<Verdict> = map.zones().map(|zone| of(map, matrix, speaking, zone)).collect();
-    let seen = |verdict: &Verdict| !matches!(verdict, Verdict::Unknown);
-    let bad = |verdict: &Verdict| matches!(verdict, Verdict::Lost);
-    // With nothing left standing anywhere it is the eyes that are bad, and traffic stays where it is.
-    if verdicts.iter().any(seen) && verdicts.iter().filter(|verdict| seen(verdict)).all(bad) {
+/// The verdict on each zone. `reporting_zones`: zones of which some router is in the agreed roster and
+/// reachable.
+pub fn judge(topology: &Topology, matrix: &Matrix, reporting_zones: &[Zone]) -> Vec<Verdict> {
+    let mut verdicts: Vec<Verdict> =
+        topology.zones().map(|zone| judge_zone(topology, matrix, reporting_zones, zone)).collect();
+    let observed = |verdict: &Verdict| !matches!(verdict, Verdict::Unknown);
+    let lost = |verdict: &Verdict| matches!(verdict, Verdict::Lost);
+    // If every observed zone is lost, the observers are at fault, and traffic stays where it is.
+    if verdicts.iter().any(observed) && verdicts.iter().filter(|verdict| observed(verdict)).all(lost) {
         verdicts.fill(Verdict::Unknown);
     }
     verdicts
 }
 
-fn of(map: &Topology, matrix: &Matrix, speaking: &[Zone], zone: Zone) -> Verdict {
+fn judge_zone(topology: &Topology, matrix: &Matrix, reporting_zones: &[Zone], zone: Zone) -> Verdict {
     let from = |observer: Zone| matrix.observations.get(&(observer, zone));
-    // The list, as sockets let it stand, has none of its servers any more.
+    // The list, as corrected by what connections to workers show, contains none of the zone's workers any
+    // more.
     if matrix.unlisted.contains(&zone) {
         return Verdict::Lost;
     }
-    let own = if speaking.contains(&zone) { sight(from(zone)) } else { Sight::Nothing };
-    let others: Vec<Zone> = map.zones().filter(|other| *other != zone && speaking.contains(other)).collect();
-    let which =
-        |wanted: Sight| others.iter().copied().filter(|o| sight(from(*o)) == wanted).collect::<Vec<_>>();
-    let (dead, reached) = (which(Sight::Dead), which(Sight::Reached));
+    let own =
+        if reporting_zones.contains(&zone) { reachability(from(zone)) } else { Reachability::Unobserved };
+    let others: Vec<Zone> =
+        topology.zones().filter(|other| *other != zone && reporting_zones.contains(other)).collect();
+    let which = |wanted: Reachability| {
+        others.iter().copied().filter(|other| reachability(from(*other)) == wanted).collect::<Vec<_>>()
+    };
+    let (unreachable, reachable) = (which(Reachability::Unreachable), which(Reachability::Reachable));
     match own {
-        // A zone that its own routers find well is not lost, whatever the others meet on their way.
-        Sight::Reached if !dead.is_empty() => return Verdict::CutPath(dead),
-        Sight::Dead if reached.is_empty() => return Verdict::Lost,
-        Sight::Dead => return Verdict::Impaired(0.5),
-        // Its own routers can speak and have not looked: they are about to, since somebody finds it dead.
-        Sight::Nothing if !dead.is_empty() && speaking.contains(&zone) => return Verdict::Unknown,
-        // A step away from near needs witnesses of two zones, or of all that can still speak.
-        Sight::Nothing if !dead.is_empty() && reached.is_empty() => {
-            let enough = dead.len() >= 2 || dead.len() == others.len();
+        // A zone that its own routers reach is not lost, whatever happens on the paths from other zones.
+        Reachability::Reachable if !unreachable.is_empty() => return Verdict::CutPath(unreachable),
+        Reachability::Unreachable if reachable.is_empty() => return Verdict::Lost,
+        Reachability::Unreachable => return Verdict::Impaired(0.5),
+        // Its own routers report but have no observation yet. They are about to get one, since they probe a
+        // zone that another one finds unreachable.
+        Reachability::Unobserved if !unreachable.is_empty() && reporting_zones.contains(&zone) => {
+            return Verdict::Unknown
+        }
+        // To evacuate a zone on remote evidence takes observers in two zones, or in all that still report.
+        Reachability::Unobserved if !unreachable.is_empty() && reachable.is_empty() => {
+            let enough = unreachable.len() >= 2 || unreachable.len() == others.len();
             return if enough { Verdict::Lost } else { Verdict::Unknown };
         }
-        Sight::Nothing if !dead.is_empty() => return Verdict::CutPath(dead),
-        Sight::Nothing if reached.is_empty() => return Verdict::Unknown,
+        Reachability::Unobserved if !unreachable.is_empty() => return Verdict::CutPath(unreachable),
+        Reachability::Unobserved if reachable.is_empty() => return Verdict::Unknown,
         _ => {}
     }
-    // Slow or failing for all: its own routers among them, where any speak. Who sees it well from anywhere sees that it
-    // is the way there that is bad.
-    let share = |observer: Zone| {
-        let saw = from(observer)?;
-        let answered = saw.sum.in_target + saw.sum.late + saw.sum.failed();
-        (answered + saw.sum.full >= MIN_ATTEMPTS).then_some((saw.in_target_share, saw.full_share))
+    // The zone is impaired only if it is slow or failing for all observers, its own routers included if any
+    // report. If it is healthy from at least one zone, the fault is on the paths from the others.
+    let shares = |observer: Zone| {
+        let observation = from(observer)?;
+        let answered = observation.sum.in_target + observation.sum.late + observation.sum.failed();
+        (answered + observation.sum.full >= MIN_ATTEMPTS)
+            .then_some((observation.in_target_share, observation.full_share))
     };
-    let all: Vec<(f32, f32)> = others.iter().chain([&zone]).filter_map(|observer| share(*observer)).collect();
-    let unheard = speaking.contains(&zone) && share(zone).is_none();
+    let all: Vec<(f32, f32)> =
+        others.iter().chain([&zone]).filter_map(|observer| shares(*observer)).collect();
+    let own_missing = reporting_zones.contains(&zone) && shares(zone).is_none();
     if all.is_empty() {
-        // Mere questions were answered and hardly a dispatch went there: it is there, and nothing speaks against it.
+        // Probes were answered and hardly any dispatch went there: it is reachable, and nothing speaks
+        // against it.
         Verdict::Healthy
-    } else if all.iter().all(|(_, full)| *full >= FULL) {
+    } else if all.iter().all(|(_, full)| *full >= FULL_REJECTED_SHARE) {
         Verdict::Full
-    } else if !all.iter().all(|(good, _)| *good < GOOD) {
+    } else if !all.iter().all(|(in_target, _)| *in_target < IMPAIRED_IN_TARGET_SHARE) {
         Verdict::Healthy
-    } else if unheard {
+    } else if own_missing {
         Verdict::Unknown
     } else {
-        Verdict::Impaired(f64::from(all.iter().map(|(good, _)| *good).fold(0.0, f32::max)))
+        Verdict::Impaired(f64::from(all.iter().map(|(in_target, _)| *in_target).fold(0.0, f32::max)))
     }
 }
