--- a/crates/failover/src/homes.rs
+++ b/crates/failover/src/homes.rs
@@ -1,5 +1,6 @@
-//! Which zone a session's home is in while no plan is in force: the first of all mixed servers by the hash that the
-//! decisions use. A zone that goes off the list takes no sessions' origin with it: its servers are remembered.
+//! Zone of a session's home while no plan is in force: that of the highest-ranked worker with the mixed
+//! role, by the hash that the routing decisions use. The workers of a zone that drops off the list are
+//! remembered, so the origin of its sessions stays the same.
 
 use std::collections::BTreeMap;
 
@@ -9,79 +10,83 @@
 use crate::Zone;
 
 #[derive(Clone, Copy, Debug)]
-struct Server {
+struct KnownWorker {
     zone: Zone,
     weight: f64,
     listed: bool,
 }
 
-/// Most servers that are remembered; further ones are homes that never move.
-const SERVERS_MAX: usize = 16_384;
+/// Most workers that are remembered. Further ones never determine a session's origin, so they never cause a
+/// move.
+const MAX_WORKERS: usize = 16_384;
 
-/// Lives as long as the router.
+/// Workers at which sessions have their homes; exists as long as the router runs.
 #[derive(Clone, Debug, Default)]
 pub struct Homes {
-    servers: BTreeMap<WorkerId, Server>,
+    workers: BTreeMap<WorkerId, KnownWorker>,
     weights_act: bool,
 }
 
 impl Homes {
+    /// `weights_act`: whether the hash that ranks workers is weighted by the worker's weight.
     pub fn new(weights_act: bool) -> Self {
-        Homes { servers: BTreeMap::new(), weights_act }
+        Homes { workers: BTreeMap::new(), weights_act }
     }
 
-    /// Takes in what the decisions are told of the list; `mixed`: the kinds at which sessions have their homes.
+    /// Takes in an update of the worker list, in the form in which the routing decisions receive it.
+    /// `mixed`: the kinds of workers at which sessions have their homes.
     pub fn apply_list(&mut self, kind: ListKind, rows: &[Listing], mixed: impl Fn(KindId) -> bool) {
         if kind == ListKind::Failed {
             return;
         }
         if kind != ListKind::Changes {
-            self.servers.values_mut().for_each(|server| server.listed = false);
+            self.workers.values_mut().for_each(|worker| worker.listed = false);
         }
         for row in rows.iter().filter(|row| mixed(row.kind)) {
             let listed = row.readiness != Readiness::Gone;
-            let server = Server { zone: Zone(row.zone.0 as u8), weight: row.weight, listed };
-            let room = self.servers.len() < SERVERS_MAX;
-            match self.servers.get_mut(&row.worker) {
-                // Who is gone is remembered as it was.
+            let worker = KnownWorker { zone: Zone(row.zone.0 as u8), weight: row.weight, listed };
+            let has_room = self.workers.len() < MAX_WORKERS;
+            match self.workers.get_mut(&row.worker) {
+                // A worker that is gone keeps its last known zone and weight.
                 Some(known) if !listed => known.listed = false,
-                Some(known) => *known = server,
-                None if listed && room => {
-                    self.servers.insert(row.worker.clone(), server);
+                Some(known) => *known = worker,
+                None if listed && has_room => {
+                    self.workers.insert(row.worker.clone(), worker);
                 }
                 None => {}
             }
         }
-        // One that leaves a zone that stands is forgotten; a zone that lost most of its own is out, and remembered.
+        // Unlisted workers are forgotten while at least half of their zone's workers are listed. Otherwise
+        // the zone counts as lost and they are remembered.
         let mut zones: BTreeMap<Zone, (usize, usize)> = BTreeMap::new();
-        for server in self.servers.values() {
-            let (listed, all) = zones.entry(server.zone).or_default();
-            *listed += usize::from(server.listed);
+        for worker in self.workers.values() {
+            let (listed, all) = zones.entry(worker.zone).or_default();
+            *listed += usize::from(worker.listed);
             *all += 1;
         }
-        let stands = |zone: &Zone| zones.get(zone).is_some_and(|(listed, all)| 2 * listed >= *all);
-        self.servers.retain(|_, server| server.listed || !stands(&server.zone));
+        let mostly_listed = |zone: &Zone| zones.get(zone).is_some_and(|(listed, all)| 2 * listed >= *all);
+        self.workers.retain(|_, worker| worker.listed || !mostly_listed(&worker.zone));
     }
 
-    /// Whether servers of a zone are remembered.
+    /// Whether workers of a zone are remembered.
     pub fn knows_zone(&self, zone: Zone) -> bool {
-        self.servers.values().any(|server| server.zone == zone)
+        self.workers.values().any(|worker| worker.zone == zone)
     }
 
-    /// The zone of a session's home; None where no mixed server is known.
+    /// The zone of a session's home; none if no mixed worker is known.
     pub fn origin(&self, session: SessionId) -> Option<Zone> {
-        let ranked = self.servers.iter().map(|(worker, server)| (rank(worker, session.0), worker, server));
+        let ranked = self.workers.iter().map(|(id, worker)| (rank(id, session.0), id, worker));
         if !self.weights_act {
             let first = ranked.max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(a.1)));
-            return first.map(|(_, _, server)| server.zone);
+            return first.map(|(_, _, worker)| worker.zone);
         }
-        // As the decisions weigh their ranks.
-        let pull = |rank: u64, weight: f64| {
+        // Same weighting as in the routing decisions.
+        let score = |rank: u64, weight: f64| {
             let part = (rank as f64 + 0.5) / u64::MAX as f64;
             part.min(1.0 - f64::EPSILON).ln() / weight.max(f64::MIN_POSITIVE)
         };
-        let pulled = ranked.map(|(rank, worker, server)| (pull(rank, server.weight), rank, worker, server));
-        let first = pulled.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(b.2.cmp(a.2)));
-        first.map(|(_, _, _, server)| server.zone)
+        let scored = ranked.map(|(rank, id, worker)| (score(rank, worker.weight), rank, id, worker));
+        let first = scored.max_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)).then(b.2.cmp(a.2)));
+        first.map(|(_, _, _, worker)| worker.zone)
     }
 }
--- a/crates/failover/src/operator_commands.rs
+++ b/crates/failover/src/operator_commands.rs
@@ -1,5 +1,6 @@
-//! Operators' words on zones, as every router comes to know them: one register for each zone, the newest stamp wins, and
-//! a word ends after its time on the clock of each who knows it.
+//! Operator commands on zones, replicated to every router: a last-writer-wins register for each zone, in
+//! which the highest stamp wins. A command expires after its duration on the clock of each router that
+//! knows it.
 
 use std::collections::BTreeMap;
 
@@ -7,73 +8,76 @@
 
 use crate::plan::OperatorCommand;
 
-/// Most zones of which words are kept, and the longest time that one holds, in ms.
-const ZONES_MAX: usize = 64;
+/// Most zones for which commands are kept.
+const MAX_ZONES: usize = 64;
+/// Longest time for which a command holds, in ms.
 pub const MAX_COMMAND_MS: f64 = 24.0 * 3_600_000.0;
 
-/// One word as it is told.
+/// A command as it is sent to peers and saved.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StampedCommand {
     pub zone: u8,
     #[serde(rename = "word")]
     pub command: OperatorCommand,
-    /// Higher than any on this zone that its first hearer knew, then that one's place: no clock of the wall.
+    /// Counter higher than any that the accepting router knew for this zone, then the index of that router
+    /// as a tie-breaker. Does not depend on wall clocks.
     pub stamp: (u32, u16),
-    /// How long it holds at each who hears of it, in ms.
+    /// How long it holds at each router from the time at which that router learns of it, in ms.
     pub for_ms: f32,
 }
 
-/// What one router knows of them.
+/// The commands that one router knows.
 #[derive(Clone, Debug, Default)]
 pub struct CommandRegister {
-    /// By zone, with the own clock's time at which it ends.
+    /// By zone, with the expiry time on the router's own clock.
     known: BTreeMap<u8, (StampedCommand, f64)>,
 }
 
 impl CommandRegister {
-    /// An operator says it here.
+    /// Accepts a command that an operator issues at this router.
     pub fn issue(
         &mut self,
         now_ms: f64,
-        place: u16,
+        router_index: u16,
         zone: u8,
-        word: OperatorCommand,
+        command: OperatorCommand,
         for_ms: f64,
     ) -> StampedCommand {
-        let last = self.known.get(&zone).map_or(0, |(saying, _)| saying.stamp.0);
+        let last = self.known.get(&zone).map_or(0, |(stamped, _)| stamped.stamp.0);
         let for_ms = for_ms.clamp(0.0, MAX_COMMAND_MS);
-        let saying = StampedCommand {
+        let stamped = StampedCommand {
             zone,
-            command: word,
-            stamp: (last.saturating_add(1), place),
+            command,
+            stamp: (last.saturating_add(1), router_index),
             for_ms: for_ms as f32,
         };
-        self.known.insert(zone, (saying, now_ms + for_ms));
-        saying
+        self.known.insert(zone, (stamped, now_ms + for_ms));
+        stamped
     }
 
-    /// A fellow tells it, or a file of the own earlier run with `left_ms` to go. Whether it is news. A stamp that is
-    /// known never comes back, however late it is told: what has ended stays so.
-    pub fn merge(&mut self, now_ms: f64, saying: StampedCommand, left_ms: f64) -> bool {
-        let good = saying.for_ms.is_finite() && (0.0..=MAX_COMMAND_MS as f32).contains(&saying.for_ms);
-        let newer = self.known.get(&saying.zone).is_none_or(|(known, _)| saying.stamp > known.stamp);
-        let room = self.known.len() < ZONES_MAX || self.known.contains_key(&saying.zone);
-        let news = good && newer && room;
-        if news {
-            let left_ms = left_ms.clamp(0.0, f64::from(saying.for_ms));
-            self.known.insert(saying.zone, (saying, now_ms + left_ms));
+    /// Takes in a command from a peer, or from a file of an earlier run, with `left_ms` until it expires.
+    /// Returns whether it is new. A known stamp is never accepted again, however late it arrives, so an
+    /// expired command stays expired.
+    pub fn merge(&mut self, now_ms: f64, stamped: StampedCommand, left_ms: f64) -> bool {
+        let valid = stamped.for_ms.is_finite() && (0.0..=MAX_COMMAND_MS as f32).contains(&stamped.for_ms);
+        let newer = self.known.get(&stamped.zone).is_none_or(|(known, _)| stamped.stamp > known.stamp);
+        let has_room = self.known.len() < MAX_ZONES || self.known.contains_key(&stamped.zone);
+        let accepted = valid && newer && has_room;
+        if accepted {
+            let left_ms = left_ms.clamp(0.0, f64::from(stamped.for_ms));
+            self.known.insert(stamped.zone, (stamped, now_ms + left_ms));
         }
-        news
+        accepted
     }
 
-    /// Those that hold, with the time that they have left.
+    /// Commands that have not expired, with the time left in ms.
     pub fn active(&self, now_ms: f64) -> impl Iterator<Item = (StampedCommand, f64)> + '_ {
-        let left = move |(saying, until): &(StampedCommand, f64)| (*saying, until - now_ms);
-        self.known.values().map(left).filter(|(_, left)| *left > 0.0)
+        let left = move |(stamped, until_ms): &(StampedCommand, f64)| (*stamped, until_ms - now_ms);
+        self.known.values().map(left).filter(|(_, left_ms)| *left_ms > 0.0)
     }
 
-    /// The words in force, by zone.
+    /// The commands in force, by zone.
     pub fn commands(&self, now_ms: f64) -> BTreeMap<u8, OperatorCommand> {
-        self.active(now_ms).map(|(saying, _)| (saying.zone, saying.command)).collect()
+        self.active(now_ms).map(|(stamped, _)| (stamped.zone, stamped.command)).collect()
     }
 }
