--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -7,8 +7,10 @@
 
 use paddleproxy::interface::{Arrival, LoadReport, Settings, WorkerId};
 use paddleproxy_engine::Refusal;
-use paddleproxy_failover::evidence::tells;
-use paddleproxy_failover::{Desk, Met, Row, Rules, Saying, Verdict, Word, Zone};
+use paddleproxy_failover::evidence::represented_routers;
+use paddleproxy_failover::{
+    DispatchOutcome, EvidenceRow, FailoverController, OperatorCommand, Rules, StampedCommand, Verdict, Zone,
+};
 use paddleproxy_peers::allocation::MAX_EXTRA_BYTES;
 use paddleproxy_peers::status::ClusterReport;
 use paddleproxy_peers::{Peers, RouterInfo};
@@ -22,7 +24,7 @@
 use crate::files::write_whole;
 use crate::steady::SteadyClock;
 
-pub type Desked = Rc<RefCell<Desk>>;
+pub type Desked = Rc<RefCell<FailoverController>>;
 
 const FILE: &str = "zone-words.json";
 
@@ -31,19 +33,19 @@
     let (failover, peers) = settings.failover.as_ref().zip(settings.peers.as_ref())?;
     let decisions = &settings.decisions;
     let rules = Rules {
-        map: failover.map.clone(),
-        own: Zone(decisions.zone.map_or(0, |zone| zone.0 as u8)),
-        place: decisions.own_number as u16,
+        topology: failover.map.clone(),
+        own_zone: Zone(decisions.zone.map_or(0, |zone| zone.0 as u8)),
+        router_index: decisions.own_number as u16,
         lease_ms: peers.lease_ms,
         reserve: failover.reserve,
-        out: failover.out,
-        back: failover.back,
+        max_step_out: failover.out,
+        max_step_back: failover.back,
         weights_act: decisions.weights_act,
-        alone: failover.alone,
-        told: failover.told,
+        own_evidence_only: failover.alone,
+        commands_only: failover.told,
         roles: decisions.kinds.iter().map(|kind| kind.role).collect(),
     };
-    Some(Rc::new(RefCell::new(Desk::new(clock.now_ms(), rules))))
+    Some(Rc::new(RefCell::new(FailoverController::new(clock.now_ms(), rules))))
 }
 
 /// The time in which a completion's first token is in target.
@@ -54,19 +56,21 @@
 }
 
 /// What a first event says of its server's zone.
-pub fn began(target_ms: Option<&f64>, took_ms: f64) -> Option<Met> {
-    target_ms.map(|target_ms| if took_ms <= *target_ms { Met::InTarget } else { Met::Late })
+pub fn began(target_ms: Option<&f64>, took_ms: f64) -> Option<DispatchOutcome> {
+    target_ms.map(
+        |target_ms| if took_ms <= *target_ms { DispatchOutcome::InTarget } else { DispatchOutcome::Late },
+    )
 }
 
 /// What an end says of it; an answer that began has spoken already, and one that we called off says nothing.
-pub fn ended(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<Met> {
+pub fn ended(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<DispatchOutcome> {
     use SocketEnd::*;
     match end {
-        ConnectRefused | Unreachable | NoAddress => Some(Met::Refused),
-        ConnectTimedOut | TimedOut => Some(Met::Silent),
-        TurnedAway(Refusal::Full) => Some(Met::Full),
+        ConnectRefused | Unreachable | NoAddress => Some(DispatchOutcome::Refused),
+        ConnectTimedOut | TimedOut => Some(DispatchOutcome::TimedOut),
+        TurnedAway(Refusal::Full) => Some(DispatchOutcome::Full),
         ErrorStatus(_) | BrokeBeforeAnswer | BrokeWithinAnswer | BrokeAfterFirst | Stalled => {
-            Some(Met::Broken)
+            Some(DispatchOutcome::Broken)
         }
         ReadDone => began(target_ms, took_ms),
         NoRoom | NeverWritten | Withdrawn(_) | TurnedAway(_) | Stopped | Nonsense(_) | AnswerDone => None,
@@ -90,17 +94,18 @@
 }
 
 /// Reads what fellows carry and works out what to carry.
-pub fn carry(desk: &mut Desk, peers: &Peers, now_ms: f64) -> Carried {
-    let mut rows: Vec<Row> = peers.peer_extras().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
-    let news = desk.hear(now_ms, &rows);
+pub fn carry(desk: &mut FailoverController, peers: &Peers, now_ms: f64) -> Carried {
+    let mut rows: Vec<EvidenceRow> =
+        peers.peer_extras().filter_map(|(_, bytes)| EvidenceRow::read(bytes).ok()).collect();
+    let news = desk.merge_commands(now_ms, &rows);
     // Of many routers of a zone the lowest tell what it sees, each for its part.
     let (zone, place) = (peers.info().zone, peers.rules().own);
     let fellows = || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
     let rank = fellows().filter(|member| member.router < place).count();
-    let own = desk.row(now_ms, tells(rank, fellows().count() + 1));
+    let own = desk.own_row(now_ms, represented_routers(rank, fellows().count() + 1));
     let row = own.bytes();
     // As fellows read it: counts on the wire are rounded.
-    let own_row = Row::read(&row).unwrap_or_default();
+    let own_row = EvidenceRow::read(&row).unwrap_or_default();
     rows.push(own_row.clone());
     let mut speaking: Vec<Zone> = peers
         .members()
@@ -111,33 +116,33 @@
     speaking.push(own_zone);
     speaking.sort();
     speaking.dedup();
-    if desk.rules().alone {
+    if desk.rules().own_evidence_only {
         // Its own plan, from its own row, in force at once.
         let own = [own_row];
-        let before = desk.alone_before();
-        let page = desk.next(now_ms, &before, &own, &[own_zone]);
-        desk.force_alone(&page);
-        return Carried { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
+        let before = desk.own_plan();
+        let page = desk.propose(now_ms, &before, &own, &[own_zone]);
+        desk.apply_own_plan(&page);
+        return Carried { row, page: Vec::new(), after: 0, asks: desk.probe_targets(now_ms as u64), news };
     }
     let (after, before) =
         peers.consensus().allocation().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
-    let page = desk.next(now_ms, before, &rows, &speaking);
+    let page = desk.propose(now_ms, before, &rows, &speaking);
     // What no page carries is no plan: the one that stands goes on.
     let page = if page.len() > MAX_EXTRA_BYTES { before.to_vec() } else { page };
-    Carried { row, page, after, asks: desk.asks(now_ms as u64), news }
+    Carried { row, page, after, asks: desk.probe_targets(now_ms as u64), news }
 }
 
 /// An operator's word as it comes in.
 pub struct WordFor {
     pub zone: String,
-    pub word: Word,
+    pub word: OperatorCommand,
     pub for_ms: f64,
 }
 
 #[derive(Serialize, Deserialize)]
 struct SavedWord {
     zone: String,
-    saying: Saying,
+    saying: StampedCommand,
     left_ms: f64,
     saved_at_ms: f64,
 }
@@ -154,7 +159,7 @@
         Words { file: settings.state_dir.join(FILE), zones: settings.names.zones.clone(), steady }
     }
 
-    pub fn recover(&self, desk: &mut Desk, now_ms: f64) {
+    pub fn recover(&self, desk: &mut FailoverController, now_ms: f64) {
         let Ok(bytes) = std::fs::read(&self.file) else { return };
         let saved: Vec<SavedWord> = match serde_json::from_slice(&bytes) {
             Ok(saved) => saved,
@@ -167,14 +172,14 @@
             // By name: settings may count zones otherwise now. A clock that went back makes no word longer.
             let Some(zone) = self.zones.iter().position(|zone| *zone == row.zone) else { continue };
             let left_ms = row.left_ms - (self.steady.now_ms() - row.saved_at_ms).max(0.0);
-            desk.sayings.hear(now_ms, Saying { zone: zone as u8, ..row.saying }, left_ms);
+            desk.commands.merge(now_ms, StampedCommand { zone: zone as u8, ..row.saying }, left_ms);
         }
     }
 
-    pub fn keep(&self, desk: &Desk, now_ms: f64) {
+    pub fn keep(&self, desk: &FailoverController, now_ms: f64) {
         let saved: Vec<SavedWord> = desk
-            .sayings
-            .holding(now_ms)
+            .commands
+            .active(now_ms)
             .filter_map(|(saying, left_ms)| {
                 let zone = self.zones.get(usize::from(saying.zone))?.clone();
                 Some(SavedWord { zone, saying, left_ms, saved_at_ms: self.steady.now_ms() })
@@ -189,15 +194,15 @@
     /// Takes a word that is said here.
     pub fn say(
         &self,
-        desk: &mut Desk,
+        desk: &mut FailoverController,
         zones: &[String],
         said: &WordFor,
         now_ms: f64,
     ) -> Result<Value, String> {
         let zone = zones.iter().position(|zone| *zone == said.zone);
         let zone = zone.ok_or_else(|| format!("zone '{:.64}' is none of {}", said.zone, zones.join(", ")))?;
-        let place = desk.rules().place;
-        let saying = desk.sayings.say(now_ms, place, zone as u8, said.word, said.for_ms);
+        let place = desk.rules().router_index;
+        let saying = desk.commands.issue(now_ms, place, zone as u8, said.word, said.for_ms);
         info!(zone = said.zone, word = ?said.word, for_ms = said.for_ms, "an operator's word on a zone");
         self.keep(desk, now_ms);
         Ok(
@@ -206,22 +211,28 @@
     }
 }
 
-fn name(word: Word) -> &'static str {
+fn name(word: OperatorCommand) -> &'static str {
     match word {
-        Word::Hold => "hold",
-        Word::Drain => "drain-zone",
-        Word::Return => "return",
+        OperatorCommand::Hold => "hold",
+        OperatorCommand::Drain => "drain-zone",
+        OperatorCommand::Return => "return",
     }
 }
 
 /// All that operators may ask for.
-pub fn view(desk: &Desk, zones: &[String], about: &RouterInfo, stand: ClusterReport, now_ms: f64) -> Value {
+pub fn view(
+    desk: &FailoverController,
+    zones: &[String],
+    about: &RouterInfo,
+    stand: ClusterReport,
+    now_ms: f64,
+) -> Value {
     let zone = |zone: Zone| zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
-    let (looked, agreed) = (&desk.last, desk.agreed());
-    let words = desk.sayings.holding(now_ms).collect::<Vec<_>>();
+    let (looked, agreed) = (&desk.last_assessment, desk.agreed());
+    let words = desk.commands.active(now_ms).collect::<Vec<_>>();
     let rows: Vec<Value> = desk
         .rules()
-        .map
+        .topology
         .zones()
         .map(|of| {
             let at = usize::from(of.0);
@@ -229,22 +240,22 @@
             let moves = agreed.and_then(|agreed| agreed.plan.moves.get(&of.0)).into_iter().flatten();
             let moves =
                 moves.map(|(to, share)| json!({ "to": zone(Zone(*to)), "share": f64::from(*share) / 1e4 }));
-            let seen = looked.matrix.seen.iter().filter(|((_, seen), _)| *seen == of);
+            let seen = looked.matrix.observations.iter().filter(|((_, seen), _)| *seen == of);
             let seen = seen.map(|((from, _), saw)| {
                 let seen = &saw.sum;
                 json!({
-                    "from": zone(*from), "routers": saw.routers, "dead": saw.dead, "good": saw.good, "in_target": seen.in_target, "late": seen.late,
-                    "refused": seen.refused, "silent": seen.silent, "broken": seen.broken, "full": seen.full,
-                    "answered": seen.answered, "listed": seen.listed, "usable": seen.usable,
+                    "from": zone(*from), "routers": saw.routers, "dead": saw.failed_share, "good": saw.in_target_share, "in_target": seen.in_target, "late": seen.late,
+                    "refused": seen.refused, "silent": seen.timed_out, "broken": seen.broken, "full": seen.full,
+                    "answered": seen.probe_answers, "listed": seen.listed, "usable": seen.usable,
                 })
             });
             let word = words.iter().find(|(saying, _)| saying.zone == of.0);
             json!({
-                "zone": zone(of), "region": desk.rules().map.regions.get(at), "verdict": said(verdict, zones),
+                "zone": zone(of), "region": desk.rules().topology.regions.get(at), "verdict": said(verdict, zones),
                 "demand_per_s": looked.demand.get(at), "capacity_per_s": looked.capacity.get(at),
                 "load": looked.matrix.loads.get(&of), "moves": moves.collect::<Vec<_>>(),
-                "word": word.map(|(saying, left)| json!({ "word": name(saying.word), "left_ms": left })),
-                "flaps": agreed.and_then(|agreed| agreed.hands.flaps.get(&of.0)),
+                "word": word.map(|(saying, left)| json!({ "word": name(saying.command), "left_ms": left })),
+                "flaps": agreed.and_then(|agreed| agreed.history.flaps.get(&of.0)),
                 "seen": seen.collect::<Vec<_>>(),
             })
         })
@@ -252,9 +263,9 @@
     json!({
         "schema": "paddleproxy.failover.v1",
         "name": about.name, "zone": zone(Zone(about.zone)), "mind": stand.status.name(), "why": stand.reason,
-        "page": desk.forced(), "plan": agreed.map(|agreed| agreed.plan.number),
-        "speaking": looked.speaking.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
-        "completions": desk.homed_total, "moved": desk.moved_total, "zones": rows,
+        "page": desk.allocation_number(), "plan": agreed.map(|agreed| agreed.plan.number),
+        "speaking": looked.reporting_zones.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
+        "completions": desk.completions_total, "moved": desk.moved_total, "zones": rows,
     })
 }
 
@@ -263,7 +274,7 @@
         list.iter().filter_map(|zone| zones.get(usize::from(zone.0)).cloned()).collect::<Vec<_>>()
     };
     match verdict {
-        Verdict::Well => json!({ "is": "well" }),
+        Verdict::Healthy => json!({ "is": "well" }),
         Verdict::CutPath(from) => json!({ "is": "cut path", "from": names(from) }),
         Verdict::Lost => json!({ "is": "lost" }),
         Verdict::Impaired(share) => json!({ "is": "impaired", "carries": share }),
