--- a/crates/bench/src/changes.rs
+++ b/crates/bench/src/changes.rs
@@ -7,7 +7,7 @@
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 use paddleproxy_engine::{ServerEntry, ServerList};
-use paddleproxy_membership::{Heard, Membership, SourceId};
+use paddleproxy_membership::{ListUpdate, Membership, SourceId};
 use serde::Serialize;
 
 /// Time that the core is held up by a change, in microseconds.
@@ -74,7 +74,9 @@
         let after = (!whole).then_some(version);
         version += 1;
         let list = ServerList { epoch: 1, version, after, servers };
-        if let Ok(Heard::Listed { kind, rows }) = membership.hear(now_ms, SourceId::Service, &list) {
+        if let Ok(ListUpdate::Listed { kind, rows }) =
+            membership.apply_version(now_ms, SourceId::Service, &list)
+        {
             let rows: Arc<[Listing]> = rows;
             control.handle(now_ms, &Event::Listed { kind, rows }, &mut Vec::new());
         }
--- a/crates/emulator/src/world/list.rs
+++ b/crates/emulator/src/world/list.rs
@@ -41,7 +41,7 @@
         let late_ms = self.day.fleet.list_delay_ms;
         let until_ms = self.now_ms - late_ms - self.behind_ms;
         let first = self.nodes.len();
-        let known = self.routers[router].membership.known(SourceId::Service);
+        let known = self.routers[router].membership.known_version(SourceId::Service);
         let known = known.filter(|(epoch, _)| *epoch == self.list_epoch).map(|(_, version)| version as usize);
         let seen = self.list.iter().take_while(|(at, _, _)| *at <= until_ms + 1e-6).count();
         let version = seen.max(first).max(known.unwrap_or(0)).min(self.list.len());
@@ -63,7 +63,7 @@
         }
         let after = known.map(|known| known as u64);
         let list = ServerList { epoch: self.list_epoch, version: version as u64, after, servers };
-        let heard = self.routers[router].membership.hear(self.now_ms, SourceId::Service, &list);
+        let heard = self.routers[router].membership.apply_version(self.now_ms, SourceId::Service, &list);
         if let Ok(heard) = heard {
             self.heard(router, boot, heard);
         }
@@ -78,16 +78,16 @@
     }
 
     /// What a router's list came to is told to its decisions, and what it wants to know is asked.
-    pub(super) fn heard(&mut self, router: usize, boot: u64, heard: Heard) {
+    pub(super) fn heard(&mut self, router: usize, boot: u64, heard: ListUpdate) {
         let now_ms = self.now_ms;
         let node = &mut self.routers[router];
-        if let Heard::Listed { kind, rows } = heard {
+        if let ListUpdate::Listed { kind, rows } = heard {
             node.saved = node.membership.save(now_ms, now_ms);
             self.tell(router, boot, Input::Listed { kind, rows });
         }
         let node = &mut self.routers[router];
-        let asks = node.membership.asks(now_ms);
-        if let Some(at_ms) = node.membership.wakes_ms(now_ms) {
+        let asks = node.membership.due_probes(now_ms);
+        if let Some(at_ms) = node.membership.next_wake_ms(now_ms) {
             self.heap.put(at_ms, Ev::List { router, boot });
         }
         for worker in asks {
@@ -110,7 +110,7 @@
         let node = &mut self.routers[router];
         if node.up && node.boot == boot {
             let heard = node.membership.observe(self.now_ms, worker, there);
-            if matches!(heard, Heard::Listed { .. }) {
+            if matches!(heard, ListUpdate::Listed { .. }) {
                 self.heard(router, boot, heard);
             }
         }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -15,7 +15,7 @@
 
 use paddleproxy::interface::{CompletionId, Kept, ListKind, LoadReport, Role, Seq, WorkerId};
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
-use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
+use paddleproxy_membership::{ListUpdate, Membership, SavedList, SourceId};
 use paddleproxy_routing::{
     Admission, Bounds, Counts, Decisions, Effect, Input, Ledger, Place, Sending, SocketEnd, Stage,
 };
@@ -240,7 +240,7 @@
     ledger: Ledger<Box<dyn Decisions>>,
     membership: Membership,
     admission: Admission,
-    saved: Option<Saved>,
+    saved: Option<SavedList>,
     /// What its store holds of kept texts.
     kept: BTreeMap<(Text, WorkerId), retention::Kept>,
     next: u32,
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -19,7 +19,7 @@
         let mut rows = [].into();
         if let Some(saved) = &node.saved {
             // Wall clock and router clock are one here.
-            if let Ok(Heard::Listed { rows: saved, .. }) =
+            if let Ok(ListUpdate::Listed { rows: saved, .. }) =
                 node.membership.recover(self.now_ms, self.now_ms, saved)
             {
                 rows = saved;
--- a/crates/membership/src/backoff.rs
+++ b/crates/membership/src/backoff.rs
@@ -5,30 +5,25 @@
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first_ms: f64,
-    most_ms: f64,
-    failed: u32,
-    chance: fastrand::Rng,
+    max_ms: f64,
+    failures: u32,
+    rng: fastrand::Rng,
 }
 
 impl Backoff {
-    pub fn new(first_ms: f64, most_ms: f64, seed: u64) -> Self {
-        Backoff {
-            first_ms,
-            most_ms: most_ms.max(first_ms),
-            failed: 0,
-            chance: fastrand::Rng::with_seed(seed),
-        }
+    pub fn new(first_ms: f64, max_ms: f64, seed: u64) -> Self {
+        Backoff { first_ms, max_ms: max_ms.max(first_ms), failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
     /// Time until the next try after one that failed, in ms.
-    pub fn failed_ms(&mut self) -> f64 {
-        let most = (self.first_ms * 2f64.powi(self.failed.min(30) as i32)).min(self.most_ms);
-        self.failed = self.failed.saturating_add(1);
-        most * (0.5 + 0.5 * self.chance.f64())
+    pub fn next_delay_ms(&mut self) -> f64 {
+        let most = (self.first_ms * 2f64.powi(self.failures.min(30) as i32)).min(self.max_ms);
+        self.failures = self.failures.saturating_add(1);
+        most * (0.5 + 0.5 * self.rng.f64())
     }
 
-    pub fn answered(&mut self) {
-        self.failed = 0;
+    pub fn reset(&mut self) {
+        self.failures = 0;
     }
 }
 
--- a/crates/membership/src/entry.rs
+++ b/crates/membership/src/entry.rs
@@ -66,7 +66,7 @@
 
 /// Both rows of each worker that either view has, in the order of their names. One pass: views of a thousand servers are
 /// compared at every change.
-pub fn joined<'a>(
+pub fn merge_join<'a>(
     old: &'a View,
     new: &'a View,
 ) -> impl Iterator<Item = (Option<&'a Arc<Row>>, Option<&'a Arc<Row>>)> {
--- a/crates/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -4,20 +4,20 @@
 
 use paddleproxy::interface::{CellId, Role, WorkerId};
 
-use crate::entry::{joined, Checks, Row, View};
+use crate::entry::{merge_join, Checks, Row, View};
 
-/// Why a version is held.
+/// ExcessRemoval a version is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Why {
+pub struct ExcessRemoval {
     /// A role, or a cell.
     pub of: String,
     pub usable: usize,
     pub taken: usize,
 }
 
-impl std::fmt::Display for Why {
+impl std::fmt::Display for ExcessRemoval {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Why { of, usable, taken } = self;
+        let ExcessRemoval { of, usable, taken } = self;
         write!(f, "it takes away {taken} of the {usable} usable servers of {of} at once")
     }
 }
@@ -48,7 +48,7 @@
 /// What `next` takes away of what `stands` has: usable servers that it leaves out. One that it calls gone is spoken of by
 /// name, and that counts at once like a drain; so does one that drained before.
 pub fn taken(stands: &View, next: &View) -> BTreeSet<WorkerId> {
-    let pairs = joined(stands, next).filter_map(|(was, now)| {
+    let pairs = merge_join(stands, next).filter_map(|(was, now)| {
         let was = was.filter(|was| was.usable() && now.is_none())?;
         Some(was.listing.worker.clone())
     });
@@ -65,7 +65,7 @@
     taken: &BTreeSet<WorkerId>,
     known: &BTreeSet<WorkerId>,
     most: f64,
-) -> Option<Why> {
+) -> Option<ExcessRemoval> {
     // A share of 1 is all: nothing is ever too much.
     if taken.is_empty() || most >= 1.0 {
         return None;
@@ -89,5 +89,5 @@
         let last = matches!(part, Part::Role(_)) && *left == 0;
         *taken > 0 && (share && *taken > 1 || last)
     });
-    found.map(|(part, (usable, taken, _))| Why { of: name(part), usable, taken })
+    found.map(|(part, (usable, taken, _))| ExcessRemoval { of: name(part), usable, taken })
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -31,23 +31,23 @@
 use crate::damping::Damping;
 use crate::entry::{Checks, Row, View};
 use crate::source::Source;
-pub use crate::source::{SourceId, Stated};
+pub use crate::source::{SourceId, VersionOutcome};
 pub use crate::status::{Phase, ServerStatus, SourceStatus, Status};
 
 /// What a word comes to.
 #[derive(Clone, Debug)]
-pub enum Heard {
+pub enum ListUpdate {
     /// To be told to the decisions.
     Listed { kind: ListKind, rows: Arc<[Listing]> },
     /// Nothing new to act on.
-    Same,
+    Unchanged,
     /// Changes on a version that we do not have: the whole is needed.
-    AskWhole,
+    WholeNeeded,
 }
 
 /// A version that is not taken, and why.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refused {
+pub enum VersionError {
     #[error("version {got} is older than version {have}, which stands")]
     Older { got: u64, have: u64 },
     #[error("server '{server}': {what}")]
@@ -63,7 +63,7 @@
 /// What operators may say of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Word {
+pub enum OperatorCommand {
     Drain,
     Undrain,
     Quarantine,
@@ -72,15 +72,16 @@
 /// A word and when it was said, in ms on the router's clock.
 #[derive(Clone, Copy, Debug)]
 struct Said {
-    word: Word,
+    word: OperatorCommand,
     at_ms: f64,
 }
 
 /// A word as it is kept for the next start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct SavedWord {
+pub struct SavedCommand {
     pub server: String,
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub command: OperatorCommand,
     /// How long ago it was said, in ms.
     pub ago_ms: f64,
 }
@@ -95,13 +96,13 @@
     /// How long ago it was stated, in ms.
     pub ago_ms: f64,
     /// Its source has said otherwise since, by a word that may be older or in a version that was held.
-    #[serde(default)]
-    pub denied: bool,
+    #[serde(default, rename = "denied")]
+    pub contradicted: bool,
 }
 
 /// The list as it is kept for the next start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Saved {
+pub struct SavedList {
     #[serde(default)]
     pub epoch: u64,
     pub version: u64,
@@ -109,8 +110,8 @@
     pub saved_at_ms: f64,
     pub servers: Vec<ServerEntry>,
     /// The operators' words.
-    #[serde(default)]
-    pub words: Vec<SavedWord>,
+    #[serde(default, rename = "words")]
+    pub commands: Vec<SavedCommand>,
     /// Drains of all sources.
     #[serde(default)]
     pub drains: Vec<SavedDrain>,
@@ -136,10 +137,10 @@
 
 /// A version that waits for a second word.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldVersion {
     pub source: SourceId,
     pub version: (u64, u64),
-    pub why: guard::Why,
+    pub reason: guard::ExcessRemoval,
     pub since_ms: f64,
     taken: BTreeSet<WorkerId>,
     asked_ms: f64,
@@ -159,7 +160,7 @@
     servers: BTreeMap<WorkerId, Server>,
     /// What was last told to the decisions, and the addresses of all that were.
     acted: BTreeMap<WorkerId, Arc<Row>>,
-    held: Option<Held>,
+    held: Option<HeldVersion>,
     held_total: u64,
     /// Grows with each change of what is acted on.
     revision: u64,
@@ -182,8 +183,8 @@
     }
 
     /// The version that a source last stated, to ask on from; None for the whole.
-    pub fn known(&self, source: SourceId) -> Option<(u64, u64)> {
-        self.sources.get(&source)?.known()
+    pub fn known_version(&self, source: SourceId) -> Option<(u64, u64)> {
+        self.sources.get(&source)?.known_version()
     }
 
     /// The version of the lead that is acted on.
@@ -227,37 +228,42 @@
         self.sources.values().map(|source| source.refused).sum()
     }
 
-    pub fn held(&self) -> Option<&Held> {
+    pub fn held(&self) -> Option<&HeldVersion> {
         self.held.as_ref()
     }
 
     /// Takes in one version of a source, at our clock.
     ///
     /// # Errors
-    /// Why the version is refused; what stood before still stands.
-    pub fn hear(&mut self, now_ms: f64, of: SourceId, list: &ServerList) -> Result<Heard, Refused> {
-        self.hear_text(now_ms, of, list, None)
+    /// ExcessRemoval the version is refused; what stood before still stands.
+    pub fn apply_version(
+        &mut self,
+        now_ms: f64,
+        of: SourceId,
+        list: &ServerList,
+    ) -> Result<ListUpdate, VersionError> {
+        self.apply_version_from_text(now_ms, of, list, None)
     }
 
     /// The same for a version that was read from a text, whose fingerprint tells whether it is still the same text.
     ///
     /// # Errors
     /// As for `hear`, and a text that changed under its version.
-    pub fn hear_text(
+    pub fn apply_version_from_text(
         &mut self,
         now_ms: f64,
         of: SourceId,
         list: &ServerList,
         fingerprint: Option<u64>,
-    ) -> Result<Heard, Refused> {
+    ) -> Result<ListUpdate, VersionError> {
         let source = self.sources.entry(of).or_default();
         match source.state(&self.checks, now_ms, list, fingerprint) {
-            Ok(Stated::New { whole }) => {
+            Ok(VersionOutcome::New { whole }) => {
                 let kind = if whole { ListKind::Whole } else { ListKind::Changes };
                 Ok(self.settle(now_ms, kind))
             }
-            Ok(Stated::Same) => Ok(self.settle(now_ms, ListKind::Changes)),
-            Ok(Stated::AskWhole) => Ok(Heard::AskWhole),
+            Ok(VersionOutcome::Unchanged) => Ok(self.settle(now_ms, ListKind::Changes)),
+            Ok(VersionOutcome::WholeNeeded) => Ok(ListUpdate::WholeNeeded),
             Err(refused) => {
                 source.refused += 1;
                 source.last_refused = Some(refused.to_string());
@@ -267,14 +273,14 @@
     }
 
     /// A source is there and has nothing new to say.
-    pub fn spoke(&mut self, now_ms: f64, of: SourceId) {
+    pub fn source_unchanged(&mut self, now_ms: f64, of: SourceId) {
         if let Some(source) = self.sources.get_mut(&of) {
             source.heard_ms = now_ms;
         }
     }
 
     /// A source stated what could not even be read.
-    pub fn unreadable(&mut self, of: SourceId, why: &str) {
+    pub fn source_unreadable(&mut self, of: SourceId, why: &str) {
         let source = self.sources.entry(of).or_default();
         source.refused += 1;
         source.last_refused = Some(why.to_owned());
@@ -283,8 +289,13 @@
     /// Takes in the list of an earlier run, which may be old.
     ///
     /// # Errors
-    /// Why it is refused; the router then starts with no list.
-    pub fn recover(&mut self, now_ms: f64, wall_ms: f64, saved: &Saved) -> Result<Heard, Refused> {
+    /// ExcessRemoval it is refused; the router then starts with no list.
+    pub fn recover(
+        &mut self,
+        now_ms: f64,
+        wall_ms: f64,
+        saved: &SavedList,
+    ) -> Result<ListUpdate, VersionError> {
         // A clock that went back makes it no younger.
         let gone_by = (wall_ms - saved.saved_at_ms).max(0.0);
         let aged = |entry: &ServerEntry| ServerEntry {
@@ -295,10 +306,10 @@
         let list = ServerList { epoch: saved.epoch, version: saved.version, after: None, servers };
         let source = self.sources.entry(SourceId::Saved).or_default();
         source.state(&self.checks, now_ms, &list, None)?;
-        for word in &saved.words {
+        for word in &saved.commands {
             let worker = WorkerId(Arc::from(word.server.as_str()));
             let at_ms = now_ms - gone_by - word.ago_ms.max(0.0);
-            self.servers.entry(worker).or_default().said = Some(Said { word: word.word, at_ms });
+            self.servers.entry(worker).or_default().said = Some(Said { word: word.command, at_ms });
         }
         // What a source stated before the start is not stated again as if it were new.
         let (led, epoch, version) = match saved.file {
@@ -325,7 +336,7 @@
     }
 
     /// The list as it stands, for the next start.
-    pub fn save(&self, now_ms: f64, wall_ms: f64) -> Option<Saved> {
+    pub fn save(&self, now_ms: f64, wall_ms: f64) -> Option<SavedList> {
         let lead = self.lead?;
         let source = self.sources.get(&lead)?;
         let entry = |row: &Arc<Row>| ServerEntry {
@@ -335,9 +346,9 @@
         let servers = source.stands.values().map(entry).collect();
         let word = |(worker, server): (&WorkerId, &Server)| {
             let said = server.said?;
-            Some(SavedWord {
+            Some(SavedCommand {
                 server: worker.0.to_string(),
-                word: said.word,
+                command: said.word,
                 ago_ms: (now_ms - said.at_ms).max(0.0),
             })
         };
@@ -357,19 +368,19 @@
                 epoch: drain.epoch,
                 version: drain.version,
                 ago_ms: (now_ms - drain.since_ms).max(0.0),
-                denied: drain.denied() || otherwise(worker),
+                contradicted: drain.denied() || otherwise(worker),
             });
             rows.collect::<Vec<_>>()
         };
         let drains = self.sources.iter().flat_map(drain).collect();
         let (epoch, version) = source.stands_version;
         let file = (of == Some(SourceId::File)).then_some(version);
-        Some(Saved {
+        Some(SavedList {
             epoch,
             version,
             saved_at_ms: wall_ms,
             servers,
-            words,
+            commands: words,
             drains,
             file,
             fingerprint: of
@@ -380,7 +391,7 @@
     }
 
     /// An operator's word on a server; None where there is no such server.
-    pub fn say(&mut self, now_ms: f64, server: &str, word: Word) -> Option<Heard> {
+    pub fn apply_command(&mut self, now_ms: f64, server: &str, word: OperatorCommand) -> Option<ListUpdate> {
         let worker = WorkerId(Arc::from(server));
         if !self.acted.contains_key(&worker) && !self.servers.contains_key(&worker) {
             return None;
@@ -390,15 +401,15 @@
     }
 
     /// An operator takes a held version; None where none is held.
-    pub fn accept(&mut self, now_ms: f64) -> Option<Heard> {
+    pub fn accept_held(&mut self, now_ms: f64) -> Option<ListUpdate> {
         let held = self.held.take()?;
         self.let_through(held.source);
         Some(self.settle(now_ms, ListKind::Whole))
     }
 
     /// What a dispatch or a probe found: somebody, or nobody to connect to.
-    pub fn observe(&mut self, now_ms: f64, worker: &WorkerId, there: bool) -> Heard {
-        let Some(server) = self.servers.get_mut(worker) else { return Heard::Same };
+    pub fn observe(&mut self, now_ms: f64, worker: &WorkerId, there: bool) -> ListUpdate {
+        let Some(server) = self.servers.get_mut(worker) else { return ListUpdate::Unchanged };
         match there {
             true => (server.answered_ms, server.missing_ms) = (Some(now_ms), None),
             false => server.missing_ms = Some(now_ms),
@@ -407,18 +418,18 @@
         if waits {
             self.settle(now_ms, ListKind::Changes)
         } else {
-            Heard::Same
+            ListUpdate::Unchanged
         }
     }
 
-    /// Time passes; to be called when `wakes_ms` says so.
-    pub fn tick(&mut self, now_ms: f64) -> Heard {
+    /// Time passes; to be called when `next_wake_ms` says so.
+    pub fn tick(&mut self, now_ms: f64) -> ListUpdate {
         self.settle(now_ms, ListKind::Changes)
     }
 
     /// When something changes by itself.
-    pub fn wakes_ms(&self, now_ms: f64) -> Option<f64> {
-        let held = self.held.as_ref().map(|held| held.asked_ms + self.ask_every_ms());
+    pub fn next_wake_ms(&self, now_ms: f64) -> Option<f64> {
+        let held = self.held.as_ref().map(|held| held.asked_ms + self.probe_interval_ms());
         let aside = self.servers.values().map(|server| server.damping.until_ms()).filter(|at| *at > now_ms);
         let doubts = self.sources.values().filter_map(|source| source.doubts_end_ms(self.rules.hold_ms));
         let all = held.into_iter().chain(aside).chain(doubts);
@@ -426,13 +437,13 @@
         all.map(|at| at.max(now_ms + 1.0)).min_by(f64::total_cmp)
     }
 
-    fn ask_every_ms(&self) -> f64 {
+    fn probe_interval_ms(&self) -> f64 {
         self.rules.hold_ms / 8.0
     }
 
     /// Servers of a held version that should be asked whether they are there; at most once in a while.
-    pub fn asks(&mut self, now_ms: f64) -> Vec<WorkerId> {
-        let every_ms = self.ask_every_ms();
+    pub fn due_probes(&mut self, now_ms: f64) -> Vec<WorkerId> {
+        let every_ms = self.probe_interval_ms();
         match &mut self.held {
             Some(held) if now_ms >= held.asked_ms + every_ms => {
                 held.asked_ms = now_ms;
@@ -444,11 +455,11 @@
 
     fn let_through(&mut self, of: SourceId) {
         let source = self.sources.get_mut(&of);
-        if let Some(source) =
-            source.filter(|source| Some(source.stands_version) != source.known() || source.stands.is_empty())
-        {
+        if let Some(source) = source.filter(|source| {
+            Some(source.stands_version) != source.known_version() || source.stands.is_empty()
+        }) {
             source.stands = source.states.clone();
-            source.stands_version = source.known().unwrap_or_default();
+            source.stands_version = source.known_version().unwrap_or_default();
         }
     }
 
@@ -481,7 +492,7 @@
     }
 
     /// Whether time is word enough: nobody that would go has answered since the version came, and that is long enough.
-    fn time_says(&self, now_ms: f64, held: &Held) -> bool {
+    fn time_says(&self, now_ms: f64, held: &HeldVersion) -> bool {
         let answered = |worker: &WorkerId| {
             let at = self.servers.get(worker).and_then(|server| server.answered_ms);
             at.is_some_and(|at| at > now_ms - self.rules.hold_ms)
@@ -490,10 +501,10 @@
     }
 
     /// Whether what a source states takes away too much of what stands; of that, what would go.
-    fn too_much(&self, now_ms: f64, of: SourceId) -> Option<(guard::Why, BTreeSet<WorkerId>)> {
+    fn too_much(&self, now_ms: f64, of: SourceId) -> Option<(guard::ExcessRemoval, BTreeSet<WorkerId>)> {
         let source = self.sources.get(&of)?;
         let stands = &self.sources.get(&self.lead?)?.stands;
-        if self.lead == Some(of) && source.stands_version == source.known().unwrap_or_default() {
+        if self.lead == Some(of) && source.stands_version == source.known_version().unwrap_or_default() {
             return None;
         }
         let taken = guard::taken(stands, &source.states);
@@ -504,11 +515,11 @@
     }
 
     /// Works out anew what to act on, and what of it is news.
-    fn settle(&mut self, now_ms: f64, kind: ListKind) -> Heard {
+    fn settle(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
         for source in self.sources.values_mut() {
             source.doubts(now_ms, self.rules.hold_ms);
         }
-        let Some(lead) = self.leader(now_ms) else { return Heard::Same };
+        let Some(lead) = self.leader(now_ms) else { return ListUpdate::Unchanged };
         match self.too_much(now_ms, lead) {
             None => {
                 self.held = None;
@@ -516,12 +527,12 @@
                 self.lead = Some(lead);
             }
             Some((why, taken)) => {
-                let version = self.sources.get(&lead).and_then(Source::known).unwrap_or_default();
+                let version = self.sources.get(&lead).and_then(Source::known_version).unwrap_or_default();
                 let before = self.held.take().filter(|held| held.source == lead);
                 self.held_total += u64::from(before.is_none());
                 let since_ms = before.as_ref().map_or(now_ms, |held| held.since_ms);
                 let asked_ms = before.map_or(f64::NEG_INFINITY, |held| held.asked_ms);
-                let held = Held { source: lead, version, why, since_ms, taken, asked_ms };
+                let held = HeldVersion { source: lead, version, reason: why, since_ms, taken, asked_ms };
                 if self.time_says(now_ms, &held) {
                     self.let_through(lead);
                     self.lead = Some(lead);
@@ -570,9 +581,13 @@
         let aside = server.is_some_and(|server| server.damping.aside(now_ms));
         let drained = self.drained_ms(worker);
         match said {
-            Some(Said { word: Word::Drain | Word::Quarantine, .. }) => Readiness::Draining,
+            Some(Said { word: OperatorCommand::Drain | OperatorCommand::Quarantine, .. }) => {
+                Readiness::Draining
+            }
             // Newer than any drain that a source stated.
-            Some(Said { word: Word::Undrain, at_ms }) if drained.is_none_or(|since| at_ms >= since) => {
+            Some(Said { word: OperatorCommand::Undrain, at_ms })
+                if drained.is_none_or(|since| at_ms >= since) =>
+            {
                 Readiness::Ready
             }
             _ if drained.is_some() || aside => Readiness::Draining,
@@ -581,14 +596,14 @@
     }
 
     /// Compares with what the decisions know, and says what is new to them.
-    fn tell(&mut self, now_ms: f64, kind: ListKind) -> Heard {
+    fn tell(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
         let mut next = self.acting(now_ms);
         // A return that is one too many sets the server aside before it gets anything.
         if self.returns(now_ms, &next) {
             next = self.acting(now_ms);
         }
         let (mut rows, mut changed, mut others): (Vec<Listing>, bool, bool) = (Vec::new(), false, false);
-        for (was, now) in entry::joined(&self.acted, &next) {
+        for (was, now) in entry::merge_join(&self.acted, &next) {
             others |= was.is_none() || now.is_none();
             match (was, now) {
                 (_, Some(now)) => {
@@ -616,15 +631,15 @@
             self.follow(now_ms);
         }
         if rows.is_empty() || !changed && kind == ListKind::Changes {
-            return Heard::Same;
+            return ListUpdate::Unchanged;
         }
-        Heard::Listed { kind, rows: rows.into() }
+        ListUpdate::Listed { kind, rows: rows.into() }
     }
 
     /// Notes servers that are usable again after they were gone; true where one is set aside for it. Who drains a server
     /// and ends that means it: only being gone counts.
     fn returns(&mut self, now_ms: f64, next: &View) -> bool {
-        let back = entry::joined(&self.acted, next).filter_map(|(was, now)| {
+        let back = entry::merge_join(&self.acted, next).filter_map(|(was, now)| {
             let now = now.filter(|now| now.usable())?;
             let worker = &now.listing.worker;
             let off = || self.servers.get(worker).is_some_and(|server| server.gone_ms.is_some());
@@ -654,7 +669,10 @@
                 return true;
             }
             server.gone_ms.get_or_insert(now_ms);
-            let word = matches!(server.said, Some(Said { word: Word::Drain | Word::Quarantine, .. }));
+            let word = matches!(
+                server.said,
+                Some(Said { word: OperatorCommand::Drain | OperatorCommand::Quarantine, .. })
+            );
             let late = server.gone_ms.is_some_and(|since| now_ms - since < within_ms);
             let kept = (word || late || server.damping.aside(now_ms)) && room > 0;
             room -= usize::from(kept);
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -7,7 +7,7 @@
 /// One thing that only a new start can change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{name}' can't change while the router runs; {instead}")]
-pub struct Fixed {
+pub struct FixedSetting {
     pub name: &'static str,
     pub instead: &'static str,
 }
@@ -22,7 +22,7 @@
     /// For the decisions. Rows that open completions may still have stay as they were.
     pub decisions: Settings,
     /// Nothing differs.
-    pub same: bool,
+    pub unchanged: bool,
 }
 
 /// Rows of workloads that may stand beside each other. Beyond it a change is refused: restarts are cheap, memory is not.
@@ -36,11 +36,11 @@
     stands: &RouterSettings,
     decisions: &Settings,
     new: &RouterSettings,
-) -> Result<Applied, Vec<Fixed>> {
+) -> Result<Applied, Vec<FixedSetting>> {
     let mut fixed = Vec::new();
     let mut keep = |name, same: bool, instead| {
         if !same {
-            fixed.push(Fixed { name, instead });
+            fixed.push(FixedSetting { name, instead });
         }
     };
     let (old, next) = (&stands.decisions, &new.decisions);
@@ -94,15 +94,15 @@
         })
         .collect();
     if rows.len() > ROWS_MAX {
-        return Err(vec![Fixed {
+        return Err(vec![FixedSetting {
             name: "workload",
             instead: "it has changed too often; restart the router",
         }]);
     }
     applied.workload_rows = place;
-    let same = same(stands, &applied);
+    let unchanged = same(stands, &applied);
     let decisions = Settings { workloads: rows, ..next.clone() };
-    Ok(Applied { settings: applied, decisions, same })
+    Ok(Applied { settings: applied, decisions, unchanged })
 }
 
 /// Settings are plain data: their form for people tells all of it.
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{self, Checks, View};
-use crate::{Refused, SavedDrain};
+use crate::{SavedDrain, VersionError};
 
 /// Who states which servers exist, the one that leads first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -55,13 +55,13 @@
 
 /// How the answer of a source was understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stated {
+pub enum VersionOutcome {
     New {
         whole: bool,
     },
-    Same,
+    Unchanged,
     /// Changes on a version that we do not have.
-    AskWhole,
+    WholeNeeded,
 }
 
 /// Lives as long as the router.
@@ -84,7 +84,7 @@
 }
 
 impl Source {
-    pub fn known(&self) -> Option<(u64, u64)> {
+    pub fn known_version(&self) -> Option<(u64, u64)> {
         Some((self.epoch, self.version?))
     }
 
@@ -93,58 +93,58 @@
     /// the drains that stood stay doubted for a while.
     ///
     /// # Errors
-    /// Why the version is refused; what was stated before still is.
+    /// ExcessRemoval the version is refused; what was stated before still is.
     pub fn state(
         &mut self,
         checks: &Checks,
         now_ms: f64,
         list: &ServerList,
         fingerprint: Option<u64>,
-    ) -> Result<Stated, Refused> {
+    ) -> Result<VersionOutcome, VersionError> {
         self.heard_ms = now_ms;
         if let Some(have) = self.version.filter(|_| self.epoch == list.epoch) {
             if list.version < have {
-                return Err(Refused::Older { got: list.version, have });
+                return Err(VersionError::Older { got: list.version, have });
             }
             if list.version == have {
                 let changed =
                     fingerprint.is_some() && self.fingerprint.is_some() && fingerprint != self.fingerprint;
                 if changed {
-                    return Err(Refused::Changed { version: have });
+                    return Err(VersionError::Changed { version: have });
                 }
-                return Ok(Stated::Same);
+                return Ok(VersionOutcome::Unchanged);
             }
         }
         let whole = match list.after {
             None => true,
             Some(after) if Some(after) == self.version && self.epoch == list.epoch => false,
-            Some(_) => return Ok(Stated::AskWhole),
+            Some(_) => return Ok(VersionOutcome::WholeNeeded),
         };
         if whole && list.servers.is_empty() {
-            return Err(Refused::Empty);
+            return Err(VersionError::Empty);
         }
         let rows = entry::rows(checks, now_ms, &list.servers, &self.states)
-            .map_err(|(server, what)| Refused::Entry { server, what })?;
+            .map_err(|(server, what)| VersionError::Entry { server, what })?;
         let changed: Vec<_> = rows.iter().map(|row| row.listing.worker.clone()).collect();
         let mut states = if whole { View::new() } else { self.states.clone() };
         states.extend(rows.into_iter().map(|row| (row.listing.worker.clone(), Arc::new(row))));
         if let Some((one, other)) = entry::same_address(&states, (!whole).then_some(&changed[..])) {
             let what = format!("has the address of '{:.64}'", one.0);
-            return Err(Refused::Entry { server: other.0.to_string(), what });
+            return Err(VersionError::Entry { server: other.0.to_string(), what });
         }
         if states.values().all(|row| row.gone()) {
-            return Err(Refused::Empty);
+            return Err(VersionError::Empty);
         }
         if states.values().filter(|row| row.usable()).all(|row| row.listing.weight <= 0.0)
             && states.values().any(|row| row.usable())
         {
-            return Err(Refused::NoWeight);
+            return Err(VersionError::NoWeight);
         }
         self.drains_of(now_ms, &states, (list.epoch, list.version));
         (self.epoch, self.version) = (list.epoch, Some(list.version));
         self.states = states;
         self.fingerprint = fingerprint;
-        Ok(Stated::New { whole })
+        Ok(VersionOutcome::New { whole })
     }
 
     /// Drains begin with the word; they end with a newer word of the same source, with another process under the name,
@@ -195,8 +195,9 @@
 
     /// A drain of before the start.
     pub fn drained_before(&mut self, worker: WorkerId, since_ms: f64, saved: &SavedDrain) {
-        let SavedDrain { epoch, version, denied, .. } = *saved;
-        self.drains.insert(worker, Drain { since_ms, epoch, version, doubted_ms: None, denied });
+        let SavedDrain { epoch, version, contradicted, .. } = *saved;
+        self.drains
+            .insert(worker, Drain { since_ms, epoch, version, doubted_ms: None, denied: contradicted });
     }
 
     /// Ends drains that were doubted for so long.
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -3,7 +3,7 @@
 use paddleproxy::interface::Readiness;
 use serde::Serialize;
 
-use crate::{Membership, Said, SourceId, Word};
+use crate::{Membership, OperatorCommand, Said, SourceId};
 
 /// Where a server is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -12,7 +12,8 @@
     /// Known, and nothing was heard of it yet.
     Listed,
     /// Its process is younger than the time to warm up.
-    Fresh,
+    #[serde(rename = "fresh")]
+    SlowStart,
     Ready,
     Draining,
     /// Set aside, by operators or because it came back too often.
@@ -49,14 +50,14 @@
 pub struct Status {
     pub revision: u64,
     pub sources: Vec<SourceStatus>,
-    /// Why a version is held, and since when, in ms.
+    /// ExcessRemoval a version is held, and since when, in ms.
     pub held: Option<(String, f64)>,
     pub held_total: u64,
     pub servers: Vec<ServerStatus>,
 }
 
 impl Membership {
-    pub fn status(&self, now_ms: f64, cold_ms: f64) -> Status {
+    pub fn status(&self, now_ms: f64, slow_start_ms: f64) -> Status {
         let sources = self.sources.iter().map(|(id, source)| {
             let silent_ms = Some(now_ms - source.heard_ms).filter(|silent| silent.is_finite());
             SourceStatus {
@@ -72,7 +73,7 @@
         });
         let held = self.held.as_ref().map(|held| {
             let (epoch, version) = held.version;
-            let what = format!("{} version {epoch}.{version}: {}", held.source.name(), held.why);
+            let what = format!("{} version {epoch}.{version}: {}", held.source.name(), held.reason);
             (what, now_ms - held.since_ms)
         });
         Status {
@@ -80,24 +81,24 @@
             sources: sources.collect(),
             held,
             held_total: self.held_total,
-            servers: self.server_rows(now_ms, cold_ms),
+            servers: self.server_rows(now_ms, slow_start_ms),
         }
     }
 
-    fn server_rows(&self, now_ms: f64, cold_ms: f64) -> Vec<ServerStatus> {
+    fn server_rows(&self, now_ms: f64, slow_start_ms: f64) -> Vec<ServerStatus> {
         let lead = self.lead.map_or("nobody", SourceId::name);
         let row = |(worker, row): (&_, &std::sync::Arc<crate::entry::Row>)| {
             let server = self.servers.get(worker);
             let said = server.and_then(|server| server.said);
             let aside = server.is_some_and(|server| server.damping.aside(now_ms));
             let heard = server.is_some_and(|server| server.answered_ms.is_some());
-            let fresh = row.listing.started_ms.filter(|started| now_ms - started < cold_ms);
+            let fresh = row.listing.started_ms.filter(|started| now_ms - started < slow_start_ms);
             let (phase, by, since) = match (row.listing.readiness, said) {
                 (Readiness::Gone, _) => (Phase::Gone, lead, None),
-                (_, Some(Said { word: Word::Quarantine, at_ms })) => {
+                (_, Some(Said { word: OperatorCommand::Quarantine, at_ms })) => {
                     (Phase::Quarantined, "operator", Some(at_ms))
                 }
-                (Readiness::Draining, Some(Said { word: Word::Drain, at_ms })) => {
+                (Readiness::Draining, Some(Said { word: OperatorCommand::Drain, at_ms })) => {
                     (Phase::Draining, "operator", Some(at_ms))
                 }
                 (Readiness::Draining, _) => match self.drained_ms(worker) {
@@ -106,7 +107,7 @@
                     None => (Phase::Draining, lead, None),
                 },
                 (Readiness::Ready, _) => match fresh {
-                    Some(started) => (Phase::Fresh, lead, Some(started)),
+                    Some(started) => (Phase::SlowStart, lead, Some(started)),
                     None if heard => (Phase::Ready, lead, row.listing.started_ms),
                     None => (Phase::Listed, lead, None),
                 },
--- a/crates/membership/tests/histories.rs
+++ b/crates/membership/tests/histories.rs
@@ -6,7 +6,7 @@
 
 use paddleproxy::interface::{ListKind, Readiness, Role, WorkerId};
 use paddleproxy_engine::{ServerEntry, ServerList};
-use paddleproxy_membership::{Heard, Membership, Rules, Saved, SourceId, Word};
+use paddleproxy_membership::{ListUpdate, Membership, OperatorCommand, Rules, SavedList, SourceId};
 use proptest::prelude::*;
 
 const RULES: Rules = Rules {
@@ -42,7 +42,7 @@
     Broken {
         file: bool,
     },
-    Word {
+    OperatorCommand {
         server: usize,
         word: u8,
     },
@@ -91,7 +91,7 @@
     view: BTreeMap<SourceId, BTreeMap<String, u8>>,
     /// Drains that stand by the newest word of the one who stated them.
     drained: BTreeMap<(SourceId, String), f64>,
-    words: BTreeMap<String, (Word, f64)>,
+    words: BTreeMap<String, (OperatorCommand, f64)>,
     revision: u64,
     steps: u64,
 }
@@ -117,8 +117,8 @@
         }
     }
 
-    fn heard(&mut self, heard: Heard) {
-        if let Heard::Listed { kind, rows } = heard {
+    fn heard(&mut self, heard: ListUpdate) {
+        if let ListUpdate::Listed { kind, rows } = heard {
             if kind != ListKind::Changes {
                 self.told.rows.values_mut().for_each(|readiness| *readiness = Readiness::Gone);
             }
@@ -129,13 +129,13 @@
     }
 
     fn list(&mut self, of: SourceId, list: ServerList) {
-        let before = self.m.known(of);
-        let heard = self.m.hear(self.now_ms, of, &list);
+        let before = self.m.known_version(of);
+        let heard = self.m.apply_version(self.now_ms, of, &list);
         let whole = list.after.is_none();
-        let taken = matches!(&heard, Ok(Heard::Listed { .. } | Heard::Same))
+        let taken = matches!(&heard, Ok(ListUpdate::Listed { .. } | ListUpdate::Unchanged))
             && before.is_none_or(|(epoch, version)| epoch != list.epoch || list.version > version);
         if taken {
-            assert!(self.m.known(of) == Some((list.epoch, list.version)));
+            assert!(self.m.known_version(of) == Some((list.epoch, list.version)));
             let view = self.view.entry(of).or_default();
             if whole {
                 view.clear();
@@ -163,8 +163,8 @@
                     _ => drop(self.drained.remove(&key)),
                 }
             }
-        } else if let (Some((epoch, version)), Some((now, at))) = (before, self.m.known(of)) {
-            // Refused or repeated: nothing went back.
+        } else if let (Some((epoch, version)), Some((now, at))) = (before, self.m.known_version(of)) {
+            // VersionError or repeated: nothing went back.
             assert!((epoch, version) == (now, at));
         }
         if let Ok(heard) = heard {
@@ -191,7 +191,7 @@
                 self.list(SourceId::Service, list);
             }
             Step::Changes { says } => {
-                let Some((epoch, after)) = self.m.known(SourceId::Service) else { return };
+                let Some((epoch, after)) = self.m.known_version(SourceId::Service) else { return };
                 if epoch != self.service.0 {
                     return;
                 }
@@ -209,7 +209,7 @@
                 let list =
                     ServerList { epoch: self.service.0, version: 1, after: None, servers: entries(says) };
                 self.list(SourceId::Service, list);
-                if self.m.known(SourceId::Service) != Some(self.service) {
+                if self.m.known_version(SourceId::Service) != Some(self.service) {
                     // It was refused.
                     self.drained = before;
                 }
@@ -221,16 +221,17 @@
                 };
                 let mut servers = entries(&[1, 1, 1, 1]);
                 servers[3].weight = f64::NAN;
-                let before = (self.m.known(of), self.m.revision());
+                let before = (self.m.known_version(of), self.m.revision());
                 assert!(self
                     .m
-                    .hear(self.now_ms, of, &ServerList { epoch, version, after: None, servers })
+                    .apply_version(self.now_ms, of, &ServerList { epoch, version, after: None, servers })
                     .is_err());
-                assert_eq!(before, (self.m.known(of), self.m.revision()));
+                assert_eq!(before, (self.m.known_version(of), self.m.revision()));
             }
-            Step::Word { server, word } => {
-                let word = [Word::Drain, Word::Undrain, Word::Quarantine][usize::from(*word) % 3];
-                if let Some(heard) = self.m.say(self.now_ms, NAMES[*server], word) {
+            Step::OperatorCommand { server, word } => {
+                let word = [OperatorCommand::Drain, OperatorCommand::Undrain, OperatorCommand::Quarantine]
+                    [usize::from(*word) % 3];
+                if let Some(heard) = self.m.apply_command(self.now_ms, NAMES[*server], word) {
                     self.words.insert(NAMES[*server].to_owned(), (word, self.now_ms));
                     self.heard(heard);
                 }
@@ -240,7 +241,7 @@
                 self.heard(heard);
             }
             Step::Accept => {
-                let heard = self.m.accept(self.now_ms);
+                let heard = self.m.accept_held(self.now_ms);
                 heard.into_iter().for_each(|heard| self.heard(heard));
             }
             Step::Passes { ms } => {
@@ -250,7 +251,7 @@
             }
             Step::Restart => {
                 let Some(saved) = self.m.save(self.now_ms, 1e6 + self.now_ms) else { return };
-                let saved: Saved = serde_json::from_str(&serde_json::to_string(&saved).unwrap()).unwrap();
+                let saved: SavedList = serde_json::from_str(&serde_json::to_string(&saved).unwrap()).unwrap();
                 let old = self.told.rows.clone();
                 (self.m, self.told, self.revision) = (membership(), Told::default(), 0);
                 let heard = self.m.recover(self.now_ms, 1e6 + self.now_ms, &saved);
@@ -296,12 +297,12 @@
             }
             let word = self.words.get(name);
             assert!(
-                !matches!(word, Some((Word::Drain | Word::Quarantine, _))),
+                !matches!(word, Some((OperatorCommand::Drain | OperatorCommand::Quarantine, _))),
                 "{name} is set aside by word"
             );
             for of in [SourceId::File, SourceId::Service] {
                 let Some(since) = self.drained.get(&(of, name.clone())) else { continue };
-                let undrained = matches!(word, Some((Word::Undrain, at)) if at >= since);
+                let undrained = matches!(word, Some((OperatorCommand::Undrain, at)) if at >= since);
                 assert!(undrained, "{name} is drained by {} since {since} and gets work", of.name());
             }
         }
@@ -318,7 +319,7 @@
         4 => says().prop_map(|says| Step::Changes { says }),
         1 => says().prop_map(|says| Step::Anew { says }),
         1 => any::<bool>().prop_map(|file| Step::Broken { file }),
-        2 => (0..NAMES.len(), 0u8..3).prop_map(|(server, word)| Step::Word { server, word }),
+        2 => (0..NAMES.len(), 0u8..3).prop_map(|(server, word)| Step::OperatorCommand { server, word }),
         2 => (0..NAMES.len(), any::<bool>()).prop_map(|(server, there)| Step::Seen { server, there }),
         1 => Just(Step::Accept),
         2 => (0u16..2000).prop_map(|ms| Step::Passes { ms }),
@@ -351,7 +352,7 @@
         run.step(&Step::Whole { file: false, on: 1, says: held });
         assert!(run.m.held().is_some(), "d, the last usable one, may not simply go");
         run.step(&Step::Restart);
-        run.step(&Step::Word { server: 1, word: 1 });
+        run.step(&Step::OperatorCommand { server: 1, word: 1 });
         assert_eq!(run.told.rows["b"], Readiness::Ready);
         run.step(&Step::Changes { says: [0, 2, 0, 0] });
         assert_eq!(run.told.rows["b"], Readiness::Draining);
@@ -372,8 +373,8 @@
         Step::Changes { says: [1, 0, 3, 3] },
         Step::Anew { says: both },
         Step::Broken { file: false },
-        Step::Word { server: 0, word: 0 },
-        Step::Word { server: 0, word: 1 },
+        Step::OperatorCommand { server: 0, word: 0 },
+        Step::OperatorCommand { server: 0, word: 1 },
         Step::Seen { server: 1, there: false },
         Step::Accept,
         Step::Passes { ms: 1000 },
--- a/crates/membership/tests/words.rs
+++ b/crates/membership/tests/words.rs
@@ -4,7 +4,9 @@
 
 use paddleproxy::interface::{ListKind, Readiness, Role, WorkerId};
 use paddleproxy_engine::{ServerEntry, ServerList};
-use paddleproxy_membership::{Heard, Membership, Phase, Refused, Rules, Saved, SourceId, Word};
+use paddleproxy_membership::{
+    ListUpdate, Membership, OperatorCommand, Phase, Rules, SavedList, SourceId, VersionError,
+};
 
 const RULES: Rules = Rules {
     stale_ms: 30_000.0,
@@ -53,8 +55,8 @@
 struct Decisions(std::collections::BTreeMap<String, Readiness>);
 
 impl Decisions {
-    fn hear(&mut self, heard: Heard) {
-        if let Heard::Listed { kind, rows } = heard {
+    fn hear(&mut self, heard: ListUpdate) {
+        if let ListUpdate::Listed { kind, rows } = heard {
             if kind != ListKind::Changes {
                 self.0.values_mut().for_each(|readiness| *readiness = Readiness::Gone);
             }
@@ -74,7 +76,7 @@
 
 fn started() -> (Membership, Decisions) {
     let (mut m, mut d) = (membership(), Decisions::default());
-    d.hear(m.hear(0.0, SourceId::Service, &list(1, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(0.0, SourceId::Service, &list(1, None, all(&FIVE))).unwrap());
     assert_eq!(d.ready(), "a b c d e");
     (m, d)
 }
@@ -82,13 +84,16 @@
 #[test]
 fn versions_only_go_forward_and_gaps_ask_for_the_whole() {
     let (mut m, _) = started();
-    m.hear(0.0, SourceId::Service, &list(5, Some(1), vec![entry("f", "ready")])).unwrap();
-    let older = m.hear(1.0, SourceId::Service, &list(4, None, all(&["b"])));
-    assert_eq!(older.unwrap_err(), Refused::Older { got: 4, have: 5 });
-    assert!(matches!(m.hear(1.0, SourceId::Service, &list(5, None, vec![])), Ok(Heard::Same)));
-    let gap = m.hear(2.0, SourceId::Service, &list(8, Some(7), vec![entry("a", "gone")]));
-    assert!(matches!(gap, Ok(Heard::AskWhole)));
-    assert_eq!((m.version(), m.len(), m.known(SourceId::Service)), (Some(5), 6, Some((1, 5))));
+    m.apply_version(0.0, SourceId::Service, &list(5, Some(1), vec![entry("f", "ready")])).unwrap();
+    let older = m.apply_version(1.0, SourceId::Service, &list(4, None, all(&["b"])));
+    assert_eq!(older.unwrap_err(), VersionError::Older { got: 4, have: 5 });
+    assert!(matches!(
+        m.apply_version(1.0, SourceId::Service, &list(5, None, vec![])),
+        Ok(ListUpdate::Unchanged)
+    ));
+    let gap = m.apply_version(2.0, SourceId::Service, &list(8, Some(7), vec![entry("a", "gone")]));
+    assert!(matches!(gap, Ok(ListUpdate::WholeNeeded)));
+    assert_eq!((m.version(), m.len(), m.known_version(SourceId::Service)), (Some(5), 6, Some((1, 5))));
     let status = m.status(3.0, 1e4);
     assert_eq!((status.sources[0].refused, status.sources[0].version), (1, Some(5)));
 }
@@ -111,24 +116,28 @@
         let (mut m, d) = started();
         let mut servers = all(&["a", "b", "c", "d", "e", "f"]);
         spoil(&mut servers);
-        let refused = m.hear(1.0, SourceId::Service, &list(2, None, servers)).unwrap_err().to_string();
+        let refused =
+            m.apply_version(1.0, SourceId::Service, &list(2, None, servers)).unwrap_err().to_string();
         assert!(refused.contains(text), "{refused}");
         assert_eq!((m.version(), d.ready().as_str()), (Some(1), "a b c d e"));
     }
     let (mut m, _) = started();
-    assert_eq!(m.hear(1.0, SourceId::Service, &list(2, None, vec![])).unwrap_err(), Refused::Empty);
+    assert_eq!(
+        m.apply_version(1.0, SourceId::Service, &list(2, None, vec![])).unwrap_err(),
+        VersionError::Empty
+    );
 }
 
 #[test]
 fn a_mass_removal_is_held_until_another_word_and_its_drains_count_at_once() {
     let (mut m, mut d) = started();
     let lies = vec![entry("a", "ready"), entry("b", "draining")];
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, None, lies)).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, None, lies)).unwrap());
     // c, d and e would go; b drains already.
     assert_eq!(d.ready(), "a c d e");
-    let why = m.held().unwrap().why.to_string();
+    let why = m.held().unwrap().reason.to_string();
     assert_eq!(why, "it takes away 3 of the 5 usable servers of role mixed at once");
-    assert_eq!(m.asks(1.0), [id("c"), id("d"), id("e")]);
+    assert_eq!(m.due_probes(1.0), [id("c"), id("d"), id("e")]);
     // They answer, so that time alone is no word.
     for at in [2.0, 4000.0, 8000.0, 12000.0] {
         for name in ["c", "d", "e"] {
@@ -147,59 +156,59 @@
     let lies = || list(2, None, all(&["a", "b"]));
     // The sockets: one connection refused brings the rest under the share.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &lies()).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &lies()).unwrap());
     assert_eq!(d.ready(), "a b c d e");
     d.hear(m.observe(2.0, &id("d"), false));
     assert_eq!(d.ready(), "a b");
     // The operators.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &lies()).unwrap());
-    d.hear(m.accept(2.0).unwrap());
-    assert_eq!((d.ready().as_str(), m.accept(3.0).is_none()), ("a b", true));
+    d.hear(m.apply_version(1.0, SourceId::Service, &lies()).unwrap());
+    d.hear(m.accept_held(2.0).unwrap());
+    assert_eq!((d.ready().as_str(), m.accept_held(3.0).is_none()), ("a b", true));
     // Another source.
     let (mut m, mut d) = started();
-    d.hear(m.hear(0.5, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
-    d.hear(m.hear(1.0, SourceId::File, &list(2, None, all(&["a", "b"]))).unwrap());
+    d.hear(m.apply_version(0.5, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::File, &list(2, None, all(&["a", "b"]))).unwrap());
     assert_eq!(d.ready(), "a b c d e");
-    d.hear(m.hear(2.0, SourceId::Service, &lies()).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &lies()).unwrap());
     assert_eq!(d.ready(), "a b");
     // The same source that takes it back.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &lies()).unwrap());
-    d.hear(m.hear(2.0, SourceId::Service, &list(3, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &lies()).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &list(3, None, all(&FIVE))).unwrap());
     assert_eq!((d.ready().as_str(), m.held().is_some(), m.version()), ("a b c d e", false, Some(3)));
 }
 
 #[test]
 fn the_last_of_a_role_is_not_taken_away_by_one_word() {
     let (mut m, mut d) = (membership(), Decisions::default());
-    d.hear(m.hear(0.0, SourceId::Service, &list(1, None, all(&["a", "b", "c", "r"]))).unwrap());
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, None, all(&["a", "b", "c"]))).unwrap());
-    assert_eq!((d.ready().as_str(), m.held().unwrap().why.usable), ("a b c r", 1));
+    d.hear(m.apply_version(0.0, SourceId::Service, &list(1, None, all(&["a", "b", "c", "r"]))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, None, all(&["a", "b", "c"]))).unwrap());
+    assert_eq!((d.ready().as_str(), m.held().unwrap().reason.usable), ("a b c r", 1));
     // One of many may go at once, and so may one that drained before.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "gone")])).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "gone")])).unwrap());
     assert_eq!(d.ready(), "b c d e");
     let drains = ["b", "c", "d"].map(|name| entry(name, "draining")).to_vec();
-    d.hear(m.hear(2.0, SourceId::Service, &list(3, Some(2), drains)).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &list(3, Some(2), drains)).unwrap());
     let gone = ["b", "c", "d"].map(|name| entry(name, "gone")).to_vec();
-    d.hear(m.hear(3.0, SourceId::Service, &list(4, Some(3), gone)).unwrap());
+    d.hear(m.apply_version(3.0, SourceId::Service, &list(4, Some(3), gone)).unwrap());
     assert_eq!((d.ready().as_str(), m.held().is_some()), ("e", false));
 }
 
 #[test]
 fn drains_of_any_source_count_and_only_newer_words_end_them() {
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
     // The service drains although the file leads.
-    d.hear(m.hear(2.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "draining")])).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "draining")])).unwrap());
     assert_eq!(d.ready(), "b c d e");
     // The file has nothing to say against it.
-    d.hear(m.hear(3.0, SourceId::File, &list(2, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(3.0, SourceId::File, &list(2, None, all(&FIVE))).unwrap());
     assert_eq!(d.ready(), "b c d e");
     // A service that came back from an old snapshot does not undo it at once.
     let anew = |version, servers| ServerList { epoch: 2, version, after: None, servers };
-    d.hear(m.hear(4.0, SourceId::Service, &anew(1, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(4.0, SourceId::Service, &anew(1, all(&FIVE))).unwrap());
     assert_eq!(d.ready(), "b c d e");
     d.hear(m.tick(4000.0));
     assert_eq!(d.ready(), "b c d e");
@@ -207,39 +216,45 @@
     assert_eq!(d.ready(), "a b c d e");
     // Within one epoch the next version does.
     d.hear(
-        m.hear(9000.0, SourceId::Service, &anew(2, vec![entry("a", "draining"), entry("b", "ready")]))
-            .unwrap(),
+        m.apply_version(
+            9000.0,
+            SourceId::Service,
+            &anew(2, vec![entry("a", "draining"), entry("b", "ready")]),
+        )
+        .unwrap(),
     );
-    d.hear(m.hear(9001.0, SourceId::Service, &anew(3, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(9001.0, SourceId::Service, &anew(3, all(&FIVE))).unwrap());
     assert_eq!(d.ready(), "a b c d e");
 }
 
 #[test]
 fn operators_words_stand_over_restarts_and_the_newest_wins() {
     let (mut m, mut d) = started();
-    d.hear(m.say(1.0, "a", Word::Drain).unwrap());
-    d.hear(m.say(1.0, "b", Word::Quarantine).unwrap());
-    assert!(m.say(1.0, "nobody", Word::Drain).is_none());
+    d.hear(m.apply_command(1.0, "a", OperatorCommand::Drain).unwrap());
+    d.hear(m.apply_command(1.0, "b", OperatorCommand::Quarantine).unwrap());
+    assert!(m.apply_command(1.0, "nobody", OperatorCommand::Drain).is_none());
     assert_eq!((d.ready().as_str(), m.revision()), ("c d e", 3));
     // Drained and undrained within a tick: the last word stands.
-    d.hear(m.say(2.0, "c", Word::Drain).unwrap());
-    d.hear(m.say(2.0, "c", Word::Undrain).unwrap());
+    d.hear(m.apply_command(2.0, "c", OperatorCommand::Drain).unwrap());
+    d.hear(m.apply_command(2.0, "c", OperatorCommand::Undrain).unwrap());
     assert_eq!(d.ready(), "c d e");
     // A drain by the list that is newer than the operators' word counts again.
-    d.hear(m.hear(3.0, SourceId::Service, &list(2, Some(1), vec![entry("c", "draining")])).unwrap());
+    d.hear(m.apply_version(3.0, SourceId::Service, &list(2, Some(1), vec![entry("c", "draining")])).unwrap());
     assert_eq!(d.ready(), "d e");
-    d.hear(m.say(4.0, "c", Word::Undrain).unwrap());
+    d.hear(m.apply_command(4.0, "c", OperatorCommand::Undrain).unwrap());
     assert_eq!(d.ready(), "c d e");
     let saved = m.save(10.0, 5e6).unwrap();
-    let saved: Saved = serde_json::from_str(&serde_json::to_string(&saved).unwrap()).unwrap();
+    let saved: SavedList = serde_json::from_str(&serde_json::to_string(&saved).unwrap()).unwrap();
     let (mut next, mut d) = (membership(), Decisions::default());
     d.hear(next.recover(0.0, 5e6 + 50.0, &saved).unwrap());
     assert_eq!(d.ready(), "c d e");
     // What the service stated before is not stated anew, and its next version goes on from there.
-    assert_eq!(next.known(SourceId::Service), Some((1, 2)));
-    d.hear(next.hear(1.0, SourceId::Service, &list(3, Some(2), vec![entry("d", "draining")])).unwrap());
+    assert_eq!(next.known_version(SourceId::Service), Some((1, 2)));
+    d.hear(
+        next.apply_version(1.0, SourceId::Service, &list(3, Some(2), vec![entry("d", "draining")])).unwrap(),
+    );
     assert_eq!(d.ready(), "c e");
-    d.hear(next.say(2.0, "b", Word::Undrain).unwrap());
+    d.hear(next.apply_command(2.0, "b", OperatorCommand::Undrain).unwrap());
     assert_eq!(d.ready(), "b c e");
 }
 
@@ -252,7 +267,7 @@
             let after = Some(version);
             version += 1;
             let changes = list(version, after, vec![entry("a", readiness)]);
-            d.hear(m.hear(at, SourceId::Service, &changes).unwrap());
+            d.hear(m.apply_version(at, SourceId::Service, &changes).unwrap());
         }
     };
     for at in [100.0, 200.0] {
@@ -263,7 +278,7 @@
     assert_eq!(d.ready(), "b c d e");
     let aside = m.status(300.0, 1e4).servers.into_iter().find(|row| row.name == "a").unwrap();
     assert_eq!((aside.phase, aside.by), (Phase::Quarantined, "damping"));
-    assert_eq!(m.wakes_ms(300.0), Some(5300.0));
+    assert_eq!(m.next_wake_ms(300.0), Some(5300.0));
     d.hear(m.tick(5300.0));
     assert_eq!(d.ready(), "a b c d e");
 }
@@ -274,20 +289,20 @@
     // Back under its name at another address, with the start that it had: another process all the same.
     let mut moved = entry("a", "ready");
     (moved.address, moved.age_ms) = ("127.0.2.1:9".into(), None);
-    match m.hear(5000.0, SourceId::Service, &list(2, Some(1), vec![moved])).unwrap() {
-        Heard::Listed { rows, .. } => assert_eq!(rows[0].started_ms, Some(5000.0)),
+    match m.apply_version(5000.0, SourceId::Service, &list(2, Some(1), vec![moved])).unwrap() {
+        ListUpdate::Listed { rows, .. } => assert_eq!(rows[0].started_ms, Some(5000.0)),
         other => panic!("{other:?}"),
     }
     // New under an old address, the old name still listed: a contradiction; with the old one gone: fine.
     let mut heir = entry("f", "ready");
     heir.address = entry("b", "ready").address;
-    let refused = m.hear(5001.0, SourceId::Service, &list(3, Some(2), vec![heir.clone()]));
+    let refused = m.apply_version(5001.0, SourceId::Service, &list(3, Some(2), vec![heir.clone()]));
     assert_eq!(refused.unwrap_err().to_string(), "server 'f': has the address of 'b'");
     let both = vec![entry("b", "gone"), heir];
-    assert!(m.hear(5002.0, SourceId::Service, &list(3, Some(2), both)).is_ok());
+    assert!(m.apply_version(5002.0, SourceId::Service, &list(3, Some(2), both)).is_ok());
     // A drain was of the old process; the new one under the name is not drained.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "draining")])).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "draining")])).unwrap());
     let anew = ServerEntry { start: 2, ..entry("a", "ready") };
     let snapshot = ServerList {
         epoch: 3,
@@ -295,24 +310,24 @@
         after: None,
         servers: [vec![anew], all(&["b", "c", "d", "e"])].concat(),
     };
-    d.hear(m.hear(2.0, SourceId::Service, &snapshot).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &snapshot).unwrap());
     assert_eq!(d.ready(), "a b c d e");
 }
 
 #[test]
 fn a_silent_lead_is_stale_by_name_and_yields_only_to_one_that_speaks() {
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::File, &list(1, None, all(&["a", "b", "c", "d"]))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::File, &list(1, None, all(&["a", "b", "c", "d"]))).unwrap());
     assert_eq!(d.ready(), "a b c d");
     // The file is gone. Nobody else speaks: it keeps the lead.
     d.hear(m.tick(40_000.0));
     let status = m.status(40_000.0, 1e4);
     assert!(status.sources[0].stale && status.sources[0].leads && d.ready() == "a b c d");
     // The service speaks: it leads, and its list is acted on.
-    d.hear(m.hear(40_001.0, SourceId::Service, &list(2, None, all(&["a", "b", "c", "e"]))).unwrap());
+    d.hear(m.apply_version(40_001.0, SourceId::Service, &list(2, None, all(&["a", "b", "c", "e"]))).unwrap());
     assert_eq!(d.ready(), "a b c e");
     // The file is back where it was.
-    m.spoke(40_002.0, SourceId::File);
+    m.source_unchanged(40_002.0, SourceId::File);
     d.hear(m.tick(40_003.0));
     assert_eq!(d.ready(), "a b c d");
 }
@@ -320,7 +335,7 @@
 #[test]
 fn a_saved_list_ages_by_the_time_the_router_was_down_and_never_gets_younger() {
     let (mut m, _) = started();
-    m.hear(
+    m.apply_version(
         1000.0,
         SourceId::Service,
         &list(2, Some(1), vec![ServerEntry { start: 2, age_ms: Some(200.0), ..entry("a", "ready") }]),
@@ -328,7 +343,7 @@
     .unwrap();
     let saved = m.save(1500.0, 1e6).unwrap();
     let start = |wall_ms: f64| match membership().recover(40.0, wall_ms, &saved).unwrap() {
-        Heard::Listed { kind: ListKind::Saved, rows } => rows[0].started_ms,
+        ListUpdate::Listed { kind: ListKind::Saved, rows } => rows[0].started_ms,
         other => panic!("{other:?}"),
     };
     assert_eq!(start(1e6 + 3000.0), Some(40.0 - 700.0 - 3000.0));
@@ -341,21 +356,21 @@
     // All of a cell by name: each is a word that counts at once, answered probes or not.
     let (mut m, mut d) = started();
     let gone = FIVE.map(|name| entry(name, if name == "e" { "ready" } else { "gone" })).to_vec();
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, Some(1), gone)).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, Some(1), gone)).unwrap());
     assert_eq!((d.ready().as_str(), m.held().is_some()), ("e", false));
     // In a version that is held for those that it leaves out.
     let (mut m, mut d) = started();
     let some = vec![entry("a", "ready"), entry("b", "gone")];
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, None, some)).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, None, some)).unwrap());
     assert_eq!((d.ready().as_str(), m.held().is_some()), ("a c d e", true));
     // A drain outlives a version that leaves its server out and is held.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::Service, &list(2, Some(1), vec![entry("c", "draining")])).unwrap());
-    d.hear(m.hear(2.0, SourceId::Service, &list(3, None, all(&["a"]))).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::Service, &list(2, Some(1), vec![entry("c", "draining")])).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &list(3, None, all(&["a"]))).unwrap());
     assert_eq!((d.ready().as_str(), m.held().is_some()), ("a b d e", true));
     // By the service while the file leads.
     let (mut m, mut d) = started();
-    d.hear(m.hear(1.0, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
-    d.hear(m.hear(2.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "gone")])).unwrap());
+    d.hear(m.apply_version(1.0, SourceId::File, &list(1, None, all(&FIVE))).unwrap());
+    d.hear(m.apply_version(2.0, SourceId::Service, &list(2, Some(1), vec![entry("a", "gone")])).unwrap());
     assert_eq!(d.ready(), "b c d e");
 }
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use paddleproxy_failover::words::FOR_MAX_MS;
-use paddleproxy_membership::Word as ListSays;
+use paddleproxy_membership::OperatorCommand as ListSays;
 use paddleproxy_routing::Reason;
 use paddleproxy_sockets::Stream;
 use serde_json::json;
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -11,7 +11,7 @@
 use paddleproxy_engine as wire;
 use paddleproxy_engine::Load;
 use paddleproxy_failover::Met;
-use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
+use paddleproxy_membership::{ListUpdate, Membership, SavedList, SourceId};
 use paddleproxy_messages::{Answer, ApiError, ErrorKind};
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{
@@ -47,7 +47,7 @@
     wholes: BTreeMap<(CompletionId, Seq), Answer>,
     own: ToCore,
     list: mpsc::Sender<ListWord>,
-    saves: watch::Sender<Option<Saved>>,
+    saves: watch::Sender<Option<SavedList>>,
     state: Rc<State>,
     /// When the list changes by itself.
     wakes: Option<Instant>,
@@ -72,7 +72,7 @@
         engines: Rc<Engines>,
         own: ToCore,
         list: mpsc::Sender<ListWord>,
-        saves: watch::Sender<Option<Saved>>,
+        saves: watch::Sender<Option<SavedList>>,
         state: Rc<State>,
     ) -> Self {
         let decisions = &settings.decisions;
@@ -115,11 +115,11 @@
 
     /// Takes in the list of an earlier run, if there is one; the version to ask on from. The decisions always get a
     /// saved list, if an empty one: with it they begin, and subscribe where that is theirs to do.
-    pub fn recover(&mut self, saved: Option<Saved>, left: &Left) -> Known {
+    pub fn recover(&mut self, saved: Option<SavedList>, left: &Left) -> Known {
         let mut rows: std::sync::Arc<[Listing]> = [].into();
         if let Some(saved) = saved {
             match self.membership.recover(self.book.clock.now_ms(), self.state.steady.now_ms(), &saved) {
-                Ok(Heard::Listed { rows: recovered, .. }) => rows = recovered,
+                Ok(ListUpdate::Listed { rows: recovered, .. }) => rows = recovered,
                 Ok(_) => {}
                 Err(cause) => warn!(%cause, "saved list refused; starting without one"),
             }
@@ -132,7 +132,7 @@
         let kept = left.believed(self.state.steady.now_ms(), &self.membership.starts());
         info!(entries = kept.len(), "kept texts of the earlier run believed");
         self.handle(Input::Recovered(kept));
-        self.membership.known(SourceId::Service)
+        self.membership.known_version(SourceId::Service)
     }
 
     pub async fn run(mut self, mut told: mpsc::Receiver<Told>) {
@@ -230,20 +230,20 @@
             Told::List { source, list, fingerprint, next } => {
                 let _ = next.send(self.hear(source, &list, fingerprint));
             }
-            Told::ListSpoke { source } => self.membership.spoke(self.book.clock.now_ms(), source),
+            Told::ListSpoke { source } => self.membership.source_unchanged(self.book.clock.now_ms(), source),
             Told::ListUnreadable { source, why } => {
                 warn!(source = source.name(), why, "list refused");
-                self.membership.unreadable(source, &why);
+                self.membership.source_unreadable(source, &why);
             }
             Told::Say { server, word, done } => {
-                let heard = self.membership.say(self.book.clock.now_ms(), &server, word);
+                let heard = self.membership.apply_command(self.book.clock.now_ms(), &server, word);
                 let known = heard.is_some();
                 info!(server, ?word, known, "an operator's word");
                 heard.into_iter().for_each(|heard| self.heard(heard));
                 let _ = done.send(known.then(|| self.membership.revision()));
             }
             Told::Accept { done } => {
-                let heard = self.membership.accept(self.book.clock.now_ms());
+                let heard = self.membership.accept_held(self.book.clock.now_ms());
                 let held = heard.is_some();
                 heard.into_iter().for_each(|heard| self.heard(heard));
                 let _ = done.send(held.then(|| self.membership.revision()));
@@ -288,21 +288,21 @@
 
     fn hear(&mut self, source: SourceId, list: &wire::ServerList, fingerprint: Option<u64>) -> Known {
         let held = self.membership.held().is_some();
-        match self.membership.hear_text(self.book.clock.now_ms(), source, list, fingerprint) {
-            Ok(Heard::AskWhole) => return None,
+        match self.membership.apply_version_from_text(self.book.clock.now_ms(), source, list, fingerprint) {
+            Ok(ListUpdate::WholeNeeded) => return None,
             Ok(heard) => self.heard(heard),
             Err(cause) => warn!(%cause, source = source.name(), version = list.version, "list refused"),
         }
         if let Some(now) = self.membership.held().filter(|_| !held) {
-            warn!(source = now.source.name(), why = %now.why, "list held until another word says the same");
+            warn!(source = now.source.name(), why = %now.reason, "list held until another word says the same");
         }
-        self.membership.known(source)
+        self.membership.known_version(source)
     }
 
     /// What the list came to is told to the decisions, kept for the next start, and asked after.
-    fn heard(&mut self, heard: Heard) {
+    fn heard(&mut self, heard: ListUpdate) {
         let now_ms = self.book.clock.now_ms();
-        if let Heard::Listed { kind, rows } = heard {
+        if let ListUpdate::Listed { kind, rows } = heard {
             info!(revision = self.membership.revision(), ?kind, rows = rows.len(), "list taken");
             if let Some(desk) = &self.desk {
                 desk.borrow_mut().listed(kind, &rows);
@@ -310,8 +310,8 @@
             self.handle(Input::Listed { kind, rows });
             self.saves.send_replace(self.membership.save(now_ms, self.state.steady.now_ms()));
         }
-        let asks = self.membership.asks(now_ms);
-        self.wakes = self.membership.wakes_ms(now_ms).map(|at| Instant::now() + duration(at - now_ms));
+        let asks = self.membership.due_probes(now_ms);
+        self.wakes = self.membership.next_wake_ms(now_ms).map(|at| Instant::now() + duration(at - now_ms));
         asks.into_iter().for_each(|worker| self.look(worker));
     }
 
@@ -352,7 +352,7 @@
         };
         if let Some(worker) = self.book.worker(completion, seq).cloned() {
             let heard = self.membership.observe(self.book.clock.now_ms(), &worker, there);
-            if matches!(heard, Heard::Listed { .. }) {
+            if matches!(heard, ListUpdate::Listed { .. }) {
                 self.heard(heard);
             }
         }
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -147,7 +147,7 @@
             refuse(format!("'log': {why}"));
             continue;
         }
-        if !applied.same {
+        if !applied.unchanged {
             let (settings, rows) = (&applied.settings, applied.settings.workload_rows.clone());
             let workloads = applied.decisions.workloads.clone();
             // The decisions first: no request may be told to them by a row that they don't have.
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -6,7 +6,7 @@
 use hyper::Method;
 use paddleproxy_engine as wire;
 use paddleproxy_membership::backoff::Backoff;
-use paddleproxy_membership::{Saved, SourceId};
+use paddleproxy_membership::{SavedList, SourceId};
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep, Instant};
@@ -59,7 +59,7 @@
         match poll(&settings, &engines, after.filter(|_| !whole), wait && after.is_some() && !whole).await {
             Ok(list) => {
                 let (next, answer) = oneshot::channel();
-                backoff.answered();
+                backoff.reset();
                 let told = Told::List { source: SourceId::Service, list, fingerprint: None, next };
                 if core.send(told).await.is_err() {
                     return;
@@ -75,7 +75,7 @@
                         return;
                     }
                 } else {
-                    sleep(duration(backoff.failed_ms())).await;
+                    sleep(duration(backoff.next_delay_ms())).await;
                 }
             }
         }
@@ -108,7 +108,7 @@
 }
 
 /// The list of an earlier run, if there is a readable one.
-pub fn saved(dir: &Path) -> Option<Saved> {
+pub fn saved(dir: &Path) -> Option<SavedList> {
     let bytes = std::fs::read(dir.join(FILE)).ok()?;
     match serde_json::from_slice(&bytes) {
         Ok(saved) => Some(saved),
@@ -120,7 +120,7 @@
 }
 
 /// Writes each list that the core gives out, the newest at a time, whole or not at all.
-pub async fn save(dir: PathBuf, mut lists: watch::Receiver<Option<Saved>>) {
+pub async fn save(dir: PathBuf, mut lists: watch::Receiver<Option<SavedList>>) {
     while lists.changed().await.is_ok() {
         let Some(list) = lists.borrow_and_update().clone() else { continue };
         let dir = dir.clone();
@@ -131,6 +131,6 @@
     }
 }
 
-fn write(dir: &Path, list: &Saved) -> std::io::Result<()> {
+fn write(dir: &Path, list: &SavedList) -> std::io::Result<()> {
     write_whole(&dir.join(FILE), &serde_json::to_vec(list)?)
 }
--- a/crates/router/src/words.rs
+++ b/crates/router/src/words.rs
@@ -6,7 +6,7 @@
 use paddleproxy::interface::*;
 use paddleproxy_engine as wire;
 use paddleproxy_engine::{Load, StateReference};
-use paddleproxy_membership::{SourceId, Status as ListStatus, Word as ListSays};
+use paddleproxy_membership::{OperatorCommand as ListSays, SourceId, Status as ListStatus};
 use paddleproxy_messages::Answer;
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{Counts, Facts, SocketEnd};
