--- a/crates/bench/src/stores.rs
+++ b/crates/bench/src/stores.rs
@@ -5,7 +5,7 @@
 use anyhow::Result;
 use hdrhistogram::Histogram;
 use paddleproxy_store::format::{Kind, Op};
-use paddleproxy_store::retention::{self, Kept, Text};
+use paddleproxy_store::retention::{self, StoredCacheEntry, Text};
 use paddleproxy_store::store::{Options, Store};
 use paddleproxy_store::{Disk, Handle, Key};
 use serde::Serialize;
@@ -35,8 +35,8 @@
 
 fn kept(number: usize) -> Op {
     let server = format!("north-m{}", number % 100);
-    let value = Kept { tokens: 1234.0 + number as f64, at_ms: 1.7e12, start: 1 };
-    let key = retention::kept_key(Text::Session(number as u64 * 7919), &server);
+    let value = StoredCacheEntry { tokens: 1234.0 + number as f64, at_ms: 1.7e12, start: 1 };
+    let key = retention::cache_entry_key(Text::Session(number as u64 * 7919), &server);
     Op::Put { key, value: serde_json::to_vec(&value).unwrap_or_default() }
 }
 
@@ -67,8 +67,12 @@
     let open_ms = began.elapsed().as_secs_f64() * 1e3;
     let starts = (0..100).map(|number| (format!("north-m{number}"), 1)).collect();
     let began = Instant::now();
-    let believed =
-        retention::believe(1.7e12, &retention::TRUST, &starts, retention::stored(store.of(Kind::Kept)));
+    let believed = retention::recover_cache_entries(
+        1.7e12,
+        &retention::CACHE_RECOVERY_LIMITS,
+        &starts,
+        retention::stored_cache_entries(store.entries_of(Kind::Kept)),
+    );
     let weigh_ms = began.elapsed().as_secs_f64() * 1e3;
     anyhow::ensure!(store.len() == entries && !believed.is_empty(), "the store lost entries");
     Ok(StoreCost { entries, behind_per_s, log_mib, compacted_mib, compact_ms, open_ms, weigh_ms })
@@ -88,7 +92,7 @@
             for number in 0..writes / at_once {
                 let began = Instant::now();
                 let key = Key::new(Kind::Tokened, format!("app\0{task}-{number}"));
-                let acknowledged = handle.durable(vec![Op::Put { key, value: vec![b'1'; 60] }])?;
+                let acknowledged = handle.write_durable(vec![Op::Put { key, value: vec![b'1'; 60] }])?;
                 acknowledged.await?.map_err(anyhow::Error::msg)?;
                 took.push(began.elapsed().as_micros() as u64);
             }
--- a/crates/cli/src/stores.rs
+++ b/crates/cli/src/stores.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result};
 use paddleproxy_store::format::Kind;
 use paddleproxy_store::recovery::Recovered;
-use paddleproxy_store::store::{look, Options, Store};
+use paddleproxy_store::store::{inspect, Options, Store};
 use paddleproxy_store::{retention, Disk, Key};
 use serde_json::json;
 
@@ -13,7 +13,7 @@
 
 pub fn run(what: StoreWord, dir: &Path, as_json: bool) -> Result<bool> {
     anyhow::ensure!(dir.is_dir(), "{} is no directory", dir.display());
-    let found = look(&mut Disk::look(dir))?;
+    let found = inspect(&mut Disk::open_read_only(dir))?;
     match what {
         StoreWord::Check => Ok(check(&found, as_json)),
         StoreWord::Dump => {
@@ -90,8 +90,8 @@
 }
 
 fn name(key: &Key) -> String {
-    let kept = retention::kept_of(&key.bytes).filter(|_| key.kind == Kind::Kept);
-    let tokened = retention::tokened_of(&key.bytes).filter(|_| key.kind == Kind::Tokened);
+    let kept = retention::parse_cache_entry_key(&key.bytes).filter(|_| key.kind == Kind::Kept);
+    let tokened = retention::parse_idempotency_key(&key.bytes).filter(|_| key.kind == Kind::Tokened);
     match (kept, tokened) {
         (Some((text, server)), _) => format!("{text:?}@{server}"),
         (_, Some((customer, key))) => format!("{customer}/{key}"),
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -242,7 +242,7 @@
     admission: Admission,
     saved: Option<SavedList>,
     /// What its store holds of kept texts.
-    kept: BTreeMap<(Text, WorkerId), retention::Kept>,
+    kept: BTreeMap<(Text, WorkerId), retention::StoredCacheEntry>,
     next: u32,
     asked: BTreeMap<CompletionId, Asked>,
     /// Dispatches that are out, and all of open completions, by completion and number.
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -44,8 +44,13 @@
         let starts = node.membership.starts();
         let names: Vec<&String> = starts.keys().collect();
         let entries = node.kept.iter().map(|((text, server), kept)| (*text, &*server.0, kept.clone()));
-        let rows = retention::believe(self.now_ms + late_ms, &retention::TRUST, &starts, entries);
-        let lies = |mut row: retention::Believed| {
+        let rows = retention::recover_cache_entries(
+            self.now_ms + late_ms,
+            &retention::CACHE_RECOVERY_LIMITS,
+            &starts,
+            entries,
+        );
+        let lies = |mut row: retention::RecoveredCacheEntry| {
             if self.options.memory == Memory::Lies {
                 let at = names.iter().position(|name| ***name == *row.server.0).unwrap_or(0);
                 row.server = WorkerId(Arc::from(names[(at + 1) % names.len()].as_str()));
@@ -232,7 +237,7 @@
                 let node = &mut self.routers[router];
                 if let Some(start) = node.membership.start(&worker).filter(|_| remembers) {
                     for (text, tokens) in retention::texts(session, tokens, prefix) {
-                        let kept = retention::Kept { tokens, at_ms, start };
+                        let kept = retention::StoredCacheEntry { tokens, at_ms, start };
                         node.kept.insert((text, worker.clone()), kept);
                     }
                 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -41,7 +41,12 @@
     /// What of it may be believed, given the processes that run now.
     pub fn believed(&self, now_ms: f64, starts: &std::collections::BTreeMap<String, u64>) -> Vec<Kept> {
         let entries = self.kept.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
-        let rows = retention::believe(now_ms, &retention::TRUST, starts, retention::stored(entries));
+        let rows = retention::recover_cache_entries(
+            now_ms,
+            &retention::CACHE_RECOVERY_LIMITS,
+            starts,
+            retention::stored_cache_entries(entries),
+        );
         rows.into_iter().map(Kept::from).collect()
     }
 }
@@ -87,14 +92,14 @@
         }
         let now_ms = steady.now_ms();
         let owned = |(key, value): (&[u8], &[u8])| (key.to_vec(), value.to_vec());
-        let kept = store.of(Kind::Kept).map(owned).collect();
-        let tokened = retention::tokened(now_ms, store.of(Kind::Tokened));
+        let kept = store.entries_of(Kind::Kept).map(owned).collect();
+        let tokened = retention::live_idempotency_records(now_ms, store.entries_of(Kind::Tokened));
         let tokened =
             tokened.into_iter().map(|(customer, key, wish, left)| (customer.into(), key.into(), wish, left));
         let left = Left { kept, tokened: tokened.collect() };
         match Handle::start(store) {
             Ok((handle, thread)) => {
-                handle.sweep(now_ms);
+                handle.remove_expired(now_ms);
                 Ok((State { handle: RefCell::new(Some((handle, thread))), ..none() }, left))
             }
             Err(cause) => {
@@ -105,7 +110,7 @@
     }
 
     fn behind(&self, ops: Vec<Op>) {
-        if self.handle.borrow().as_ref().is_some_and(|(handle, _)| !handle.behind(ops)) {
+        if self.handle.borrow().as_ref().is_some_and(|(handle, _)| !handle.write_later(ops)) {
             self.skipped.set(self.skipped.get() + 1);
         }
     }
@@ -121,18 +126,20 @@
     ) {
         let at_ms = self.steady.now_ms();
         let op = |(text, tokens)| {
-            let value = serde_json::to_vec(&retention::Kept { tokens, at_ms, start }).unwrap_or_default();
-            Op::Put { key: retention::kept_key(text, &worker.0), value }
+            let value =
+                serde_json::to_vec(&retention::StoredCacheEntry { tokens, at_ms, start }).unwrap_or_default();
+            Op::Put { key: retention::cache_entry_key(text, &worker.0), value }
         };
         self.behind(retention::texts(session, tokens, prefix).map(op).collect());
     }
 
     /// Work with a key is about to be sent; on the disk when this returns true.
     pub async fn remember(&self, customer: &str, key: &str, wish: u64, window_ms: f64) -> bool {
-        let work = retention::Tokened { wish, until_ms: self.steady.now_ms() + window_ms };
+        let work =
+            retention::IdempotencyRecord { request_hash: wish, until_ms: self.steady.now_ms() + window_ms };
         let value = serde_json::to_vec(&work).unwrap_or_default();
-        let op = Op::Put { key: retention::tokened_key(customer, key), value };
-        let done = self.handle.borrow().as_ref().and_then(|(handle, _)| handle.durable(vec![op]).ok());
+        let op = Op::Put { key: retention::idempotency_key(customer, key), value };
+        let done = self.handle.borrow().as_ref().and_then(|(handle, _)| handle.write_durable(vec![op]).ok());
         let kept = match done {
             Some(done) => matches!(timeout(DISK_WITHIN, done).await, Ok(Ok(Ok(())))),
             None => false,
@@ -146,12 +153,12 @@
 
     /// It never ran: its key is as new.
     pub fn forget(&self, customer: &str, key: &str) {
-        self.behind(vec![Op::Delete { key: retention::tokened_key(customer, key) }]);
+        self.behind(vec![Op::Delete { key: retention::idempotency_key(customer, key) }]);
     }
 
     /// Lets go of what is outdated.
     pub fn sweep(&self) {
-        self.handle.borrow().iter().for_each(|(handle, _)| handle.sweep(self.steady.now_ms()));
+        self.handle.borrow().iter().for_each(|(handle, _)| handle.remove_expired(self.steady.now_ms()));
     }
 
     /// Writes what waits and lets go of the directory.
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,6 +1,6 @@
 //! Bytes of segments. All numbers are little-endian.
 //!
-//! Head of a segment, 32 bytes: magic `PPSTORE\n` (8), format version (u16), flags (u16; bit 0: a snapshot), router
+//! SegmentHeader of a segment, 32 bytes: magic `PPSTORE\n` (8), format version (u16), flags (u16; bit 0: a snapshot), router
 //! number (u32), segment number (u64), checksum (u32)
 //! over the 24 bytes before it, reserved (u32, zero).
 //!
@@ -90,26 +90,26 @@
 pub const MAGIC: [u8; 8] = *b"PPSTORE\n";
 /// The version that is written, and the oldest that is read.
 pub const VERSION: u16 = 2;
-pub const OLDEST: u16 = 1;
-pub const HEAD_BYTES: usize = 32;
+pub const OLDEST_VERSION: u16 = 1;
+pub const HEADER_BYTES: usize = 32;
 pub const FRAME_BYTES: usize = 8;
 const INNER_BYTES: usize = 12;
 /// Longest record, frame left out.
-pub const RECORD_MAX: usize = 64 << 20;
-pub const KEY_MAX: usize = u16::MAX as usize;
+pub const RECORD_MAX_BYTES: usize = 64 << 20;
+pub const KEY_MAX_BYTES: usize = u16::MAX as usize;
 
-/// Head of a segment.
+/// SegmentHeader of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct SegmentHeader {
     pub version: u16,
     pub snapshot: bool,
     pub router: u32,
     pub number: u64,
 }
 
-impl Head {
-    pub fn encode(&self) -> [u8; HEAD_BYTES] {
-        let mut bytes = [0; HEAD_BYTES];
+impl SegmentHeader {
+    pub fn encode(&self) -> [u8; HEADER_BYTES] {
+        let mut bytes = [0; HEADER_BYTES];
         bytes[..8].copy_from_slice(&MAGIC);
         bytes[8..10].copy_from_slice(&self.version.to_le_bytes());
         bytes[10..12].copy_from_slice(&u16::from(self.snapshot).to_le_bytes());
@@ -124,8 +124,8 @@
     ///
     /// # Errors
     /// What is wrong with it.
-    pub fn decode(bytes: &[u8]) -> Result<Head, String> {
-        let bytes = bytes.get(..HEAD_BYTES).ok_or("shorter than its head")?;
+    pub fn decode(bytes: &[u8]) -> Result<SegmentHeader, String> {
+        let bytes = bytes.get(..HEADER_BYTES).ok_or("shorter than its head")?;
         if bytes[..8] != MAGIC {
             return Err("not a segment of a store".into());
         }
@@ -133,10 +133,10 @@
             return Err("the checksum of its head does not fit".into());
         }
         let version = u16::from_le_bytes([bytes[8], bytes[9]]);
-        if !(OLDEST..=VERSION).contains(&version) {
-            return Err(format!("format version {version}; {OLDEST} to {VERSION} can be read"));
+        if !(OLDEST_VERSION..=VERSION).contains(&version) {
+            return Err(format!("format version {version}; {OLDEST_VERSION} to {VERSION} can be read"));
         }
-        Ok(Head {
+        Ok(SegmentHeader {
             version,
             snapshot: bytes[10] & 1 == 1,
             router: number32(bytes, 12),
@@ -162,7 +162,7 @@
         Op::SnapshotEnds => (3, &none, &[]),
     };
     let length = INNER_BYTES + key.bytes.len() + value.len();
-    if length > RECORD_MAX || key.bytes.len() > KEY_MAX {
+    if length > RECORD_MAX_BYTES || key.bytes.len() > KEY_MAX_BYTES {
         return false;
     }
     let begin = out.len();
@@ -198,7 +198,7 @@
         return Decoded::Short;
     }
     let length = number32(bytes, 0) as usize;
-    if !(INNER_BYTES..=RECORD_MAX).contains(&length) {
+    if !(INNER_BYTES..=RECORD_MAX_BYTES).contains(&length) {
         return Decoded::Wrong(format!("a record of {length} bytes"));
     }
     let Some(inner) = bytes.get(FRAME_BYTES..FRAME_BYTES + length) else { return Decoded::Short };
--- a/crates/store/src/format/tests.rs
+++ b/crates/store/src/format/tests.rs
@@ -17,12 +17,12 @@
     for cut in 1..bytes.len() {
         assert_eq!(decode(&bytes[..cut]), Decoded::Short, "cut at {cut}");
     }
-    let head = Head { version: VERSION, snapshot: true, router: 3, number: 9 };
+    let head = SegmentHeader { version: VERSION, snapshot: true, router: 3, number: 9 };
     let bytes = head.encode();
-    assert_eq!(Head::decode(&bytes), Ok(head));
+    assert_eq!(SegmentHeader::decode(&bytes), Ok(head));
     for bit in 0..bytes.len() * 8 {
         let mut flipped = bytes;
         flipped[bit / 8] ^= 1 << (bit % 8);
-        assert!(Head::decode(&flipped).is_err(), "bit {bit}");
+        assert!(SegmentHeader::decode(&flipped).is_err(), "bit {bit}");
     }
 }
--- a/crates/store/src/medium.rs
+++ b/crates/store/src/medium.rs
@@ -18,11 +18,11 @@
     /// What was appended is on the disk when this returns.
     fn sync(&mut self, name: &str) -> io::Result<()>;
     /// Names that were made, changed and removed are on the disk when this returns.
-    fn sync_names(&mut self) -> io::Result<()>;
+    fn sync_dir(&mut self) -> io::Result<()>;
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
     /// Cuts a file to so many bytes.
-    fn cut(&mut self, name: &str, bytes: u64) -> io::Result<()>;
+    fn truncate(&mut self, name: &str, bytes: u64) -> io::Result<()>;
 }
 
 /// A directory of the disk, held against other processes.
@@ -49,7 +49,7 @@
     }
 
     /// For looking only: no lock is taken.
-    pub fn look(dir: &Path) -> Disk {
+    pub fn open_read_only(dir: &Path) -> Disk {
         Disk { dir: dir.to_owned(), open: None, _lock: None }
     }
 
@@ -95,7 +95,7 @@
         self.file(name)?.sync_data()
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_dir(&mut self) -> io::Result<()> {
         File::open(&self.dir)?.sync_all()
     }
 
@@ -109,7 +109,7 @@
         std::fs::remove_file(self.dir.join(name))
     }
 
-    fn cut(&mut self, name: &str, bytes: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, bytes: u64) -> io::Result<()> {
         self.open = None;
         let file = OpenOptions::new().write(true).open(self.dir.join(name))?;
         file.set_len(bytes)?;
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     /// Calls until the power goes; all calls after it fail.
-    pub power_after: Option<u64>,
+    pub power_loss_after: Option<u64>,
     /// Calls until one write finds the disk full, after part of it was written.
     pub full_after: Option<u64>,
     /// Calls until one sync fails.
@@ -54,7 +54,7 @@
         Memory::default()
     }
 
-    pub fn fail(&self, faults: Faults) {
+    pub fn set_faults(&self, faults: Faults) {
         let mut state = self.0.borrow_mut();
         (state.faults, state.calls) = (faults, 0);
     }
@@ -95,7 +95,7 @@
     }
 
     /// Changes the bytes of a file by hand.
-    pub fn change(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    pub fn modify(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.0.borrow_mut();
         if let Some(file) = state.files.get_mut(name) {
             let mut bytes = file.bytes();
@@ -114,7 +114,7 @@
     fn call(&self) -> io::Result<()> {
         let mut state = self.0.borrow_mut();
         state.calls += 1;
-        if state.faults.power_after.is_some_and(|after| state.calls > after) {
+        if state.faults.power_loss_after.is_some_and(|after| state.calls > after) {
             return Err(io::Error::other("no power"));
         }
         Ok(())
@@ -176,7 +176,7 @@
         })
     }
 
-    fn sync_names(&mut self) -> io::Result<()> {
+    fn sync_dir(&mut self) -> io::Result<()> {
         self.call()?;
         let mut state = self.0.borrow_mut();
         state.before.clear();
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    fn cut(&mut self, name: &str, bytes: u64) -> io::Result<()> {
+    fn truncate(&mut self, name: &str, bytes: u64) -> io::Result<()> {
         self.call()?;
         self.on(name, |file| {
             let mut whole = file.bytes();
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::format::{decode, Decoded, Head, Key, Op, HEAD_BYTES};
+use crate::format::{decode, Decoded, Key, Op, SegmentHeader, HEADER_BYTES};
 
 /// A segment as it was read.
 #[derive(Clone, Debug)]
@@ -39,7 +39,7 @@
     /// Segments whose content the state is made of, with how many of their bytes are good.
     pub used: Vec<(String, u64)>,
     /// Segments that a snapshot replaced, and files without a name of their own: they may go.
-    pub spare: Vec<String>,
+    pub obsolete: Vec<String>,
     /// Segments that could not be used, or only in part.
     pub findings: Vec<Finding>,
     /// Bytes of all used segments.
@@ -53,13 +53,13 @@
     }
 }
 
-pub const SUFFIX: &str = ".log";
-pub const UNFINISHED: &str = ".new";
-pub const ASIDE: &str = ".broken";
+pub const SEGMENT_SUFFIX: &str = ".log";
+pub const UNFINISHED_SUFFIX: &str = ".new";
+pub const DAMAGED_SUFFIX: &str = ".broken";
 
 /// The name of a segment.
-pub fn name(number: u64) -> String {
-    format!("{number:016x}{SUFFIX}")
+pub fn segment_name(number: u64) -> String {
+    format!("{number:016x}{SEGMENT_SUFFIX}")
 }
 
 struct Read {
@@ -72,7 +72,7 @@
 
 /// Reads the records of one segment as long as they fit, numbered on from `seq`; None: from whatever the first says.
 fn read(bytes: &[u8], mut seq: Option<u64>) -> Read {
-    let (mut ops, mut at, mut wrong, mut ended) = (Vec::new(), HEAD_BYTES, None, false);
+    let (mut ops, mut at, mut wrong, mut ended) = (Vec::new(), HEADER_BYTES, None, false);
     while at < bytes.len() && !ended {
         match decode(&bytes[at..]) {
             Decoded::Record { seq: found, op, bytes } => {
@@ -104,15 +104,16 @@
     let mut heads = Vec::new();
     segments.sort_by(|a, b| a.name.cmp(&b.name));
     for segment in segments {
-        if segment.name.ends_with(UNFINISHED) {
+        if segment.name.ends_with(UNFINISHED_SUFFIX) {
             // A snapshot that never got its name; what it was made of is still there.
-            all.spare.push(segment.name);
+            all.obsolete.push(segment.name);
             continue;
         }
-        let number = segment.name.strip_suffix(SUFFIX).and_then(|name| u64::from_str_radix(name, 16).ok());
+        let number =
+            segment.name.strip_suffix(SEGMENT_SUFFIX).and_then(|name| u64::from_str_radix(name, 16).ok());
         let Some(number) = number else { continue };
         all.next_segment = all.next_segment.max(number + 1);
-        heads.push((number, Head::decode(&segment.bytes), segment));
+        heads.push((number, SegmentHeader::decode(&segment.bytes), segment));
     }
     heads.sort_by_key(|(number, _, _)| *number);
     let last = heads.last().map(|(number, _, _)| *number);
@@ -143,14 +144,14 @@
         for (op, bytes) in read.ops {
             apply(&mut all.entries, op, bytes);
         }
-        all.used.push((name(number), read.good));
+        all.used.push((segment_name(number), read.good));
         all.bytes += read.good;
     }
     let mut broken = false;
     for (number, head, segment) in &heads {
         let before = from.is_some_and(|from| *number < from);
         if before {
-            all.spare.push(segment.name.clone());
+            all.obsolete.push(segment.name.clone());
             continue;
         }
         if Some(*number) == from {
@@ -166,7 +167,7 @@
             }
             Err(what) => {
                 // The last one may have lost its head with the power: nothing in it was acknowledged then.
-                let torn = Some(*number) == last && segment.bytes.len() <= HEAD_BYTES
+                let torn = Some(*number) == last && segment.bytes.len() <= HEADER_BYTES
                     || Some(*number) == last && segment.bytes.iter().all(|byte| *byte == 0);
                 all.findings.push(finding(segment, 0, what, torn));
                 broken = true;
@@ -188,7 +189,7 @@
         // Without a snapshot the log must begin at its beginning.
         let first_is_late = start.is_none() && !read.ops.is_empty() && read.next_seq != read.ops.len() as u64;
         if first_is_late {
-            all.findings.push(finding(segment, HEAD_BYTES as u64, "the log before it is not there", false));
+            all.findings.push(finding(segment, HEADER_BYTES as u64, "the log before it is not there", false));
             broken = true;
             continue;
         }
--- a/crates/store/src/retention.rs
+++ b/crates/store/src/retention.rs
@@ -9,7 +9,7 @@
 
 /// What a server keeps of a text, as it is stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct StoredCacheEntry {
     /// Tokens that it kept.
     pub tokens: f64,
     /// Wall clock at which it was seen, in ms since 1970.
@@ -20,9 +20,10 @@
 
 /// A tokened completion that may have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Tokened {
+pub struct IdempotencyRecord {
     /// What it asked for, as it is compared.
-    pub wish: u64,
+    #[serde(rename = "wish")]
+    pub request_hash: u64,
     /// Until when another try could have an effect anew, in ms since 1970.
     pub until_ms: f64,
 }
@@ -35,7 +36,7 @@
 }
 
 /// Key of what a server keeps of a text: 1 byte for its kind, 8 for its number, then the server's name.
-pub fn kept_key(text: Text, server: &str) -> Key {
+pub fn cache_entry_key(text: Text, server: &str) -> Key {
     let (kind, number) = match text {
         Text::Session(number) => (1u8, number),
         Text::Prefix(number) => (2, number),
@@ -47,7 +48,7 @@
 }
 
 /// The other way round; None for what no version of this wrote.
-pub fn kept_of(bytes: &[u8]) -> Option<(Text, &str)> {
+pub fn parse_cache_entry_key(bytes: &[u8]) -> Option<(Text, &str)> {
     let number = u64::from_le_bytes(bytes.get(1..9)?.try_into().ok()?);
     let server = std::str::from_utf8(bytes.get(9..)?).ok()?;
     match bytes.first()? {
@@ -59,7 +60,7 @@
 
 /// What a restart makes of the kept texts that it reads.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Believed {
+pub struct RecoveredCacheEntry {
     pub text: Text,
     pub server: WorkerId,
     pub tokens: f64,
@@ -67,8 +68,8 @@
     pub age_ms: f64,
 }
 
-impl From<Believed> for interface::Kept {
-    fn from(row: Believed) -> Self {
+impl From<RecoveredCacheEntry> for interface::Kept {
+    fn from(row: RecoveredCacheEntry) -> Self {
         let (session, prefix) = match row.text {
             Text::Session(number) => (Some(SessionId(number)), None),
             Text::Prefix(number) => (None, Some(PrefixId(number))),
@@ -88,50 +89,51 @@
 }
 
 /// Kept texts as they stand in a store; what no version of this wrote is passed over.
-pub fn stored<'a>(
+pub fn stored_cache_entries<'a>(
     entries: impl Iterator<Item = (&'a [u8], &'a [u8])>,
-) -> impl Iterator<Item = (Text, &'a str, Kept)> {
+) -> impl Iterator<Item = (Text, &'a str, StoredCacheEntry)> {
     entries.filter_map(|(key, value)| {
-        let (text, server) = kept_of(key)?;
+        let (text, server) = parse_cache_entry_key(key)?;
         Some((text, server, serde_json::from_slice(value).ok()?))
     })
 }
 
 /// How far a restart believes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trust {
+pub struct CacheRecoveryLimits {
     /// An entry older than this is void, in ms.
-    pub life_ms: f64,
+    pub max_age_ms: f64,
     /// Time in which half of an entry's weight goes, in ms: texts are pushed out while nobody looks.
-    pub half_ms: f64,
+    pub half_life_ms: f64,
     /// Entries that are handed over at most, the newest first.
-    pub most: usize,
+    pub max_entries: usize,
 }
 
 /// What a router's restart believes: no longer than the decisions' own table, half after half of that.
-pub const TRUST: Trust = Trust { life_ms: 120_000.0, half_ms: 60_000.0, most: 1 << 16 };
+pub const CACHE_RECOVERY_LIMITS: CacheRecoveryLimits =
+    CacheRecoveryLimits { max_age_ms: 120_000.0, half_life_ms: 60_000.0, max_entries: 1 << 16 };
 
 /// Key of tokened work: the customer's name, a zero, the client's key.
-pub fn tokened_key(customer: &str, key: &str) -> Key {
+pub fn idempotency_key(customer: &str, key: &str) -> Key {
     Key::new(Kind::Tokened, [customer.as_bytes(), &[0], key.as_bytes()].concat())
 }
 
 /// The other way round.
-pub fn tokened_of(bytes: &[u8]) -> Option<(&str, &str)> {
+pub fn parse_idempotency_key(bytes: &[u8]) -> Option<(&str, &str)> {
     std::str::from_utf8(bytes).ok()?.split_once('\0')
 }
 
-/// Tokened work of an earlier run that still matters: customer, key, what it asked for, and how long, in ms.
-pub fn tokened<'a>(
+/// IdempotencyRecord work of an earlier run that still matters: customer, key, what it asked for, and how long, in ms.
+pub fn live_idempotency_records<'a>(
     now_ms: f64,
     entries: impl Iterator<Item = (&'a [u8], &'a [u8])>,
 ) -> Vec<(&'a str, &'a str, u64, f64)> {
     let row = |(key, value): (&'a [u8], &'a [u8])| {
-        let (customer, key) = tokened_of(key)?;
-        let work: Tokened = serde_json::from_slice(value).ok()?;
+        let (customer, key) = parse_idempotency_key(key)?;
+        let work: IdempotencyRecord = serde_json::from_slice(value).ok()?;
         // By a clock that went back it matters longer, never less long.
         let left_ms = work.until_ms - now_ms;
-        (left_ms > 0.0 && left_ms.is_finite()).then_some((customer, key, work.wish, left_ms))
+        (left_ms > 0.0 && left_ms.is_finite()).then_some((customer, key, work.request_hash, left_ms))
     };
     entries.filter_map(row).collect()
 }
@@ -139,21 +141,23 @@
 /// Weighs kept texts by their age. `starts` are the processes that run now, by server. Guards against a table of last
 /// month and against servers that started anew; one that lies is found by the first answer that finds less kept, which
 /// voids the rest of that server as a flush does. Harm: what was kept long ago and still is, is read again.
-pub fn believe<'a>(
+pub fn recover_cache_entries<'a>(
     now_ms: f64,
-    trust: &Trust,
+    trust: &CacheRecoveryLimits,
     starts: &BTreeMap<String, u64>,
-    entries: impl Iterator<Item = (Text, &'a str, Kept)>,
-) -> Vec<Believed> {
-    let mut all: Vec<Believed> = entries
+    entries: impl Iterator<Item = (Text, &'a str, StoredCacheEntry)>,
+) -> Vec<RecoveredCacheEntry> {
+    let mut all: Vec<RecoveredCacheEntry> = entries
         .filter_map(|(text, server, kept)| {
             // A clock that went back makes nothing younger than just now.
             let age_ms = (now_ms - kept.at_ms).max(0.0);
             let same = starts.get(server) == Some(&kept.start);
-            let good =
-                kept.tokens.is_finite() && kept.tokens > 0.0 && age_ms.is_finite() && age_ms < trust.life_ms;
-            let tokens = kept.tokens * 0.5f64.powf(age_ms / trust.half_ms.max(1.0));
-            (same && good && tokens >= 1.0).then(|| Believed {
+            let good = kept.tokens.is_finite()
+                && kept.tokens > 0.0
+                && age_ms.is_finite()
+                && age_ms < trust.max_age_ms;
+            let tokens = kept.tokens * 0.5f64.powf(age_ms / trust.half_life_ms.max(1.0));
+            (same && good && tokens >= 1.0).then(|| RecoveredCacheEntry {
                 text,
                 server: WorkerId(server.into()),
                 tokens,
@@ -164,21 +168,22 @@
     all.sort_by(|a, b| {
         a.age_ms.total_cmp(&b.age_ms).then_with(|| (a.text, &a.server).cmp(&(b.text, &b.server)))
     });
-    all.truncate(trust.most);
+    all.truncate(trust.max_entries);
     all
 }
 
 /// Entries that are not worth their bytes any more: kept texts beyond their life, tokened work beyond its window.
-pub fn outdated<'a>(
+pub fn expired<'a>(
     now_ms: f64,
-    trust: &Trust,
+    trust: &CacheRecoveryLimits,
     entries: impl Iterator<Item = (&'a Key, &'a [u8])>,
 ) -> Vec<Op> {
     let old = |key: &Key, value: &[u8]| match key.kind {
-        Kind::Kept => {
-            serde_json::from_slice::<Kept>(value).map_or(true, |kept| now_ms - kept.at_ms > trust.life_ms)
+        Kind::Kept => serde_json::from_slice::<StoredCacheEntry>(value)
+            .map_or(true, |kept| now_ms - kept.at_ms > trust.max_age_ms),
+        Kind::Tokened => {
+            serde_json::from_slice::<IdempotencyRecord>(value).map_or(true, |work| now_ms > work.until_ms)
         }
-        Kind::Tokened => serde_json::from_slice::<Tokened>(value).map_or(true, |work| now_ms > work.until_ms),
         // Whoever wrote the others decides when they go.
         _ => false,
     };
--- a/crates/store/src/retention/tests.rs
+++ b/crates/store/src/retention/tests.rs
@@ -2,11 +2,12 @@
 
 use super::*;
 
-const TRUST: Trust = Trust { life_ms: 600_000.0, half_ms: 120_000.0, most: 3 };
+const CACHE_RECOVERY_LIMITS: CacheRecoveryLimits =
+    CacheRecoveryLimits { max_age_ms: 600_000.0, half_life_ms: 120_000.0, max_entries: 3 };
 
 fn entry(text: Text, server: &str, tokens: f64, at_ms: f64, start: u64) -> (Box<[u8]>, Vec<u8>) {
-    let value = serde_json::to_vec(&Kept { tokens, at_ms, start }).unwrap();
-    (kept_key(text, server).bytes, value)
+    let value = serde_json::to_vec(&StoredCacheEntry { tokens, at_ms, start }).unwrap();
+    (cache_entry_key(text, server).bytes, value)
 }
 
 #[test]
@@ -24,8 +25,12 @@
         (Box::from(&b"rubbish"[..]), b"{".to_vec()),
     ];
     let starts = [("a".to_owned(), 5), ("b".to_owned(), 6)].into();
-    let believed =
-        believe(now_ms, &TRUST, &starts, stored(entries.iter().map(|(key, value)| (&**key, &**value))));
+    let believed = recover_cache_entries(
+        now_ms,
+        &CACHE_RECOVERY_LIMITS,
+        &starts,
+        stored_cache_entries(entries.iter().map(|(key, value)| (&**key, &**value))),
+    );
     let seen: Vec<_> = believed.iter().map(|row| (row.text, row.tokens.round(), row.age_ms)).collect();
     let wanted = [
         (Text::Session(1), 800.0, 0.0),
@@ -37,12 +42,13 @@
 
 #[test]
 fn what_is_over_goes() {
-    let tokened = |until_ms| serde_json::to_vec(&Tokened { wish: 7, until_ms }).unwrap();
+    let tokened = |until_ms| serde_json::to_vec(&IdempotencyRecord { request_hash: 7, until_ms }).unwrap();
     let rows = [
         (Key::new(Kind::Tokened, b"old"), tokened(99.0)),
         (Key::new(Kind::Tokened, b"new"), tokened(101.0)),
         (Key::new(Kind::Word, b"a"), b"anything".to_vec()),
     ];
-    let gone = outdated(100.0, &TRUST, rows.iter().map(|(key, value)| (key, value.as_slice())));
+    let gone =
+        expired(100.0, &CACHE_RECOVERY_LIMITS, rows.iter().map(|(key, value)| (key, value.as_slice())));
     assert_eq!(gone, [Op::Delete { key: rows[0].0.clone() }]);
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -3,9 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use crate::format::{encode, Head, Key, Kind, Op, RECORD_MAX, VERSION};
+use crate::format::{encode, Key, Kind, Op, SegmentHeader, RECORD_MAX_BYTES, VERSION};
 use crate::medium::Medium;
-use crate::recovery::{self, name, Entry, Finding, Recovered, Segment, ASIDE, UNFINISHED};
+use crate::recovery::{
+    self, segment_name, Entry, Finding, Recovered, Segment, DAMAGED_SUFFIX, UNFINISHED_SUFFIX,
+};
 use crate::Error;
 
 #[derive(Clone, Copy, Debug)]
@@ -58,7 +60,7 @@
 fn read_all<M: Medium>(medium: &mut M) -> Result<Vec<Segment>, Error> {
     let mut segments = Vec::new();
     for name in medium.names().map_err(|cause| Error::io("listing the store", cause))? {
-        if name.ends_with(recovery::SUFFIX) || name.ends_with(UNFINISHED) {
+        if name.ends_with(recovery::SEGMENT_SUFFIX) || name.ends_with(UNFINISHED_SUFFIX) {
             let bytes = medium.read(&name).map_err(|cause| Error::io(&format!("reading {name}"), cause))?;
             segments.push(Segment { name, bytes });
         }
@@ -70,7 +72,7 @@
 ///
 /// # Errors
 /// What the medium says.
-pub fn look<M: Medium>(medium: &mut M) -> Result<Recovered, Error> {
+pub fn inspect<M: Medium>(medium: &mut M) -> Result<Recovered, Error> {
     Ok(recovery::recover(read_all(medium)?))
 }
 
@@ -89,17 +91,17 @@
         for finding in &found.findings {
             let failed = |cause| Error::io(&format!("mending {}", finding.segment), cause);
             match (used.get(&finding.segment), finding.torn) {
-                (Some(good), true) => medium.cut(&finding.segment, *good).map_err(failed)?,
+                (Some(good), true) => medium.truncate(&finding.segment, *good).map_err(failed)?,
                 (Some(good), false) => {
                     // The whole is kept for people; the part that is good goes on.
                     let bytes = medium.read(&finding.segment).map_err(failed)?;
-                    let aside = format!("{}{ASIDE}", finding.segment);
+                    let aside = format!("{}{DAMAGED_SUFFIX}", finding.segment);
                     medium.create(&aside).and_then(|()| medium.append(&aside, &bytes)).map_err(failed)?;
                     medium.sync(&aside).map_err(failed)?;
-                    medium.cut(&finding.segment, *good).map_err(failed)?;
+                    medium.truncate(&finding.segment, *good).map_err(failed)?;
                 }
                 (None, _) => {
-                    let aside = format!("{}{ASIDE}", finding.segment);
+                    let aside = format!("{}{DAMAGED_SUFFIX}", finding.segment);
                     medium.rename(&finding.segment, &aside).map_err(failed)?;
                 }
             }
@@ -119,8 +121,11 @@
             torn: false,
             findings: found.findings,
         };
-        for spare in found.spare {
-            store.medium.remove(&spare).map_err(|cause| Error::io(&format!("removing {spare}"), cause))?;
+        for obsolete in found.obsolete {
+            store
+                .medium
+                .remove(&obsolete)
+                .map_err(|cause| Error::io(&format!("removing {obsolete}"), cause))?;
         }
         store.begin_segment()?;
         Ok(store)
@@ -129,14 +134,15 @@
     /// The next segment, on the disk by name before anything in it can be acknowledged.
     fn begin_segment(&mut self) -> Result<(), Error> {
         let number = self.next_segment;
-        let name = name(number);
-        let head = Head { version: VERSION, snapshot: false, router: self.options.router, number }.encode();
+        let name = segment_name(number);
+        let head =
+            SegmentHeader { version: VERSION, snapshot: false, router: self.options.router, number }.encode();
         let medium = &mut self.medium;
         let made = medium
             .create(&name)
             .and_then(|()| medium.append(&name, &head))
             .and_then(|()| medium.sync(&name))
-            .and_then(|()| medium.sync_names());
+            .and_then(|()| medium.sync_dir());
         if let Err(cause) = made {
             self.poisoned = true;
             return Err(Error::io("beginning a segment", cause));
@@ -157,7 +163,7 @@
     }
 
     /// All live entries of a kind, in the order of their keys.
-    pub fn of(&self, kind: Kind) -> impl Iterator<Item = (&[u8], &[u8])> {
+    pub fn entries_of(&self, kind: Kind) -> impl Iterator<Item = (&[u8], &[u8])> {
         let all = self.entries.iter().filter(move |(key, _)| key.kind == kind);
         all.map(|(key, entry)| (&*key.bytes, entry.value.as_slice()))
     }
@@ -188,7 +194,7 @@
             // What a full disk left of the last try must not stand between this one and what is good.
             let name = self.last();
             self.medium
-                .cut(&name, self.segment_bytes)
+                .truncate(&name, self.segment_bytes)
                 .map_err(|cause| Error::io("cutting off a torn write", cause))?;
             self.torn = false;
         }
@@ -206,7 +212,7 @@
                     Op::Delete { key } => key.bytes.len(),
                     Op::SnapshotEnds => 0,
                 };
-                return Err(Error::TooLong { bytes: long, most: RECORD_MAX });
+                return Err(Error::TooLong { bytes: long, most: RECORD_MAX_BYTES });
             }
             sizes.push((bytes.len() - before) as u64);
         }
@@ -268,8 +274,8 @@
     pub fn compact(&mut self) -> Result<(), Error> {
         self.commit()?;
         let number = self.next_segment;
-        let (name, unfinished) = (name(number), format!("{number:016x}{UNFINISHED}"));
-        let head = Head { version: VERSION, snapshot: true, router: self.options.router, number };
+        let (name, unfinished) = (segment_name(number), format!("{number:016x}{UNFINISHED_SUFFIX}"));
+        let head = SegmentHeader { version: VERSION, snapshot: true, router: self.options.router, number };
         let failed = |cause| Error::io("writing a snapshot", cause);
         self.medium.create(&unfinished).map_err(failed)?;
         self.medium.append(&unfinished, &head.encode()).map_err(failed)?;
@@ -288,7 +294,7 @@
         total += bytes.len() as u64;
         self.medium.sync(&unfinished).map_err(failed)?;
         self.medium.rename(&unfinished, &name).map_err(failed)?;
-        self.medium.sync_names().map_err(failed)?;
+        self.medium.sync_dir().map_err(failed)?;
         // From here on the snapshot is the state; what is left of the log before it may go at leisure.
         self.next_segment += 1;
         let old = std::mem::replace(&mut self.segments, vec![name]);
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -8,7 +8,7 @@
 
 use crate::format::Op;
 use crate::medium::Medium;
-use crate::retention::{outdated, TRUST};
+use crate::retention::{expired, CACHE_RECOVERY_LIMITS};
 use crate::store::{Stats, Store};
 use crate::Error;
 
@@ -52,7 +52,7 @@
     }
 
     /// Writes when there is time for it; false where the queue is full or the thread gone, and nothing is written.
-    pub fn behind(&self, ops: Vec<Op>) -> bool {
+    pub fn write_later(&self, ops: Vec<Op>) -> bool {
         self.jobs.try_send(Job::Write { ops, done: None }).is_ok()
     }
 
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// A queue that is full, or a thread that is gone: at once, and nothing is written.
-    pub fn durable(&self, ops: Vec<Op>) -> Result<Acknowledged, Error> {
+    pub fn write_durable(&self, ops: Vec<Op>) -> Result<Acknowledged, Error> {
         let (done, acknowledged) = oneshot::channel();
         match self.jobs.try_send(Job::Write { ops, done: Some(done) }) {
             Ok(()) => Ok(acknowledged),
@@ -72,7 +72,7 @@
     }
 
     /// Lets go of what is outdated at this wall clock, in ms since 1970.
-    pub fn sweep(&self, now_ms: f64) {
+    pub fn remove_expired(&self, now_ms: f64) {
         // A queue that is full has more urgent work; the next sweep does it.
         let _ = self.jobs.try_send(Job::Sweep { now_ms });
     }
@@ -93,7 +93,7 @@
             match job {
                 Job::Stats { stats } => drop(stats.send(store.stats())),
                 Job::Sweep { now_ms } => {
-                    let gone = outdated(now_ms, &TRUST, store.iter());
+                    let gone = expired(now_ms, &CACHE_RECOVERY_LIMITS, store.iter());
                     // What fails here is tried again at the next sweep.
                     let _ = store.write(&gone);
                 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use paddleproxy_store::format::{Key, Kind, Op};
 use paddleproxy_store::memory::{Faults, Memory};
-use paddleproxy_store::store::{look, Options, Store};
+use paddleproxy_store::store::{inspect, Options, Store};
 use paddleproxy_store::{Error, Medium};
 
 type State = BTreeMap<Key, Vec<u8>>;
@@ -15,7 +15,7 @@
 
 fn state<M: Medium>(store: &Store<M>) -> State {
     let kinds = [Kind::List, Kind::Kept, Kind::Tokened, Kind::Word];
-    let of = |kind| store.of(kind).map(move |(key, value)| (Key::new(kind, key), value.to_vec()));
+    let of = |kind| store.entries_of(kind).map(move |(key, value)| (Key::new(kind, key), value.to_vec()));
     kinds.into_iter().flat_map(of).collect()
 }
 
@@ -76,7 +76,7 @@
         let whole = memory.clone().read(name).unwrap().len();
         for cut in 0..whole {
             let copy = memory.copy();
-            copy.change(name, |bytes| bytes.truncate(cut));
+            copy.modify(name, |bytes| bytes.truncate(cut));
             let (mut store, count) = reopened(&copy, &states);
             // It goes on from there, and a second opening finds the same.
             let more = Op::Put { key: Key::new(Kind::Word, b"after"), value: b"cut".to_vec() };
@@ -105,11 +105,11 @@
             let whole = memory.clone().read(&name).unwrap().len();
             for at in 0..whole {
                 let copy = memory.copy();
-                copy.change(&name, |bytes| bytes[at] ^= 1 << (at % 8));
-                let found = look(&mut copy.clone()).unwrap();
+                copy.modify(&name, |bytes| bytes[at] ^= 1 << (at % 8));
+                let found = inspect(&mut copy.clone()).unwrap();
                 let last = found.next_seq as usize == states.len() - 1;
                 assert!(
-                    !found.findings.is_empty() || found.spare.contains(&name),
+                    !found.findings.is_empty() || found.obsolete.contains(&name),
                     "{name}: byte {at} goes unseen"
                 );
                 let store = Store::open(copy.clone(), OPTIONS);
@@ -144,16 +144,16 @@
         let faults = match chance.u8(..4) {
             0 => Faults { full_after: Some(chance.u64(1..60)), ..Faults::default() },
             1 => Faults { sync_fails_after: Some(chance.u64(1..60)), ..Faults::default() },
-            _ => Faults { power_after: Some(chance.u64(1..80)), ..Faults::default() },
+            _ => Faults { power_loss_after: Some(chance.u64(1..80)), ..Faults::default() },
         };
         // Opening itself may be cut off, also twice in a row.
         if chance.u8(..4) == 0 {
-            memory.fail(Faults { power_after: Some(chance.u64(1..12)), ..Faults::default() });
+            memory.set_faults(Faults { power_loss_after: Some(chance.u64(1..12)), ..Faults::default() });
             drop(Store::open(memory.clone(), OPTIONS));
             memory.crash(&mut chance);
             crashes += 1;
         }
-        memory.fail(Faults::default());
+        memory.set_faults(Faults::default());
         let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
         let count = store.stats().next_seq as usize;
         states.append(&mut maybe);
@@ -163,7 +163,7 @@
         assert!(!store.findings.iter().any(|finding| !finding.torn) || crashes > 0);
         states.truncate(count + 1);
         acknowledged = count;
-        memory.fail(faults);
+        memory.set_faults(faults);
         for _ in 0..chance.usize(1..60) {
             let ops: Vec<_> = (0..chance.usize(1..4)).map(|_| op(&mut chance)).collect();
             match store.write(&ops) {
@@ -225,15 +225,15 @@
     let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
     let put = |number: u8| Op::Put { key: Key::new(Kind::Word, [number]), value: vec![number; 9] };
     store.write(&[put(1)]).unwrap();
-    memory.fail(Faults { full_after: Some(0), ..Faults::default() });
+    memory.set_faults(Faults { full_after: Some(0), ..Faults::default() });
     assert!(matches!(store.write(&[put(2)]), Err(Error::Io { .. })));
-    memory.fail(Faults::default());
+    memory.set_faults(Faults::default());
     store.write(&[put(3)]).unwrap();
     store.commit().unwrap();
-    memory.fail(Faults { sync_fails_after: Some(0), ..Faults::default() });
+    memory.set_faults(Faults { sync_fails_after: Some(0), ..Faults::default() });
     store.write(&[put(4)]).unwrap();
     assert!(store.commit().is_err());
-    memory.fail(Faults::default());
+    memory.set_faults(Faults::default());
     assert!(matches!(store.commit(), Err(Error::Poisoned)));
     assert!(matches!(store.write(&[put(5)]), Err(Error::Poisoned)));
     drop(store);
@@ -263,7 +263,7 @@
 fn a_store_of_the_version_before_is_read() {
     let (memory, states) = grown(20, 5, false);
     for name in memory.clone().names().unwrap() {
-        memory.change(&name, |bytes| {
+        memory.modify(&name, |bytes| {
             // Version 1 had the same records and a head without flags.
             bytes[8] = 1;
             let sum = crc32fast::hash(&bytes[..24]);
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -26,7 +26,7 @@
     let mut acknowledged = 0;
     for number in 0..500 {
         // Every key is written three times, so that compaction has something to do.
-        match handle.durable(vec![put(number % 170)]) {
+        match handle.write_durable(vec![put(number % 170)]) {
             Ok(done) => {
                 done.await.unwrap().unwrap();
                 acknowledged += 1;
--- a/fuzz/fuzz_targets/store_segments.rs
+++ b/fuzz/fuzz_targets/store_segments.rs
@@ -2,13 +2,13 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use paddleproxy_store::format::{decode, encode, Decoded, Head, HEAD_BYTES, VERSION};
-use paddleproxy_store::recovery::{name, recover, Segment};
+use paddleproxy_store::format::{decode, encode, Decoded, SegmentHeader, HEADER_BYTES, VERSION};
+use paddleproxy_store::recovery::{recover, segment_name, Segment};
 
 fuzz_target!(|data: &[u8]| {
     // As it is, and behind a good head, with the records' checksums made to fit so that what is inside is reached.
-    drop(recover(vec![Segment { name: name(0), bytes: data.to_vec() }]));
-    let mut bytes = Head { version: VERSION, snapshot: data.first().is_some_and(|byte| byte & 1 == 1), router: 1, number: 0 }
+    drop(recover(vec![Segment { name: segment_name(0), bytes: data.to_vec() }]));
+    let mut bytes = SegmentHeader { version: VERSION, snapshot: data.first().is_some_and(|byte| byte & 1 == 1), router: 1, number: 0 }
         .encode()
         .to_vec();
     let mut seq = 0;
@@ -29,7 +29,7 @@
         }
         bytes.extend_from_slice(&record);
     }
-    let found = recover(vec![Segment { name: name(0), bytes: bytes.clone() }]);
-    assert!(found.used.iter().all(|(_, good)| *good >= HEAD_BYTES as u64 && *good <= bytes.len() as u64));
+    let found = recover(vec![Segment { name: segment_name(0), bytes: bytes.clone() }]);
+    assert!(found.used.iter().all(|(_, good)| *good >= HEADER_BYTES as u64 && *good <= bytes.len() as u64));
     assert!(found.entries.len() as u64 <= found.next_seq.max(1));
 });
