--- a/crates/membership/src/backoff.rs
+++ b/crates/membership/src/backoff.rs
@@ -1,7 +1,8 @@
-//! When to ask a source again that did not answer.
+//! Delays between retries of a request to a source.
 
-/// Waits that double from a first one to a bound, each drawn evenly from half of it to all. Guards against routers that
-/// ask all at once after the service returns. Harm: the last of them hears up to a bound later.
+/// Exponential backoff with jitter: each delay is drawn uniformly from the upper half of a limit that doubles
+/// up to a maximum. Prevents all routers from asking at once when the service returns. The cost is that the
+/// last router is updated up to the maximum delay later.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first_ms: f64,
@@ -15,11 +16,11 @@
         Backoff { first_ms, max_ms: max_ms.max(first_ms), failures: 0, rng: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Time until the next try after one that failed, in ms.
+    /// Delay before the next attempt after a failed one, in ms.
     pub fn next_delay_ms(&mut self) -> f64 {
-        let most = (self.first_ms * 2f64.powi(self.failures.min(30) as i32)).min(self.max_ms);
+        let limit_ms = (self.first_ms * 2f64.powi(self.failures.min(30) as i32)).min(self.max_ms);
         self.failures = self.failures.saturating_add(1);
-        most * (0.5 + 0.5 * self.rng.f64())
+        limit_ms * (0.5 + 0.5 * self.rng.f64())
     }
 
     pub fn reset(&mut self) {
--- a/crates/membership/src/damping.rs
+++ b/crates/membership/src/damping.rs
@@ -1,45 +1,47 @@
-//! Servers that come and go too often.
+//! Flap damping: quarantines servers that come and go too often.
 
 use std::collections::VecDeque;
 
-/// Counts the returns of one server.
+/// Flap damping of one server.
 #[derive(Clone, Debug, Default)]
 pub struct Damping {
     returns_ms: VecDeque<f64>,
-    /// Times it was set aside; each doubles the next.
-    times: u32,
-    until_ms: f64,
+    /// Number of quarantines; each doubles the next one's length.
+    quarantines: u32,
+    quarantined_until_ms: f64,
 }
 
-/// Longest time aside, as a multiple of the first.
-const LONGEST: f64 = 8.0;
+/// Maximum length of a quarantine, as a multiple of the first one.
+const MAX_QUARANTINE_FACTOR: f64 = 8.0;
 
 impl Damping {
-    /// A server is usable again at this time. Guards against one that flaps: each return costs its sessions their home
-    /// and cold reads. Harm: a server that was rightly restarted that often gets nothing for a while.
-    pub fn returned(&mut self, now_ms: f64, most: usize, within_ms: f64, aside_ms: f64) {
+    /// Records that the server is usable again. Guards against flapping, where each return moves sessions
+    /// away from their server and loses their cached tokens. The cost is that a server that was legitimately
+    /// restarted that often receives no work for a while.
+    pub fn record_return(&mut self, now_ms: f64, max_returns: usize, window_ms: f64, quarantine_ms: f64) {
         self.returns_ms.push_back(now_ms);
-        while self.returns_ms.front().is_some_and(|at| *at < now_ms - within_ms) {
+        while self.returns_ms.front().is_some_and(|at| *at < now_ms - window_ms) {
             self.returns_ms.pop_front();
         }
-        if self.returns_ms.len() > most.max(1) {
-            let factor = 2f64.powi(self.times.min(16) as i32).min(LONGEST);
-            self.until_ms = now_ms + aside_ms * factor;
-            self.times += 1;
+        if self.returns_ms.len() > max_returns.max(1) {
+            let factor = 2f64.powi(self.quarantines.min(16) as i32).min(MAX_QUARANTINE_FACTOR);
+            self.quarantined_until_ms = now_ms + quarantine_ms * factor;
+            self.quarantines += 1;
             self.returns_ms.clear();
         }
-        if self.times > 0 && now_ms > self.until_ms + LONGEST * aside_ms {
-            // Long enough without: it counts as a steady one again.
-            self.times = 0;
+        if self.quarantines > 0 && now_ms > self.quarantined_until_ms + MAX_QUARANTINE_FACTOR * quarantine_ms
+        {
+            // No quarantine for long enough: the next one has the first length again.
+            self.quarantines = 0;
         }
     }
 
-    pub fn aside(&self, now_ms: f64) -> bool {
-        now_ms < self.until_ms
+    pub fn is_quarantined(&self, now_ms: f64) -> bool {
+        now_ms < self.quarantined_until_ms
     }
 
-    pub fn until_ms(&self) -> f64 {
-        self.until_ms
+    pub fn quarantined_until_ms(&self) -> f64 {
+        self.quarantined_until_ms
     }
 }
 
--- a/crates/membership/src/entry.rs
+++ b/crates/membership/src/entry.rs
@@ -1,4 +1,4 @@
-//! What one entry of a version must be to be believed.
+//! Validation of the entries of a list version.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,14 +8,14 @@
 use paddleproxy::interface::{CellId, KindId, Listing, Readiness, Role, WorkerId, ZoneId};
 use paddleproxy_engine::ServerEntry;
 
-/// The zones and kinds that the settings know.
+/// Names of the zones and kinds in the settings, and each kind's role.
 #[derive(Clone, Debug)]
-pub struct Checks {
+pub struct ConfiguredNames {
     pub zones: Vec<String>,
     pub kinds: Vec<(String, Role)>,
 }
 
-/// One server as a source states it.
+/// A validated entry of one server, as reported by its source.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub entry: ServerEntry,
@@ -24,7 +24,7 @@
 }
 
 impl Row {
-    /// Whether work may be sent there, as far as its source says.
+    /// Whether the server may receive work as far as its source reports.
     pub fn usable(&self) -> bool {
         self.listing.readiness == Readiness::Ready
     }
@@ -34,38 +34,38 @@
     }
 }
 
-/// All servers that a source states, gone ones included until a whole version leaves them out.
+/// All servers that a source reports. Gone servers stay until a whole version omits them.
 pub type View = BTreeMap<WorkerId, Arc<Row>>;
 
-/// Longest name, in bytes, and the highest weight.
-const NAME_BYTES: usize = 128;
+/// Maximum length of a server name in bytes, and the maximum weight.
+const NAME_MAX_BYTES: usize = 128;
 const WEIGHT_MAX: f64 = 1e6;
 
-/// Parses the entries of one version; `known` is what its source stated before.
+/// Parses the entries of one version; `known` is what the source reported before.
 ///
 /// # Errors
-/// The first entry that can't be believed, and why.
-pub fn rows(
-    checks: &Checks,
+/// The name of the first invalid entry, and what is wrong with it.
+pub fn parse_rows(
+    names: &ConfiguredNames,
     now_ms: f64,
     entries: &[ServerEntry],
     known: &View,
 ) -> Result<Vec<Row>, (String, String)> {
-    let mut seen = BTreeSet::new();
+    let mut names_seen = BTreeSet::new();
     let mut rows = Vec::with_capacity(entries.len());
     for entry in entries {
-        let wrong = |what: String| (entry.name.chars().take(64).collect::<String>(), what);
-        let row = row(checks, now_ms, entry, known).map_err(wrong)?;
-        if !seen.insert(row.listing.worker.clone()) {
-            return Err(wrong("named twice".into()));
+        let invalid = |what: String| (entry.name.chars().take(64).collect::<String>(), what);
+        let row = parse_row(names, now_ms, entry, known).map_err(invalid)?;
+        if !names_seen.insert(row.listing.worker.clone()) {
+            return Err(invalid("named twice".into()));
         }
         rows.push(row);
     }
     Ok(rows)
 }
 
-/// Both rows of each worker that either view has, in the order of their names. One pass: views of a thousand servers are
-/// compared at every change.
+/// Pairs the rows of both views by worker, in the order of the names. Merges in a single pass, since views of
+/// a thousand servers are compared at every change.
 pub fn merge_join<'a>(
     old: &'a View,
     new: &'a View,
@@ -84,7 +84,7 @@
     })
 }
 
-/// Two servers at one address, if there are: among all, or of those that changed and any other.
+/// Finds two servers with the same address: among all servers, or between a changed one and any other.
 pub fn same_address(view: &View, changed: Option<&[WorkerId]>) -> Option<(WorkerId, WorkerId)> {
     let live = || view.iter().filter(|(_, row)| !row.gone());
     if let Some(changed) = changed {
@@ -96,23 +96,25 @@
     }
     let mut all: Vec<_> = live().map(|(worker, row)| (row.address, worker)).collect();
     all.sort_unstable();
-    let twice = all.windows(2).find(|pair| pair[0].0 == pair[1].0)?;
-    Some((twice[0].1.clone(), twice[1].1.clone()))
+    let duplicate = all.windows(2).find(|pair| pair[0].0 == pair[1].0)?;
+    Some((duplicate[0].1.clone(), duplicate[1].1.clone()))
 }
 
-fn row(checks: &Checks, now_ms: f64, entry: &ServerEntry, known: &View) -> Result<Row, String> {
-    if entry.name.is_empty() || entry.name.len() > NAME_BYTES {
-        return Err(format!("a name has 1 to {NAME_BYTES} bytes"));
+fn parse_row(names: &ConfiguredNames, now_ms: f64, entry: &ServerEntry, known: &View) -> Result<Row, String> {
+    if entry.name.is_empty() || entry.name.len() > NAME_MAX_BYTES {
+        return Err(format!("a name has 1 to {NAME_MAX_BYTES} bytes"));
     }
     let worker = WorkerId(Arc::from(entry.name.as_str()));
-    let address: SocketAddr =
-        entry.address.parse().map_err(|_| format!("address '{:.64}' is none", entry.address))?;
+    let address: SocketAddr = entry
+        .address
+        .parse()
+        .map_err(|_| format!("address '{:.64}' is not an IP address with a port", entry.address))?;
     if !address.ip().is_loopback() {
         return Err(format!("address '{address}' is not on the loopback range"));
     }
-    let zone = checks.zones.iter().position(|zone| *zone == entry.zone);
+    let zone = names.zones.iter().position(|zone| *zone == entry.zone);
     let zone = zone.ok_or_else(|| format!("zone '{:.64}' is not in the settings", entry.zone))?;
-    let kind = checks.kinds.iter().position(|(kind, _)| *kind == entry.kind);
+    let kind = names.kinds.iter().position(|(kind, _)| *kind == entry.kind);
     let kind = kind.ok_or_else(|| format!("kind '{:.64}' is not in the settings", entry.kind))?;
     let readiness = match entry.readiness.as_str() {
         "ready" => Readiness::Ready,
@@ -120,15 +122,16 @@
         "gone" => Readiness::Gone,
         other => return Err(format!("readiness '{other:.64}' is none of ready, draining, gone")),
     };
-    let good = |value: f64, most: f64| value.is_finite() && (0.0..=most).contains(&value);
-    if !good(entry.weight, WEIGHT_MAX) {
+    let in_range = |value: f64, max: f64| value.is_finite() && (0.0..=max).contains(&value);
+    if !in_range(entry.weight, WEIGHT_MAX) {
         return Err(format!("weight {} is not from 0 to {WEIGHT_MAX}", entry.weight));
     }
-    if !entry.age_ms.is_none_or(|age| good(age, f64::MAX)) {
+    if !entry.age_ms.is_none_or(|age| in_range(age, f64::MAX)) {
         return Err("an age must not be negative".into());
     }
-    // The same process keeps the start that was first heard, whatever the answers' delays. One that comes back under
-    // its name at another address is another process, whatever it says of its start.
+    // The same process keeps the start time that was computed first, however long later responses took. A
+    // server that returns under its name at another address is another process, whatever start number it
+    // reports.
     let known = known.get(&worker);
     let same = known.filter(|row| row.entry.start == entry.start && row.address == address);
     let started_ms = match (same, known) {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which servers exist and what they may get. Versions of several sources, the operators' words and what the sockets
-//! saw go in; the one list that the router acts on comes out, as rows for the decisions.
+//! Decides which servers exist and which of them may receive work. Inputs are list versions from several
+//! sources, operator commands, and connection results. The output is one effective server list, as rows for
+//! the scheduling core.
 //!
-//! Rules, in short (`docs/design/membership.md` has the options):
-//! - Each source's versions only go forward. A version with an entry that can't be believed is refused whole.
-//! - The file leads where there is one, else the service, else the saved list; a silent lead keeps the lead, and is
-//!   said to be stale, until another source that is not stale has something to say.
-//! - Drains of every source and of the operators count at once; only a newer word of the same source, another process
-//!   under the name, or the operators end them.
-//! - A version that takes away too much at once is held until another word says the same: another source, the
-//!   sockets, the operators, or time in which no server that it takes away answered.
-//! - A server that comes back too often is set aside for a while.
+//! Rules in short (`docs/design/membership.md` discusses the alternatives):
+//! - Versions of a source only increase. A version with an invalid entry is refused as a whole.
+//! - The file leads where there is one, else the list service, else the saved list. A lead that goes silent
+//!   is reported as stale, but stays the lead until another source has servers and is not stale.
+//! - Drains of every source and of the operators take effect at once. Only a newer version of the same
+//!   source, a new process under the server's name, or an operator ends them.
+//! - A version that removes too many servers at once is held until it is confirmed: by another source, by
+//!   failed connections, by an operator, or by a period in which none of the removed servers answered.
+//! - A server that returns too often is quarantined for a while.
 
 pub mod backoff;
 mod damping;
@@ -29,38 +30,38 @@
 use serde::{Deserialize, Serialize};
 
 use crate::damping::Damping;
-use crate::entry::{Checks, Row, View};
+use crate::entry::{ConfiguredNames, Row, View};
 use crate::source::Source;
 pub use crate::source::{SourceId, VersionOutcome};
 pub use crate::status::{Phase, ServerStatus, SourceStatus, Status};
 
-/// What a word comes to.
+/// The effect of an input on the effective list.
 #[derive(Clone, Debug)]
 pub enum ListUpdate {
-    /// To be told to the decisions.
+    /// Rows for the scheduling core.
     Listed { kind: ListKind, rows: Arc<[Listing]> },
-    /// Nothing new to act on.
+    /// Nothing changed.
     Unchanged,
-    /// Changes on a version that we do not have: the whole is needed.
+    /// The version is a delta to a version that is not known here: the whole list is needed.
     WholeNeeded,
 }
 
-/// A version that is not taken, and why.
+/// Why a version was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VersionError {
-    #[error("version {got} is older than version {have}, which stands")]
+    #[error("version {got} is older than version {have}, which accepted")]
     Older { got: u64, have: u64 },
     #[error("server '{server}': {what}")]
     Entry { server: String, what: String },
-    #[error("a list without any server")]
+    #[error("the list contains no servers")]
     Empty,
-    #[error("version {version} says something else than before; a change needs a higher version")]
+    #[error("version {version} was read before with different content; a change needs a higher version")]
     Changed { version: u64 },
     #[error("every usable server has weight 0")]
     NoWeight,
 }
 
-/// What operators may say of a server.
+/// What an operator may command for a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum OperatorCommand {
@@ -69,128 +70,128 @@
     Quarantine,
 }
 
-/// A word and when it was said, in ms on the router's clock.
+/// A command and when it was issued, in ms on the router's clock.
 #[derive(Clone, Copy, Debug)]
-struct Said {
-    word: OperatorCommand,
+struct IssuedCommand {
+    command: OperatorCommand,
     at_ms: f64,
 }
 
-/// A word as it is kept for the next start.
+/// An operator command as saved for the next start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SavedCommand {
     pub server: String,
     #[serde(rename = "word")]
     pub command: OperatorCommand,
-    /// How long ago it was said, in ms.
+    /// Time since it was issued, in ms.
     pub ago_ms: f64,
 }
 
-/// A drain that a source stated, as it is kept for the next start.
+/// A drain reported by a source, as saved for the next start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SavedDrain {
     pub server: String,
     pub source: SourceId,
     pub epoch: u64,
     pub version: u64,
-    /// How long ago it was stated, in ms.
+    /// Time since it was reported, in ms.
     pub ago_ms: f64,
-    /// Its source has said otherwise since, by a word that may be older or in a version that was held.
+    /// The source has since reported the server as ready, in a version that may be older or that was held.
     #[serde(default, rename = "denied")]
     pub contradicted: bool,
 }
 
-/// The list as it is kept for the next start.
+/// The server list as saved for the next start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SavedList {
     #[serde(default)]
     pub epoch: u64,
     pub version: u64,
-    /// Wall clock at which it was saved, in ms since 1970; ages count from there.
+    /// Wall clock time of saving, in ms since 1970; the saved ages are relative to it.
     pub saved_at_ms: f64,
     pub servers: Vec<ServerEntry>,
-    /// The operators' words.
+    /// Operator commands.
     #[serde(default, rename = "words")]
     pub commands: Vec<SavedCommand>,
-    /// Drains of all sources.
+    /// Drains reported by any source.
     #[serde(default)]
     pub drains: Vec<SavedDrain>,
-    /// The version of the file that led, if one did.
+    /// Version of the servers file, if the file was the lead.
     #[serde(default)]
     pub file: Option<u64>,
-    /// Fingerprint of that file's text.
+    /// Fingerprint of the text of that file.
     #[serde(default)]
     pub fingerprint: Option<u64>,
 }
 
-/// Lives as long as a server is listed.
+/// State of one server. Kept while the server is listed, and for a limited time after.
 #[derive(Debug, Default)]
 struct Server {
-    said: Option<Said>,
+    command: Option<IssuedCommand>,
     damping: Damping,
-    /// Dispatches or probes that found nobody there, or somebody, and when.
-    missing_ms: Option<f64>,
-    answered_ms: Option<f64>,
-    /// Since when it is off the list.
-    gone_ms: Option<f64>,
+    /// When a dispatch or probe last failed to connect since the last answer, and when one last succeeded.
+    unreachable_ms: Option<f64>,
+    reachable_ms: Option<f64>,
+    /// When it left the list.
+    delisted_ms: Option<f64>,
 }
 
-/// A version that waits for a second word.
+/// A version that is held until it is confirmed.
 #[derive(Clone, Debug)]
 pub struct HeldVersion {
     pub source: SourceId,
     pub version: (u64, u64),
     pub reason: guard::ExcessRemoval,
     pub since_ms: f64,
-    taken: BTreeSet<WorkerId>,
-    asked_ms: f64,
+    removed: BTreeSet<WorkerId>,
+    probed_ms: f64,
 }
 
-/// Servers that left of which something is remembered.
-const LEFT_MAX: usize = 4096;
+/// Maximum number of unlisted servers whose state is kept.
+const DELISTED_SERVERS_MAX: usize = 4096;
 
-/// Lives as long as the router.
+/// The server list of one router.
 pub struct Membership {
-    checks: Checks,
+    names: ConfiguredNames,
     rules: Rules,
     sources: BTreeMap<SourceId, Source>,
     lead: Option<SourceId>,
-    /// Whose list the saved one is.
-    recovered_of: Option<SourceId>,
+    /// Source that the saved list came from.
+    saved_source: Option<SourceId>,
     servers: BTreeMap<WorkerId, Server>,
-    /// What was last told to the decisions, and the addresses of all that were.
-    acted: BTreeMap<WorkerId, Arc<Row>>,
+    /// The effective list as last published to the scheduling core. Also resolves addresses.
+    active: BTreeMap<WorkerId, Arc<Row>>,
     held: Option<HeldVersion>,
     held_total: u64,
-    /// Grows with each change of what is acted on.
+    /// Increases with each change of the effective list.
     revision: u64,
 }
 
 impl Membership {
     pub fn new(zones: Vec<String>, kinds: Vec<(String, Role)>, rules: Rules) -> Self {
         Membership {
-            checks: Checks { zones, kinds },
+            names: ConfiguredNames { zones, kinds },
             rules,
             sources: BTreeMap::new(),
             lead: None,
-            recovered_of: None,
+            saved_source: None,
             servers: BTreeMap::new(),
-            acted: BTreeMap::new(),
+            active: BTreeMap::new(),
             held: None,
             held_total: 0,
             revision: 0,
         }
     }
 
-    /// The version that a source last stated, to ask on from; None for the whole.
+    /// The latest version of a source, from which the next delta is requested; None requests the whole list.
     pub fn known_version(&self, source: SourceId) -> Option<(u64, u64)> {
         self.sources.get(&source)?.known_version()
     }
 
-    /// The version of the lead that is acted on.
+    /// The lead's version that is in effect.
     pub fn version(&self) -> Option<u64> {
         let lead = self.sources.get(&self.lead?)?;
-        lead.version.map(|_| lead.stands_version.1)
+        lead.version.map(|_| lead.accepted_version.1)
     }
 
     pub fn revision(&self) -> u64 {
@@ -198,32 +199,32 @@
     }
 
     pub fn address(&self, worker: &WorkerId) -> Option<SocketAddr> {
-        self.acted.get(worker).map(|row| row.address)
+        self.active.get(worker).map(|row| row.address)
     }
 
-    /// The process that runs at each server, by its source's count.
+    /// The start number of the process at each server, as counted by its source.
     pub fn starts(&self) -> BTreeMap<String, u64> {
-        self.acted.iter().map(|(worker, row)| (worker.0.to_string(), row.entry.start)).collect()
+        self.active.iter().map(|(worker, row)| (worker.0.to_string(), row.entry.start)).collect()
     }
 
     pub fn start(&self, worker: &WorkerId) -> Option<u64> {
-        self.acted.get(worker).map(|row| row.entry.start)
+        self.active.get(worker).map(|row| row.entry.start)
     }
 
     pub fn len(&self) -> usize {
-        self.acted.len()
+        self.active.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.acted.is_empty()
+        self.active.is_empty()
     }
 
-    /// Versions that were held since the start.
+    /// Versions held since the start of the router.
     pub fn held_total(&self) -> u64 {
         self.held_total
     }
 
-    /// Versions of all sources that were refused since the start.
+    /// Versions of all sources refused since the start of the router.
     pub fn refused_total(&self) -> u64 {
         self.sources.values().map(|source| source.refused).sum()
     }
@@ -232,37 +233,38 @@
         self.held.as_ref()
     }
 
-    /// Takes in one version of a source, at our clock.
+    /// Applies one version of a source.
     ///
     /// # Errors
-    /// ExcessRemoval the version is refused; what stood before still stands.
+    /// Why the version is refused; the previous version stays in effect.
     pub fn apply_version(
         &mut self,
         now_ms: f64,
-        of: SourceId,
+        source_id: SourceId,
         list: &ServerList,
     ) -> Result<ListUpdate, VersionError> {
-        self.apply_version_from_text(now_ms, of, list, None)
+        self.apply_version_from_text(now_ms, source_id, list, None)
     }
 
-    /// The same for a version that was read from a text, whose fingerprint tells whether it is still the same text.
+    /// Applies a version that was read from a text. The fingerprint detects a text that changed under the
+    /// same version.
     ///
     /// # Errors
-    /// As for `hear`, and a text that changed under its version.
+    /// As for `apply_version`, and a text that changed without a higher version.
     pub fn apply_version_from_text(
         &mut self,
         now_ms: f64,
-        of: SourceId,
+        source_id: SourceId,
         list: &ServerList,
         fingerprint: Option<u64>,
     ) -> Result<ListUpdate, VersionError> {
-        let source = self.sources.entry(of).or_default();
-        match source.state(&self.checks, now_ms, list, fingerprint) {
+        let source = self.sources.entry(source_id).or_default();
+        match source.apply(&self.names, now_ms, list, fingerprint) {
             Ok(VersionOutcome::New { whole }) => {
                 let kind = if whole { ListKind::Whole } else { ListKind::Changes };
-                Ok(self.settle(now_ms, kind))
+                Ok(self.reconcile(now_ms, kind))
             }
-            Ok(VersionOutcome::Unchanged) => Ok(self.settle(now_ms, ListKind::Changes)),
+            Ok(VersionOutcome::Unchanged) => Ok(self.reconcile(now_ms, ListKind::Changes)),
             Ok(VersionOutcome::WholeNeeded) => Ok(ListUpdate::WholeNeeded),
             Err(refused) => {
                 source.refused += 1;
@@ -272,70 +274,72 @@
         }
     }
 
-    /// A source is there and has nothing new to say.
-    pub fn source_unchanged(&mut self, now_ms: f64, of: SourceId) {
-        if let Some(source) = self.sources.get_mut(&of) {
-            source.heard_ms = now_ms;
+    /// A source responded without a new version.
+    pub fn source_unchanged(&mut self, now_ms: f64, source_id: SourceId) {
+        if let Some(source) = self.sources.get_mut(&source_id) {
+            source.last_contact_ms = now_ms;
         }
     }
 
-    /// A source stated what could not even be read.
-    pub fn source_unreadable(&mut self, of: SourceId, why: &str) {
-        let source = self.sources.entry(of).or_default();
+    /// A source delivered a list that could not be parsed.
+    pub fn source_unreadable(&mut self, source_id: SourceId, why: &str) {
+        let source = self.sources.entry(source_id).or_default();
         source.refused += 1;
         source.last_refused = Some(why.to_owned());
     }
 
-    /// Takes in the list of an earlier run, which may be old.
+    /// Restores the list saved by an earlier run, which may be old.
     ///
     /// # Errors
-    /// ExcessRemoval it is refused; the router then starts with no list.
+    /// Why it is refused; the router then starts without a list.
     pub fn recover(
         &mut self,
         now_ms: f64,
         wall_ms: f64,
         saved: &SavedList,
     ) -> Result<ListUpdate, VersionError> {
-        // A clock that went back makes it no younger.
-        let gone_by = (wall_ms - saved.saved_at_ms).max(0.0);
+        // A wall clock that was set back must not make processes younger.
+        let downtime_ms = (wall_ms - saved.saved_at_ms).max(0.0);
         let aged = |entry: &ServerEntry| ServerEntry {
-            age_ms: entry.age_ms.map(|age| age + gone_by),
+            age_ms: entry.age_ms.map(|age| age + downtime_ms),
             ..entry.clone()
         };
         let servers = saved.servers.iter().map(aged).collect();
         let list = ServerList { epoch: saved.epoch, version: saved.version, after: None, servers };
         let source = self.sources.entry(SourceId::Saved).or_default();
-        source.state(&self.checks, now_ms, &list, None)?;
-        for word in &saved.commands {
-            let worker = WorkerId(Arc::from(word.server.as_str()));
-            let at_ms = now_ms - gone_by - word.ago_ms.max(0.0);
-            self.servers.entry(worker).or_default().said = Some(Said { word: word.command, at_ms });
+        source.apply(&self.names, now_ms, &list, None)?;
+        for saved_command in &saved.commands {
+            let worker = WorkerId(Arc::from(saved_command.server.as_str()));
+            let at_ms = now_ms - downtime_ms - saved_command.ago_ms.max(0.0);
+            self.servers.entry(worker).or_default().command =
+                Some(IssuedCommand { command: saved_command.command, at_ms });
         }
-        // What a source stated before the start is not stated again as if it were new.
-        let (led, epoch, version) = match saved.file {
+        // Restores the version of the original source, so that the same version received again is not applied
+        // as new.
+        let (lead, epoch, version) = match saved.file {
             Some(version) => (SourceId::File, 0, version),
             None => (SourceId::Service, saved.epoch, saved.version),
         };
-        let states = self.sources[&SourceId::Saved].states.clone();
-        let silent = || Source { heard_ms: f64::NEG_INFINITY, ..Source::default() };
+        let reported = self.sources[&SourceId::Saved].reported.clone();
+        let silent = || Source { last_contact_ms: f64::NEG_INFINITY, ..Source::default() };
         let fingerprint = saved.fingerprint.filter(|_| saved.file.is_some());
-        let before = Source { epoch, version: Some(version), states, fingerprint, ..silent() };
-        self.sources.insert(led, before);
-        self.recovered_of = Some(led);
+        let restored = Source { epoch, version: Some(version), reported, fingerprint, ..silent() };
+        self.sources.insert(lead, restored);
+        self.saved_source = Some(lead);
         for drain in &saved.drains {
             let worker = WorkerId(Arc::from(drain.server.as_str()));
-            let since_ms = now_ms - gone_by - drain.ago_ms.max(0.0);
+            let since_ms = now_ms - downtime_ms - drain.ago_ms.max(0.0);
             let source = self.sources.entry(drain.source).or_insert_with(silent);
-            source.drained_before(worker, since_ms, drain);
+            source.restore_drain(worker, since_ms, drain);
         }
         if let Some(source) = self.sources.get_mut(&SourceId::Saved) {
-            // Each drain stands with the source that stated it.
+            // Each drain is restored with the source that reported it.
             source.drains.clear();
         }
-        Ok(self.settle(now_ms, ListKind::Saved))
+        Ok(self.reconcile(now_ms, ListKind::Saved))
     }
 
-    /// The list as it stands, for the next start.
+    /// The accepted list, for the next start.
     pub fn save(&self, now_ms: f64, wall_ms: f64) -> Option<SavedList> {
         let lead = self.lead?;
         let source = self.sources.get(&lead)?;
@@ -343,24 +347,25 @@
             age_ms: row.listing.started_ms.map(|started| (now_ms - started).max(0.0)),
             ..row.entry.clone()
         };
-        let servers = source.stands.values().map(entry).collect();
-        let word = |(worker, server): (&WorkerId, &Server)| {
-            let said = server.said?;
+        let servers = source.accepted.values().map(entry).collect();
+        let saved_command = |(worker, server): (&WorkerId, &Server)| {
+            let issued = server.command?;
             Some(SavedCommand {
                 server: worker.0.to_string(),
-                command: said.word,
-                ago_ms: (now_ms - said.at_ms).max(0.0),
+                command: issued.command,
+                ago_ms: (now_ms - issued.at_ms).max(0.0),
             })
         };
-        let words = self.servers.iter().filter_map(word).collect();
-        let of = if lead == SourceId::Saved { self.recovered_of } else { Some(lead) };
-        let stands = &source.stands;
+        let commands = self.servers.iter().filter_map(saved_command).collect();
+        let source_id = if lead == SourceId::Saved { self.saved_source } else { Some(lead) };
+        let accepted = &source.accepted;
         let drain = |(id, source): (&SourceId, &Source)| {
-            // The next start goes on from what stands and knows nothing of a held version: where that says otherwise of a
-            // server, the same drain stated after it is a drain anew, and not what an operator's word has ended.
-            let otherwise = |worker: &WorkerId| {
-                let said = |view: &View| view.get(worker).map(|row| row.listing.readiness);
-                of == Some(*id) && said(&source.states) != said(stands)
+            // The next start resumes from the accepted list and does not know the held version. If the held
+            // version reports another readiness, the same drain reported after the restart is a new drain,
+            // which an earlier undrain by an operator does not end.
+            let contradicted_in_held = |worker: &WorkerId| {
+                let reported_readiness = |view: &View| view.get(worker).map(|row| row.listing.readiness);
+                source_id == Some(*id) && reported_readiness(&source.reported) != reported_readiness(accepted)
             };
             let rows = source.drains.iter().map(|(worker, drain)| SavedDrain {
                 server: worker.0.to_string(),
@@ -368,72 +373,82 @@
                 epoch: drain.epoch,
                 version: drain.version,
                 ago_ms: (now_ms - drain.since_ms).max(0.0),
-                contradicted: drain.denied() || otherwise(worker),
+                contradicted: drain.is_contradicted() || contradicted_in_held(worker),
             });
             rows.collect::<Vec<_>>()
         };
         let drains = self.sources.iter().flat_map(drain).collect();
-        let (epoch, version) = source.stands_version;
-        let file = (of == Some(SourceId::File)).then_some(version);
+        let (epoch, version) = source.accepted_version;
+        let file = (source_id == Some(SourceId::File)).then_some(version);
         Some(SavedList {
             epoch,
             version,
             saved_at_ms: wall_ms,
             servers,
-            commands: words,
+            commands,
             drains,
             file,
-            fingerprint: of
-                .and_then(|of| self.sources.get(&of))
-                .and_then(|of| of.fingerprint)
+            fingerprint: source_id
+                .and_then(|source_id| self.sources.get(&source_id))
+                .and_then(|source_id| source_id.fingerprint)
                 .filter(|_| file.is_some()),
         })
     }
 
-    /// An operator's word on a server; None where there is no such server.
-    pub fn apply_command(&mut self, now_ms: f64, server: &str, word: OperatorCommand) -> Option<ListUpdate> {
+    /// Applies an operator command; None if there is no such server.
+    pub fn apply_command(
+        &mut self,
+        now_ms: f64,
+        server: &str,
+        command: OperatorCommand,
+    ) -> Option<ListUpdate> {
         let worker = WorkerId(Arc::from(server));
-        if !self.acted.contains_key(&worker) && !self.servers.contains_key(&worker) {
+        if !self.active.contains_key(&worker) && !self.servers.contains_key(&worker) {
             return None;
         }
-        self.servers.entry(worker).or_default().said = Some(Said { word, at_ms: now_ms });
-        Some(self.settle(now_ms, ListKind::Changes))
+        self.servers.entry(worker).or_default().command = Some(IssuedCommand { command, at_ms: now_ms });
+        Some(self.reconcile(now_ms, ListKind::Changes))
     }
 
-    /// An operator takes a held version; None where none is held.
+    /// Accepts the held version on an operator's command; None if no version is held.
     pub fn accept_held(&mut self, now_ms: f64) -> Option<ListUpdate> {
         let held = self.held.take()?;
-        self.let_through(held.source);
-        Some(self.settle(now_ms, ListKind::Whole))
+        self.accept_latest(held.source);
+        Some(self.reconcile(now_ms, ListKind::Whole))
     }
 
-    /// What a dispatch or a probe found: somebody, or nobody to connect to.
-    pub fn observe(&mut self, now_ms: f64, worker: &WorkerId, there: bool) -> ListUpdate {
+    /// Records whether a dispatch or probe could connect to the server.
+    pub fn observe(&mut self, now_ms: f64, worker: &WorkerId, reachable: bool) -> ListUpdate {
         let Some(server) = self.servers.get_mut(worker) else { return ListUpdate::Unchanged };
-        match there {
-            true => (server.answered_ms, server.missing_ms) = (Some(now_ms), None),
-            false => server.missing_ms = Some(now_ms),
+        match reachable {
+            true => (server.reachable_ms, server.unreachable_ms) = (Some(now_ms), None),
+            false => server.unreachable_ms = Some(now_ms),
         }
-        let waits = self.held.as_ref().is_some_and(|held| held.taken.contains(worker));
-        if waits {
-            self.settle(now_ms, ListKind::Changes)
+        let awaited = self.held.as_ref().is_some_and(|held| held.removed.contains(worker));
+        if awaited {
+            self.reconcile(now_ms, ListKind::Changes)
         } else {
             ListUpdate::Unchanged
         }
     }
 
-    /// Time passes; to be called when `next_wake_ms` says so.
+    /// Re-evaluates what depends on time; due when `next_wake_ms` says so.
     pub fn tick(&mut self, now_ms: f64) -> ListUpdate {
-        self.settle(now_ms, ListKind::Changes)
+        self.reconcile(now_ms, ListKind::Changes)
     }
 
-    /// When something changes by itself.
+    /// When time alone next changes something.
     pub fn next_wake_ms(&self, now_ms: f64) -> Option<f64> {
-        let held = self.held.as_ref().map(|held| held.asked_ms + self.probe_interval_ms());
-        let aside = self.servers.values().map(|server| server.damping.until_ms()).filter(|at| *at > now_ms);
-        let doubts = self.sources.values().filter_map(|source| source.doubts_end_ms(self.rules.hold_ms));
-        let all = held.into_iter().chain(aside).chain(doubts);
-        // Not in a tight loop whatever is due.
+        let held = self.held.as_ref().map(|held| held.probed_ms + self.probe_interval_ms());
+        let quarantined = self
+            .servers
+            .values()
+            .map(|server| server.damping.quarantined_until_ms())
+            .filter(|at| *at > now_ms);
+        let drain_ends =
+            self.sources.values().filter_map(|source| source.next_drain_end_ms(self.rules.hold_ms));
+        let all = held.into_iter().chain(quarantined).chain(drain_ends);
+        // At least 1 ms ahead, so that an overdue deadline can't cause a busy loop.
         all.map(|at| at.max(now_ms + 1.0)).min_by(f64::total_cmp)
     }
 
@@ -441,119 +456,133 @@
         self.rules.hold_ms / 8.0
     }
 
-    /// Servers of a held version that should be asked whether they are there; at most once in a while.
+    /// Removed servers of the held version that should be probed now; at most once per probe interval.
     pub fn due_probes(&mut self, now_ms: f64) -> Vec<WorkerId> {
-        let every_ms = self.probe_interval_ms();
+        let interval_ms = self.probe_interval_ms();
         match &mut self.held {
-            Some(held) if now_ms >= held.asked_ms + every_ms => {
-                held.asked_ms = now_ms;
-                held.taken.iter().cloned().collect()
+            Some(held) if now_ms >= held.probed_ms + interval_ms => {
+                held.probed_ms = now_ms;
+                held.removed.iter().cloned().collect()
             }
             _ => Vec::new(),
         }
     }
 
-    fn let_through(&mut self, of: SourceId) {
-        let source = self.sources.get_mut(&of);
+    fn accept_latest(&mut self, source_id: SourceId) {
+        let source = self.sources.get_mut(&source_id);
         if let Some(source) = source.filter(|source| {
-            Some(source.stands_version) != source.known_version() || source.stands.is_empty()
+            Some(source.accepted_version) != source.known_version() || source.accepted.is_empty()
         }) {
-            source.stands = source.states.clone();
-            source.stands_version = source.known_version().unwrap_or_default();
+            source.accepted = source.reported.clone();
+            source.accepted_version = source.known_version().unwrap_or_default();
         }
     }
 
-    /// Who leads: the first that spoke of late; a silent lead keeps it until such a one is there.
+    /// The first source that has servers and is not stale; without one, the current lead stays.
     fn leader(&self, now_ms: f64) -> Option<SourceId> {
-        let stale = |source: &Source| now_ms - source.heard_ms > self.rules.stale_ms;
-        let states = |source: &Source| source.states.values().any(|row| !row.gone());
+        let stale = |source: &Source| now_ms - source.last_contact_ms > self.rules.stale_ms;
+        let has_servers = |source: &Source| source.reported.values().any(|row| !row.gone());
         let live = self.sources.iter().filter(|(id, _)| **id != SourceId::Saved);
-        let live = live.filter(|(_, source)| states(source) && !stale(source)).map(|(id, _)| *id).next();
+        let live = live.filter(|(_, source)| has_servers(source) && !stale(source)).map(|(id, _)| *id).next();
         live.or(self.lead).or_else(|| self.sources.contains_key(&SourceId::Saved).then_some(SourceId::Saved))
     }
 
-    /// Servers that another word than the source's own says are not there.
-    fn known_gone(&self, now_ms: f64, of: SourceId, taken: &BTreeSet<WorkerId>) -> BTreeSet<WorkerId> {
-        let late_ms = now_ms - self.rules.hold_ms;
-        let seen = |worker: &&WorkerId| {
+    /// Removed servers that are confirmed gone by failed connections or by another source.
+    fn confirmed_gone(
+        &self,
+        now_ms: f64,
+        source_id: SourceId,
+        removed: &BTreeSet<WorkerId>,
+    ) -> BTreeSet<WorkerId> {
+        let oldest_ms = now_ms - self.rules.hold_ms;
+        let unreachable = |worker: &&WorkerId| {
             let server = self.servers.get(*worker);
-            server.and_then(|server| server.missing_ms).is_some_and(|at| at >= late_ms)
+            server.and_then(|server| server.unreachable_ms).is_some_and(|at| at >= oldest_ms)
         };
         let others = || {
-            let others = self.sources.iter().filter(|(id, _)| **id != of && **id != SourceId::Saved);
+            let others = self.sources.iter().filter(|(id, _)| **id != source_id && **id != SourceId::Saved);
             others.filter(|(_, source)| {
-                now_ms - source.heard_ms <= self.rules.stale_ms && !source.states.is_empty()
+                now_ms - source.last_contact_ms <= self.rules.stale_ms && !source.reported.is_empty()
             })
         };
-        let said = |worker: &&WorkerId| {
-            others().any(|(_, source)| source.states.get(*worker).is_none_or(|row| row.gone()))
+        let reported_gone = |worker: &&WorkerId| {
+            others().any(|(_, source)| source.reported.get(*worker).is_none_or(|row| row.gone()))
         };
-        taken.iter().filter(|worker| seen(worker) || said(worker)).cloned().collect()
+        removed.iter().filter(|worker| unreachable(worker) || reported_gone(worker)).cloned().collect()
     }
 
-    /// Whether time is word enough: nobody that would go has answered since the version came, and that is long enough.
-    fn time_says(&self, now_ms: f64, held: &HeldVersion) -> bool {
+    /// Whether the hold time confirms the removal: it has passed, and no removed server answered within it.
+    fn hold_expired(&self, now_ms: f64, held: &HeldVersion) -> bool {
         let answered = |worker: &WorkerId| {
-            let at = self.servers.get(worker).and_then(|server| server.answered_ms);
+            let at = self.servers.get(worker).and_then(|server| server.reachable_ms);
             at.is_some_and(|at| at > now_ms - self.rules.hold_ms)
         };
-        now_ms >= held.since_ms + self.rules.hold_ms && !held.taken.iter().any(answered)
+        now_ms >= held.since_ms + self.rules.hold_ms && !held.removed.iter().any(answered)
     }
 
-    /// Whether what a source states takes away too much of what stands; of that, what would go.
-    fn too_much(&self, now_ms: f64, of: SourceId) -> Option<(guard::ExcessRemoval, BTreeSet<WorkerId>)> {
-        let source = self.sources.get(&of)?;
-        let stands = &self.sources.get(&self.lead?)?.stands;
-        if self.lead == Some(of) && source.stands_version == source.known_version().unwrap_or_default() {
+    /// Whether a version removes too many accepted servers, and which servers it removes.
+    fn excess_removal(
+        &self,
+        now_ms: f64,
+        source_id: SourceId,
+    ) -> Option<(guard::ExcessRemoval, BTreeSet<WorkerId>)> {
+        let source = self.sources.get(&source_id)?;
+        let accepted = &self.sources.get(&self.lead?)?.accepted;
+        if self.lead == Some(source_id)
+            && source.accepted_version == source.known_version().unwrap_or_default()
+        {
             return None;
         }
-        let taken = guard::taken(stands, &source.states);
-        let known = self.known_gone(now_ms, of, &taken);
-        let most = self.rules.most_removed;
-        let why = guard::too_much(&self.checks, stands, &source.states, &taken, &known, most)?;
-        Some((why, taken))
+        let removed = guard::removed(accepted, &source.reported);
+        let confirmed = self.confirmed_gone(now_ms, source_id, &removed);
+        let max_share = self.rules.most_removed;
+        let reason =
+            guard::excess_removal(&self.names, accepted, &source.reported, &removed, &confirmed, max_share)?;
+        Some((reason, removed))
     }
 
-    /// Works out anew what to act on, and what of it is news.
-    fn settle(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
+    /// Re-evaluates the lead and the held version, and publishes what changed.
+    fn reconcile(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
         for source in self.sources.values_mut() {
-            source.doubts(now_ms, self.rules.hold_ms);
+            source.end_contradicted_drains(now_ms, self.rules.hold_ms);
         }
         let Some(lead) = self.leader(now_ms) else { return ListUpdate::Unchanged };
-        match self.too_much(now_ms, lead) {
+        match self.excess_removal(now_ms, lead) {
             None => {
                 self.held = None;
-                self.let_through(lead);
+                self.accept_latest(lead);
                 self.lead = Some(lead);
             }
-            Some((why, taken)) => {
+            Some((reason, removed)) => {
                 let version = self.sources.get(&lead).and_then(Source::known_version).unwrap_or_default();
                 let before = self.held.take().filter(|held| held.source == lead);
                 self.held_total += u64::from(before.is_none());
                 let since_ms = before.as_ref().map_or(now_ms, |held| held.since_ms);
-                let asked_ms = before.map_or(f64::NEG_INFINITY, |held| held.asked_ms);
-                let held = HeldVersion { source: lead, version, reason: why, since_ms, taken, asked_ms };
-                if self.time_says(now_ms, &held) {
-                    self.let_through(lead);
+                let probed_ms = before.map_or(f64::NEG_INFINITY, |held| held.probed_ms);
+                let held = HeldVersion { source: lead, version, reason, since_ms, removed, probed_ms };
+                if self.hold_expired(now_ms, &held) {
+                    self.accept_latest(lead);
                     self.lead = Some(lead);
                 } else {
                     self.held = Some(held);
-                    // Whoever led before goes on leading meanwhile, by the same rule.
+                    // Meanwhile the previous lead stays in effect, under the same check.
                     let before = self.lead.filter(|before| *before != lead);
-                    if let Some(before) = before.filter(|before| self.too_much(now_ms, *before).is_none()) {
-                        self.let_through(before);
+                    if let Some(before) =
+                        before.filter(|before| self.excess_removal(now_ms, *before).is_none())
+                    {
+                        self.accept_latest(before);
                     }
                 }
             }
         }
-        self.tell(now_ms, kind)
+        self.publish(now_ms, kind)
     }
 
-    /// The list as it is to be acted on: what stands of the lead, under the drains and words of all.
-    fn acting(&self, now_ms: f64) -> View {
-        let stands = self.lead.and_then(|lead| self.sources.get(&lead)).map(|source| &source.stands);
+    /// The effective list: the lead's accepted list with all drains and operator commands applied.
+    fn effective_view(&self, now_ms: f64) -> View {
+        let accepted = self.lead.and_then(|lead| self.sources.get(&lead)).map(|source| &source.accepted);
         let mut view = View::new();
-        for (worker, row) in stands.into_iter().flatten() {
+        for (worker, row) in accepted.into_iter().flatten() {
             let readiness = self.readiness(now_ms, worker, row);
             let row = if readiness == row.listing.readiness {
                 row.clone()
@@ -566,7 +595,7 @@
         view
     }
 
-    /// Since when sources drain a server, the latest of them.
+    /// Start of the latest drain among all sources that drain the server.
     fn drained_ms(&self, worker: &WorkerId) -> Option<f64> {
         let drains = self.sources.values().filter_map(|source| source.drains.get(worker));
         drains.map(|drain| drain.since_ms).max_by(f64::total_cmp)
@@ -577,39 +606,40 @@
             return Readiness::Gone;
         }
         let server = self.servers.get(worker);
-        let said = server.and_then(|server| server.said);
-        let aside = server.is_some_and(|server| server.damping.aside(now_ms));
-        let drained = self.drained_ms(worker);
-        match said {
-            Some(Said { word: OperatorCommand::Drain | OperatorCommand::Quarantine, .. }) => {
+        let issued = server.and_then(|server| server.command);
+        let quarantined = server.is_some_and(|server| server.damping.is_quarantined(now_ms));
+        let drained_ms = self.drained_ms(worker);
+        match issued {
+            Some(IssuedCommand { command: OperatorCommand::Drain | OperatorCommand::Quarantine, .. }) => {
                 Readiness::Draining
             }
-            // Newer than any drain that a source stated.
-            Some(Said { word: OperatorCommand::Undrain, at_ms })
-                if drained.is_none_or(|since| at_ms >= since) =>
+            // Issued after every drain reported by a source.
+            Some(IssuedCommand { command: OperatorCommand::Undrain, at_ms })
+                if drained_ms.is_none_or(|since| at_ms >= since) =>
             {
                 Readiness::Ready
             }
-            _ if drained.is_some() || aside => Readiness::Draining,
+            _ if drained_ms.is_some() || quarantined => Readiness::Draining,
             _ => Readiness::Ready,
         }
     }
 
-    /// Compares with what the decisions know, and says what is new to them.
-    fn tell(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
-        let mut next = self.acting(now_ms);
-        // A return that is one too many sets the server aside before it gets anything.
-        if self.returns(now_ms, &next) {
-            next = self.acting(now_ms);
+    /// Compares the effective list with the published one and returns the changes.
+    fn publish(&mut self, now_ms: f64, kind: ListKind) -> ListUpdate {
+        let mut next = self.effective_view(now_ms);
+        // A return that exceeds the flap limit quarantines the server before it receives any work.
+        if self.record_returns(now_ms, &next) {
+            next = self.effective_view(now_ms);
         }
-        let (mut rows, mut changed, mut others): (Vec<Listing>, bool, bool) = (Vec::new(), false, false);
-        for (was, now) in entry::merge_join(&self.acted, &next) {
-            others |= was.is_none() || now.is_none();
+        let (mut rows, mut changed, mut listed_set_changed): (Vec<Listing>, bool, bool) =
+            (Vec::new(), false, false);
+        for (was, now) in entry::merge_join(&self.active, &next) {
+            listed_set_changed |= was.is_none() || now.is_none();
             match (was, now) {
                 (_, Some(now)) => {
-                    let same = was.is_some_and(|was| same(was, now));
-                    changed |= !same;
-                    if kind != ListKind::Changes || !same {
+                    let unchanged = was.is_some_and(|was| rows_equal(was, now));
+                    changed |= !unchanged;
+                    if kind != ListKind::Changes || !unchanged {
                         rows.push(now.listing.clone());
                     }
                 }
@@ -624,11 +654,12 @@
         }
         if changed {
             self.revision += 1;
-            // The address of what is gone stays until a whole list leaves it out: a dispatch may still be out.
-            self.acted = next;
+            // The address of a gone server is kept until a whole list omits the server, since a dispatch may
+            // still be in flight.
+            self.active = next;
         }
-        if others {
-            self.follow(now_ms);
+        if listed_set_changed {
+            self.prune_servers(now_ms);
         }
         if rows.is_empty() || !changed && kind == ListKind::Changes {
             return ListUpdate::Unchanged;
@@ -636,56 +667,57 @@
         ListUpdate::Listed { kind, rows: rows.into() }
     }
 
-    /// Notes servers that are usable again after they were gone; true where one is set aside for it. Who drains a server
-    /// and ends that means it: only being gone counts.
-    fn returns(&mut self, now_ms: f64, next: &View) -> bool {
-        let back = entry::merge_join(&self.acted, next).filter_map(|(was, now)| {
+    /// Counts returns of servers that were gone; true if one of them is quarantined for it. The end of a
+    /// drain is intended and does not count as a return.
+    fn record_returns(&mut self, now_ms: f64, next: &View) -> bool {
+        let returned = entry::merge_join(&self.active, next).filter_map(|(was, now)| {
             let now = now.filter(|now| now.usable())?;
             let worker = &now.listing.worker;
-            let off = || self.servers.get(worker).is_some_and(|server| server.gone_ms.is_some());
-            was.map_or_else(off, |was| was.gone()).then(|| worker.clone())
+            let was_delisted = || self.servers.get(worker).is_some_and(|server| server.delisted_ms.is_some());
+            was.map_or_else(was_delisted, |was| was.gone()).then(|| worker.clone())
         });
-        let mut aside = false;
-        for worker in back.collect::<Vec<_>>() {
+        let mut quarantined = false;
+        for worker in returned.collect::<Vec<_>>() {
             let server = self.servers.entry(worker).or_default();
-            server.gone_ms = None;
-            if !server.damping.aside(now_ms) {
+            server.delisted_ms = None;
+            if !server.damping.is_quarantined(now_ms) {
                 let Rules { flaps, flap_window_ms, quarantine_ms, .. } = self.rules;
-                server.damping.returned(now_ms, flaps, flap_window_ms, quarantine_ms);
-                aside |= server.damping.aside(now_ms);
+                server.damping.record_return(now_ms, flaps, flap_window_ms, quarantine_ms);
+                quarantined |= server.damping.is_quarantined(now_ms);
             }
         }
-        aside
+        quarantined
     }
 
-    /// Lets what is remembered of servers follow who is listed. A server that left and comes back is still set aside if
-    /// it was; bounded, lest names without end pile up.
-    fn follow(&mut self, now_ms: f64) {
-        let (acted, within_ms) = (&self.acted, self.rules.flap_window_ms);
-        let mut room = LEFT_MAX;
+    /// Aligns the server states with the effective list. The state of a server that left is kept while it
+    /// matters, so that its quarantine survives a return. The number of kept states is limited, since names
+    /// may change without end.
+    fn prune_servers(&mut self, now_ms: f64) {
+        let (active, flap_window_ms) = (&self.active, self.rules.flap_window_ms);
+        let mut remaining = DELISTED_SERVERS_MAX;
         self.servers.retain(|worker, server| {
-            if acted.contains_key(worker) {
-                server.gone_ms = None;
+            if active.contains_key(worker) {
+                server.delisted_ms = None;
                 return true;
             }
-            server.gone_ms.get_or_insert(now_ms);
-            let word = matches!(
-                server.said,
-                Some(Said { word: OperatorCommand::Drain | OperatorCommand::Quarantine, .. })
+            server.delisted_ms.get_or_insert(now_ms);
+            let withdrawn = matches!(
+                server.command,
+                Some(IssuedCommand { command: OperatorCommand::Drain | OperatorCommand::Quarantine, .. })
             );
-            let late = server.gone_ms.is_some_and(|since| now_ms - since < within_ms);
-            let kept = (word || late || server.damping.aside(now_ms)) && room > 0;
-            room -= usize::from(kept);
-            kept
+            let recent = server.delisted_ms.is_some_and(|since| now_ms - since < flap_window_ms);
+            let keep = (withdrawn || recent || server.damping.is_quarantined(now_ms)) && remaining > 0;
+            remaining -= usize::from(keep);
+            keep
         });
-        for worker in self.acted.keys() {
+        for worker in self.active.keys() {
             self.servers.entry(worker.clone()).or_default();
         }
     }
 }
 
-/// Whether a row says the same to the decisions and to the sockets.
-fn same(old: &Arc<Row>, new: &Arc<Row>) -> bool {
+/// Whether two rows are equal for the scheduling core and for connections.
+fn rows_equal(old: &Arc<Row>, new: &Arc<Row>) -> bool {
     let bits = |row: &Row| (row.listing.weight.to_bits(), row.listing.started_ms.map(f64::to_bits));
     let (a, b) = (&old.listing, &new.listing);
     Arc::ptr_eq(old, new)
--- a/crates/membership/src/reload.rs
+++ b/crates/membership/src/reload.rs
@@ -1,10 +1,10 @@
-//! Which settings may change while a router runs, and how new ones stand beside those that open completions began
-//! under.
+//! Which settings may change while a router runs, and how new workload rows coexist with those of completions
+//! that started before the change.
 
 use paddleproxy::interface::Settings;
 use paddleproxy_settings::router::RouterSettings;
 
-/// One thing that only a new start can change.
+/// A setting that can only be changed by a restart.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{name}' can't change while the router runs; {instead}")]
 pub struct FixedSetting {
@@ -14,62 +14,68 @@
 
 const RESTART: &str = "stop this router and start it with the new settings";
 
-/// What new settings come to.
+/// The result of applying new settings.
 #[derive(Clone, Debug)]
 pub struct Applied {
-    /// For the front, the gates and the logs from now on. Workload rows are those of `decisions`.
+    /// For the client side, admission and the log from now on. Its workload rows refer to those of
+    /// `decisions`.
     pub settings: RouterSettings,
-    /// For the decisions. Rows that open completions may still have stay as they were.
+    /// For the scheduling core. Workload rows that open completions may still refer to are unchanged.
     pub decisions: Settings,
-    /// Nothing differs.
+    /// The new settings equal the current ones.
     pub unchanged: bool,
 }
 
-/// Rows of workloads that may stand beside each other. Beyond it a change is refused: restarts are cheap, memory is not.
-const ROWS_MAX: usize = 4096;
+/// Maximum number of workload rows, old ones included. A change beyond it is refused: a restart is cheap,
+/// memory is not.
+const WORKLOAD_ROWS_MAX: usize = 4096;
 
-/// Checks new settings against those at the start and those that stand.
+/// Checks new settings against the current ones.
 ///
 /// # Errors
-/// All that only a new start can change.
+/// All differences that need a restart.
 pub fn apply(
-    stands: &RouterSettings,
+    current: &RouterSettings,
     decisions: &Settings,
     new: &RouterSettings,
 ) -> Result<Applied, Vec<FixedSetting>> {
     let mut fixed = Vec::new();
-    let mut keep = |name, same: bool, instead| {
-        if !same {
+    let mut require = |name, unchanged: bool, instead| {
+        if !unchanged {
             fixed.push(FixedSetting { name, instead });
         }
     };
-    let (old, next) = (&stands.decisions, &new.decisions);
-    keep("number", old.own_number == next.own_number, "a router keeps its number; start another one");
-    keep("routers", old.routers == next.routers, RESTART);
-    keep("zone", old.zone == next.zone, RESTART);
-    keep("zones", stands.names.zones == new.names.zones, RESTART);
-    keep("listen", stands.listen == new.listen, "clients know this address; start another router there");
-    keep("admin", stands.admin == new.admin, RESTART);
-    keep("state-dir", stands.state_dir == new.state_dir, RESTART);
-    keep("seed", stands.seed == new.seed, RESTART);
-    keep("peers", stands.peers == new.peers, RESTART);
-    keep("servers-file", stands.servers_file == new.servers_file, RESTART);
-    keep("list", same(&stands.list, &new.list) && old.must_subscribe == next.must_subscribe, RESTART);
-    keep("kind", same(&stands.names.kinds, &new.names.kinds) && same(&old.kinds, &next.kinds), RESTART);
-    keep("dialect", stands.dialects == new.dialects, RESTART);
-    keep("front", same(&stands.front, &new.front), RESTART);
-    keep("engines", same(&stands.engines, &new.engines), RESTART);
-    keep("requests", same(&stands.rules, &new.rules), RESTART);
-    keep("membership", stands.membership == new.membership, RESTART);
-    keep("rules", same(&rules_of(old), &rules_of(next)) && stands.reports == new.reports, RESTART);
+    let (old, next) = (&current.decisions, &new.decisions);
+    require("number", old.own_number == next.own_number, "a router keeps its number; start another one");
+    require("routers", old.routers == next.routers, RESTART);
+    require("zone", old.zone == next.zone, RESTART);
+    require("zones", current.names.zones == new.names.zones, RESTART);
+    require("listen", current.listen == new.listen, "clients know this address; start another router there");
+    require("admin", current.admin == new.admin, RESTART);
+    require("state-dir", current.state_dir == new.state_dir, RESTART);
+    require("seed", current.seed == new.seed, RESTART);
+    require("peers", current.peers == new.peers, RESTART);
+    require("servers-file", current.servers_file == new.servers_file, RESTART);
+    require("list", equal(&current.list, &new.list) && old.must_subscribe == next.must_subscribe, RESTART);
+    require("kind", equal(&current.names.kinds, &new.names.kinds) && equal(&old.kinds, &next.kinds), RESTART);
+    require("dialect", current.dialects == new.dialects, RESTART);
+    require("front", equal(&current.front, &new.front), RESTART);
+    require("engines", equal(&current.engines, &new.engines), RESTART);
+    require("requests", equal(&current.rules, &new.rules), RESTART);
+    require("membership", current.membership == new.membership, RESTART);
+    require(
+        "rules",
+        equal(&routing_rules(old), &routing_rules(next)) && current.reports == new.reports,
+        RESTART,
+    );
     let names = |settings: &RouterSettings| {
         settings.names.customers.iter().map(|row| row.name.clone()).collect::<Vec<_>>()
     };
-    // Customers are counted by row: further ones may follow, those that are there stay where they are.
-    let before = names(stands);
-    keep(
+    // Customers are identified by row: new ones may be appended, existing ones keep their rows.
+    let old_names = names(current);
+    require(
         "customer",
-        names(new).starts_with(&before),
+        names(new).starts_with(&old_names),
         "give a customer no keys to end its access; its row stays",
     );
     if !fixed.is_empty() {
@@ -77,40 +83,41 @@
     }
     let mut applied = new.clone();
     let mut rows = decisions.workloads.clone();
-    // The row of each workload of the new settings among all rows that there ever were.
-    let place: Vec<usize> = next
+    // For each workload of the new settings, its row among all rows so far.
+    let workload_rows: Vec<usize> = next
         .workloads
         .iter()
         .enumerate()
         .map(|(row, workload)| {
-            let now = stands.workload_rows.get(row).copied();
-            let kept = now.filter(|now| same(&rows[*now], workload));
-            // The newest equal one serves; so going back and forth does not grow without end.
-            let found = kept.or_else(|| rows.iter().rposition(|old| same(old, workload)));
+            let current_row = current.workload_rows.get(row).copied();
+            let same_row = current_row.filter(|row| equal(&rows[*row], workload));
+            // Reuses the newest equal row, so that alternating between two settings does not add rows
+            // forever.
+            let found = same_row.or_else(|| rows.iter().rposition(|old| equal(old, workload)));
             found.unwrap_or_else(|| {
                 rows.push(workload.clone());
                 rows.len() - 1
             })
         })
         .collect();
-    if rows.len() > ROWS_MAX {
+    if rows.len() > WORKLOAD_ROWS_MAX {
         return Err(vec![FixedSetting {
             name: "workload",
             instead: "it has changed too often; restart the router",
         }]);
     }
-    applied.workload_rows = place;
-    let unchanged = same(stands, &applied);
+    applied.workload_rows = workload_rows;
+    let unchanged = equal(current, &applied);
     let decisions = Settings { workloads: rows, ..next.clone() };
     Ok(Applied { settings: applied, decisions, unchanged })
 }
 
-/// Settings are plain data: their form for people tells all of it.
-fn same<T: std::fmt::Debug>(one: &T, other: &T) -> bool {
+/// Compares through `Debug`, which prints every field: settings are plain data.
+fn equal<T: std::fmt::Debug>(one: &T, other: &T) -> bool {
     format!("{one:?}") == format!("{other:?}")
 }
 
-/// All but the rows and what is checked by name.
-fn rules_of(settings: &Settings) -> Settings {
+/// All settings except those that are compared by name above.
+fn routing_rules(settings: &Settings) -> Settings {
     Settings { workloads: Vec::new(), customers: Vec::new(), kinds: Vec::new(), ..settings.clone() }
 }
--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -1,4 +1,4 @@
-//! What one source states, version by version.
+//! The versions and drains reported by one source.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,18 +7,18 @@
 use paddleproxy_engine::ServerList;
 use serde::{Deserialize, Serialize};
 
-use crate::entry::{self, Checks, View};
+use crate::entry::{self, ConfiguredNames, View};
 use crate::{SavedDrain, VersionError};
 
-/// Who states which servers exist, the one that leads first.
+/// The sources of server lists, in the order in which they lead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum SourceId {
-    /// The operators' watched file.
+    /// The servers file that operators edit.
     File,
     /// The list service.
     Service,
-    /// The list of an earlier run.
+    /// The list saved by an earlier run.
     Saved,
 }
 
@@ -34,50 +34,51 @@
     }
 }
 
-/// A drain that a source stated.
+/// A drain reported by a source.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
     pub since_ms: f64,
     pub epoch: u64,
     pub version: u64,
-    /// Since when a word that may be older says otherwise.
-    doubted_ms: Option<f64>,
-    /// A word of its own version or an older one says otherwise, which never ends it.
-    denied: bool,
+    /// Since when a version of another epoch, which may be older, reports the server as ready.
+    contradicted_ms: Option<f64>,
+    /// A version of the same epoch that is not newer reported the server as ready. Such a version never ends a
+    /// drain.
+    contradicted: bool,
 }
 
 impl Drain {
-    /// Whether its source has said otherwise since.
-    pub fn denied(&self) -> bool {
-        self.denied || self.doubted_ms.is_some()
+    /// Whether the source has since reported the server as ready.
+    pub fn is_contradicted(&self) -> bool {
+        self.contradicted || self.contradicted_ms.is_some()
     }
 }
 
-/// How the answer of a source was understood.
+/// How a source's version was understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionOutcome {
     New {
         whole: bool,
     },
     Unchanged,
-    /// Changes on a version that we do not have.
+    /// A delta to a version that is not known here.
     WholeNeeded,
 }
 
-/// Lives as long as the router.
+/// State of one source, kept as long as the router runs.
 #[derive(Debug, Default)]
 pub struct Source {
     pub epoch: u64,
     pub version: Option<u64>,
-    /// When it last said anything at all.
-    pub heard_ms: f64,
-    /// All that it states, held versions included.
-    pub states: View,
-    /// What the guard has let through of it.
-    pub stands: View,
-    pub stands_version: (u64, u64),
+    /// Time of the last response, with or without a new version.
+    pub last_contact_ms: f64,
+    /// All servers of the latest version, even if that version is held.
+    pub reported: View,
+    /// The servers of the latest version that was not held, and its number.
+    pub accepted: View,
+    pub accepted_version: (u64, u64),
     pub drains: BTreeMap<WorkerId, Drain>,
-    /// Of the text that its last version was read from.
+    /// Fingerprint of the text that the latest version was read from.
     pub fingerprint: Option<u64>,
     pub refused: u64,
     pub last_refused: Option<String>,
@@ -88,20 +89,21 @@
         Some((self.epoch, self.version?))
     }
 
-    /// Takes in one version. Numbers only go forward within an epoch; a service that started anew counts them anew, and
-    /// its whole list is taken, however low. Harm: a stray old service is heard; what its list takes away is held, and
-    /// the drains that stood stay doubted for a while.
+    /// Applies one version. Within an epoch version numbers only increase. A restarted service starts a new
+    /// epoch and counts anew, so its whole list is accepted however low its number is. The cost is that a
+    /// stray old service is accepted too: the servers that its list removes are held, and drains that it
+    /// contradicts stay for the hold time.
     ///
     /// # Errors
-    /// ExcessRemoval the version is refused; what was stated before still is.
-    pub fn state(
+    /// Why the version is refused; the previous version stays.
+    pub fn apply(
         &mut self,
-        checks: &Checks,
+        names: &ConfiguredNames,
         now_ms: f64,
         list: &ServerList,
         fingerprint: Option<u64>,
     ) -> Result<VersionOutcome, VersionError> {
-        self.heard_ms = now_ms;
+        self.last_contact_ms = now_ms;
         if let Some(have) = self.version.filter(|_| self.epoch == list.epoch) {
             if list.version < have {
                 return Err(VersionError::Older { got: list.version, have });
@@ -123,61 +125,63 @@
         if whole && list.servers.is_empty() {
             return Err(VersionError::Empty);
         }
-        let rows = entry::rows(checks, now_ms, &list.servers, &self.states)
+        let rows = entry::parse_rows(names, now_ms, &list.servers, &self.reported)
             .map_err(|(server, what)| VersionError::Entry { server, what })?;
         let changed: Vec<_> = rows.iter().map(|row| row.listing.worker.clone()).collect();
-        let mut states = if whole { View::new() } else { self.states.clone() };
-        states.extend(rows.into_iter().map(|row| (row.listing.worker.clone(), Arc::new(row))));
-        if let Some((one, other)) = entry::same_address(&states, (!whole).then_some(&changed[..])) {
+        let mut reported = if whole { View::new() } else { self.reported.clone() };
+        reported.extend(rows.into_iter().map(|row| (row.listing.worker.clone(), Arc::new(row))));
+        if let Some((one, other)) = entry::same_address(&reported, (!whole).then_some(&changed[..])) {
             let what = format!("has the address of '{:.64}'", one.0);
             return Err(VersionError::Entry { server: other.0.to_string(), what });
         }
-        if states.values().all(|row| row.gone()) {
+        if reported.values().all(|row| row.gone()) {
             return Err(VersionError::Empty);
         }
-        if states.values().filter(|row| row.usable()).all(|row| row.listing.weight <= 0.0)
-            && states.values().any(|row| row.usable())
+        if reported.values().filter(|row| row.usable()).all(|row| row.listing.weight <= 0.0)
+            && reported.values().any(|row| row.usable())
         {
             return Err(VersionError::NoWeight);
         }
-        self.drains_of(now_ms, &states, (list.epoch, list.version));
+        self.update_drains(now_ms, &reported, (list.epoch, list.version));
         (self.epoch, self.version) = (list.epoch, Some(list.version));
-        self.states = states;
+        self.reported = reported;
         self.fingerprint = fingerprint;
         Ok(VersionOutcome::New { whole })
     }
 
-    /// Drains begin with the word; they end with a newer word of the same source, with another process under the name,
-    /// or with one that may be older only once it was doubted long enough.
-    fn drains_of(&mut self, now_ms: f64, next: &View, (epoch, version): (u64, u64)) {
-        let (old, stands) = (&self.states, &self.stands);
+    /// Drains start with the version that reports them. They end with a newer version of the same source or
+    /// with another process under the server's name. A version of another epoch with no higher number may be
+    /// older, so a drain that it contradicts ends only after the hold time.
+    fn update_drains(&mut self, now_ms: f64, next: &View, (epoch, version): (u64, u64)) {
+        let (old, accepted) = (&self.reported, &self.accepted);
         self.drains.retain(|worker, drain| {
-            // Left out: what was said of it stands as long as it is acted on.
-            let Some(row) = next.get(worker) else { return stands.contains_key(worker) };
-            let another = old
+            // Omitted by this version: a drain stays as long as its server is in the accepted list.
+            let Some(row) = next.get(worker) else { return accepted.contains_key(worker) };
+            let new_process = old
                 .get(worker)
                 .is_some_and(|old| (old.entry.start, old.address) != (row.entry.start, row.address));
             match row.listing.readiness {
-                // Who is called gone by name gets no new work either, whatever becomes of the version.
+                // A server reported as gone gets no new work either, even if the version is held.
                 Readiness::Draining | Readiness::Gone => {
-                    // Another word than before, or the same after it said otherwise: this is a drain anew.
-                    let other =
+                    // A different readiness than before, or the same after a contradiction, starts a new
+                    // drain.
+                    let readiness_changed =
                         old.get(worker).is_none_or(|old| old.listing.readiness != row.listing.readiness);
-                    if drain.denied() || other {
+                    if drain.is_contradicted() || readiness_changed {
                         drain.since_ms = now_ms;
                     }
                     (drain.epoch, drain.version) = (epoch, version);
-                    (drain.doubted_ms, drain.denied) = (None, false);
+                    (drain.contradicted_ms, drain.contradicted) = (None, false);
                     true
                 }
-                Readiness::Ready if another => false,
+                Readiness::Ready if new_process => false,
                 Readiness::Ready if epoch == drain.epoch => {
-                    drain.denied = true;
+                    drain.contradicted = true;
                     version <= drain.version
                 }
                 Readiness::Ready if version > drain.version => false,
                 Readiness::Ready => {
-                    drain.doubted_ms.get_or_insert(now_ms);
+                    drain.contradicted_ms.get_or_insert(now_ms);
                     true
                 }
             }
@@ -187,29 +191,28 @@
                 since_ms: now_ms,
                 epoch,
                 version,
-                doubted_ms: None,
-                denied: false,
+                contradicted_ms: None,
+                contradicted: false,
             });
         }
     }
 
-    /// A drain of before the start.
-    pub fn drained_before(&mut self, worker: WorkerId, since_ms: f64, saved: &SavedDrain) {
+    /// Restores a drain from an earlier run.
+    pub fn restore_drain(&mut self, worker: WorkerId, since_ms: f64, saved: &SavedDrain) {
         let SavedDrain { epoch, version, contradicted, .. } = *saved;
-        self.drains
-            .insert(worker, Drain { since_ms, epoch, version, doubted_ms: None, denied: contradicted });
+        self.drains.insert(worker, Drain { since_ms, epoch, version, contradicted_ms: None, contradicted });
     }
 
-    /// Ends drains that were doubted for so long.
-    pub fn doubts(&mut self, now_ms: f64, hold_ms: f64) {
-        self.drains.retain(|_, drain| drain.doubted_ms.is_none_or(|since| now_ms < since + hold_ms));
+    /// Ends drains that have been contradicted for the hold time.
+    pub fn end_contradicted_drains(&mut self, now_ms: f64, hold_ms: f64) {
+        self.drains.retain(|_, drain| drain.contradicted_ms.is_none_or(|since| now_ms < since + hold_ms));
     }
 
-    /// When the next of them ends.
-    pub fn doubts_end_ms(&self, hold_ms: f64) -> Option<f64> {
+    /// When the next contradicted drain ends.
+    pub fn next_drain_end_ms(&self, hold_ms: f64) -> Option<f64> {
         self.drains
             .values()
-            .filter_map(|drain| drain.doubted_ms)
+            .filter_map(|drain| drain.contradicted_ms)
             .map(|since| since + hold_ms)
             .min_by(f64::total_cmp)
     }
--- a/crates/membership/src/status.rs
+++ b/crates/membership/src/status.rs
@@ -1,22 +1,22 @@
-//! What a person is told of the list: each source by name, each server and who says so.
+//! Status for operators: each source, each server, and what determined the server's phase.
 
 use paddleproxy::interface::Readiness;
 use serde::Serialize;
 
-use crate::{Membership, OperatorCommand, Said, SourceId};
+use crate::{IssuedCommand, Membership, OperatorCommand, SourceId};
 
-/// Where a server is in its life.
+/// Life cycle phase of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// Known, and nothing was heard of it yet.
+    /// Listed, but it has not answered this router yet.
     Listed,
-    /// Its process is younger than the time to warm up.
+    /// Its process is younger than the slow-start period.
     #[serde(rename = "fresh")]
     SlowStart,
     Ready,
     Draining,
-    /// Set aside, by operators or because it came back too often.
+    /// Taken out of use by an operator, or because it returned too often.
     Quarantined,
     Gone,
 }
@@ -27,7 +27,7 @@
     pub leads: bool,
     pub epoch: u64,
     pub version: Option<u64>,
-    /// Time since it last said anything, in ms; None where it has not since the start.
+    /// Time since its last response, in ms; None if there was none since the start of the router.
     pub silent_ms: Option<f64>,
     pub stale: bool,
     pub refused: u64,
@@ -39,9 +39,9 @@
     pub name: String,
     pub address: String,
     pub phase: Phase,
-    /// Who says so.
+    /// What determined the phase: a source, `operator` or `damping`.
     pub by: &'static str,
-    /// For how long, in ms, where it is known.
+    /// How long the phase has lasted, in ms, where that is known. For `Ready` the age of the process.
     pub for_ms: Option<f64>,
     pub weight: f64,
 }
@@ -50,7 +50,7 @@
 pub struct Status {
     pub revision: u64,
     pub sources: Vec<SourceStatus>,
-    /// ExcessRemoval a version is held, and since when, in ms.
+    /// The held version with the reason, and how long it has been held, in ms.
     pub held: Option<(String, f64)>,
     pub held_total: u64,
     pub servers: Vec<ServerStatus>,
@@ -59,7 +59,7 @@
 impl Membership {
     pub fn status(&self, now_ms: f64, slow_start_ms: f64) -> Status {
         let sources = self.sources.iter().map(|(id, source)| {
-            let silent_ms = Some(now_ms - source.heard_ms).filter(|silent| silent.is_finite());
+            let silent_ms = Some(now_ms - source.last_contact_ms).filter(|silent| silent.is_finite());
             SourceStatus {
                 name: id.name(),
                 leads: self.lead == Some(*id),
@@ -73,8 +73,8 @@
         });
         let held = self.held.as_ref().map(|held| {
             let (epoch, version) = held.version;
-            let what = format!("{} version {epoch}.{version}: {}", held.source.name(), held.reason);
-            (what, now_ms - held.since_ms)
+            let text = format!("{} version {epoch}.{version}: {}", held.source.name(), held.reason);
+            (text, now_ms - held.since_ms)
         });
         Status {
             revision: self.revision,
@@ -89,26 +89,26 @@
         let lead = self.lead.map_or("nobody", SourceId::name);
         let row = |(worker, row): (&_, &std::sync::Arc<crate::entry::Row>)| {
             let server = self.servers.get(worker);
-            let said = server.and_then(|server| server.said);
-            let aside = server.is_some_and(|server| server.damping.aside(now_ms));
-            let heard = server.is_some_and(|server| server.answered_ms.is_some());
-            let fresh = row.listing.started_ms.filter(|started| now_ms - started < slow_start_ms);
-            let (phase, by, since) = match (row.listing.readiness, said) {
+            let issued = server.and_then(|server| server.command);
+            let quarantined = server.is_some_and(|server| server.damping.is_quarantined(now_ms));
+            let reachable = server.is_some_and(|server| server.reachable_ms.is_some());
+            let started_recently = row.listing.started_ms.filter(|started| now_ms - started < slow_start_ms);
+            let (phase, by, since) = match (row.listing.readiness, issued) {
                 (Readiness::Gone, _) => (Phase::Gone, lead, None),
-                (_, Some(Said { word: OperatorCommand::Quarantine, at_ms })) => {
+                (_, Some(IssuedCommand { command: OperatorCommand::Quarantine, at_ms })) => {
                     (Phase::Quarantined, "operator", Some(at_ms))
                 }
-                (Readiness::Draining, Some(Said { word: OperatorCommand::Drain, at_ms })) => {
+                (Readiness::Draining, Some(IssuedCommand { command: OperatorCommand::Drain, at_ms })) => {
                     (Phase::Draining, "operator", Some(at_ms))
                 }
                 (Readiness::Draining, _) => match self.drained_ms(worker) {
                     Some(since) => (Phase::Draining, self.drained_by(worker), Some(since)),
-                    None if aside => (Phase::Quarantined, "damping", None),
+                    None if quarantined => (Phase::Quarantined, "damping", None),
                     None => (Phase::Draining, lead, None),
                 },
-                (Readiness::Ready, _) => match fresh {
+                (Readiness::Ready, _) => match started_recently {
                     Some(started) => (Phase::SlowStart, lead, Some(started)),
-                    None if heard => (Phase::Ready, lead, row.listing.started_ms),
+                    None if reachable => (Phase::Ready, lead, row.listing.started_ms),
                     None => (Phase::Listed, lead, None),
                 },
             };
@@ -121,7 +121,7 @@
                 weight: row.listing.weight,
             }
         };
-        self.acted.iter().map(row).collect()
+        self.active.iter().map(row).collect()
     }
 
     fn drained_by(&self, worker: &paddleproxy::interface::WorkerId) -> &'static str {
