--- a/crates/membership/src/source.rs
+++ b/crates/membership/src/source.rs
@@ -42,8 +42,7 @@
     pub version: u64,
     /// Since when a version of another epoch, which may be older, reports the server as ready.
     contradicted_ms: Option<f64>,
-    /// A version of the same epoch that is not newer reported the server as ready. Such a version never ends a
-    /// drain.
+    /// A version of the same epoch that is not newer reported the server as ready. That never ends a drain.
     contradicted: bool,
 }
 
