--- a/crates/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -18,7 +18,7 @@
 impl std::fmt::Display for ExcessRemoval {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let ExcessRemoval { group, usable, removed } = self;
-        write!(f, "it removes {removed} of the {usable} usable servers of {group} at once")
+        write!(f, "it takes away {removed} of the {usable} usable servers of {group} at once")
     }
 }
 
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -49,7 +49,7 @@
 /// Why a version was refused.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VersionError {
-    #[error("version {got} is older than version {have}, which accepted")]
+    #[error("version {got} is older than version {have}, which is already known")]
     Older { got: u64, have: u64 },
     #[error("server '{server}': {what}")]
     Entry { server: String, what: String },
