--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,11 +1,12 @@
-//! A small store for what a router must know after a restart: an append-only log in segments, an index in memory,
-//! compaction by a snapshot, and recovery that believes nothing whose checksum does not fit. `docs/operators/state.md`
-//! describes the format byte by byte.
+//! A small store for the state that a router needs after a restart: an append-only log in segments, an index
+//! in memory, compaction by snapshots, and recovery that uses only data with valid checksums.
+//! `docs/operators/state.md` describes the format byte by byte.
 //!
-//! - `format`: records and heads of segments as bytes; no I/O.
-//! - `recovery`: what a directory's segments say together; no I/O.
-//! - `retention`: what is worth its bytes, how old it may be, and what a restart may believe of it; no I/O.
-//! - `medium`: the little file work that there is, behind a trait; `memory` is one that can fail in every way.
+//! - `format`: encoding of records and segment headers; no I/O.
+//! - `recovery`: rebuilds the state from a directory's segments; no I/O.
+//! - `retention`: what is stored about cached tokens and idempotent requests, how long it is kept, and what
+//!   of it a restart uses; no I/O.
+//! - `medium`: the file operations of a store as a trait; `memory` implements it with injected faults.
 //! - `store`: the log itself; `writer`: a thread that owns it, behind bounded channels.
 
 pub mod format;
@@ -21,23 +22,23 @@
 pub use store::{Options, Stats, Store};
 pub use writer::{Acknowledged, Handle};
 
-/// What can go wrong.
+/// Errors of a store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{what}: {cause}")]
     Io { what: String, cause: std::io::Error },
-    /// A sync failed: what was written before it may or may not be there, and nothing more is acknowledged.
-    #[error("a sync failed earlier; nothing more is acknowledged until the store is opened anew")]
+    /// A sync failed: writes before it may or may not be on the disk, and no later write is acknowledged.
+    #[error("a sync failed earlier; nothing more is acknowledged until the store is reopened")]
     Poisoned,
-    #[error("a record of {bytes} bytes is longer than {most}")]
-    TooLong { bytes: usize, most: usize },
-    #[error("the store is of router {found}, this is router {own}")]
+    #[error("a record of {bytes} bytes exceeds the limit of {max_bytes}")]
+    TooLong { bytes: usize, max_bytes: usize },
+    #[error("the store belongs to router {found}; this is router {own}")]
     OtherRouter { found: u32, own: u32 },
     #[error("{segment} at byte {offset}: {what}")]
     Damaged { segment: String, offset: u64, what: String },
     #[error("another process holds the store")]
     Locked,
-    #[error("the writer has ended")]
+    #[error("the writer thread has ended")]
     Ended,
 }
 
--- a/crates/store/src/medium.rs
+++ b/crates/store/src/medium.rs
@@ -1,64 +1,64 @@
-//! The file work that a store needs, and no more.
+//! The file operations that a store needs.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory of files with plain names. All writes append.
+/// A directory of files. All writes append.
 pub trait Medium {
     /// Names of all files.
     ///
     /// # Errors
-    /// As of the system, here and below.
+    /// Errors of the file system, here and in the other methods.
     fn names(&mut self) -> io::Result<Vec<String>>;
     fn read(&mut self, name: &str) -> io::Result<Vec<u8>>;
-    /// A new file, which must not be there.
+    /// Creates a file; it is an error if the file exists.
     fn create(&mut self, name: &str) -> io::Result<()>;
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// What was appended is on the disk when this returns.
+    /// Makes all appended bytes of a file durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Names that were made, changed and removed are on the disk when this returns.
+    /// Makes all created, renamed and removed names durable.
     fn sync_dir(&mut self) -> io::Result<()>;
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Cuts a file to so many bytes.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, bytes: u64) -> io::Result<()>;
 }
 
-/// A directory of the disk, held against other processes.
+/// A directory on disk, locked against other processes.
 #[derive(Debug)]
 pub struct Disk {
     dir: PathBuf,
-    /// The file that is appended to, kept open.
-    open: Option<(String, File)>,
+    /// The file that was appended to last, kept open.
+    open_file: Option<(String, File)>,
     _lock: Option<File>,
 }
 
 const LOCK: &str = "lock";
 
 impl Disk {
-    /// Opens a directory, made if need be, for this process alone.
+    /// Opens a directory for this process alone and creates it if necessary.
     ///
     /// # Errors
-    /// `WouldBlock` where another process has it; else as of the system.
+    /// `WouldBlock` if another process holds the lock; otherwise errors of the file system.
     pub fn open(dir: &Path) -> io::Result<Disk> {
         std::fs::create_dir_all(dir)?;
         let lock = OpenOptions::new().create(true).truncate(false).write(true).open(dir.join(LOCK))?;
         rustix::fs::flock(&lock, rustix::fs::FlockOperation::NonBlockingLockExclusive)?;
-        Ok(Disk { dir: dir.to_owned(), open: None, _lock: Some(lock) })
+        Ok(Disk { dir: dir.to_owned(), open_file: None, _lock: Some(lock) })
     }
 
-    /// For looking only: no lock is taken.
+    /// For reading only; takes no lock.
     pub fn open_read_only(dir: &Path) -> Disk {
-        Disk { dir: dir.to_owned(), open: None, _lock: None }
+        Disk { dir: dir.to_owned(), open_file: None, _lock: None }
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if self.open.as_ref().is_none_or(|(open, _)| open != name) {
+        if self.open_file.as_ref().is_none_or(|(open_name, _)| open_name != name) {
             let file = OpenOptions::new().append(true).open(self.dir.join(name))?;
-            self.open = Some((name.to_owned(), file));
+            self.open_file = Some((name.to_owned(), file));
         }
-        self.open.as_mut().map(|(_, file)| file).ok_or_else(|| io::Error::other("no file"))
+        self.open_file.as_mut().map(|(_, file)| file).ok_or_else(|| io::Error::other("no file"))
     }
 }
 
@@ -83,7 +83,7 @@
 
     fn create(&mut self, name: &str) -> io::Result<()> {
         let file = OpenOptions::new().create_new(true).append(true).open(self.dir.join(name))?;
-        self.open = Some((name.to_owned(), file));
+        self.open_file = Some((name.to_owned(), file));
         Ok(())
     }
 
@@ -100,17 +100,17 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::rename(self.dir.join(from), self.dir.join(to))
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         std::fs::remove_file(self.dir.join(name))
     }
 
     fn truncate(&mut self, name: &str, bytes: u64) -> io::Result<()> {
-        self.open = None;
+        self.open_file = None;
         let file = OpenOptions::new().write(true).open(self.dir.join(name))?;
         file.set_len(bytes)?;
         file.sync_all()
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,28 +1,28 @@
-//! What the segments of a directory say together. Nothing is believed whose checksum or place does not fit: the state
-//! that comes out is the one after some number of writes, never one with a hole.
+//! Rebuilds the state from the segments of a directory. Only records with a valid checksum at their expected
+//! position are used: the result is always the state after some number of writes, without gaps.
 
 use std::collections::BTreeMap;
 
 use crate::format::{decode, Decoded, Key, Op, SegmentHeader, HEADER_BYTES};
 
-/// A segment as it was read.
+/// A segment as read from the medium.
 #[derive(Clone, Debug)]
 pub struct Segment {
     pub name: String,
     pub bytes: Vec<u8>,
 }
 
-/// Something that does not fit.
+/// A damaged or unusable part of a segment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     pub segment: String,
     pub offset: u64,
     pub what: String,
-    /// Whether a power cut alone explains it: the end of the last segment, or a file that never got its name.
+    /// Whether a power loss explains it: a torn end of the last segment, or a missing header there.
     pub torn: bool,
 }
 
-/// One live entry: its value, and the bytes that it takes in the log.
+/// A live entry: its value, and the bytes that its record occupies in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
     pub value: Vec<u8>,
@@ -32,22 +32,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovered {
     pub entries: BTreeMap<Key, Entry>,
-    /// Writes that the state contains; the next one gets this number.
+    /// Sequence number of the next write.
     pub next_seq: u64,
     pub next_segment: u64,
     pub router: Option<u32>,
-    /// Segments whose content the state is made of, with how many of their bytes are good.
+    /// Segments that the state was built from, with the length of their valid part.
     pub used: Vec<(String, u64)>,
-    /// Segments that a snapshot replaced, and files without a name of their own: they may go.
+    /// Segments replaced by a snapshot, and unfinished snapshots; both may be removed.
     pub obsolete: Vec<String>,
     /// Segments that could not be used, or only in part.
     pub findings: Vec<Finding>,
-    /// Bytes of all used segments.
+    /// Total length of the valid parts of the used segments.
     pub bytes: u64,
 }
 
 impl Recovered {
-    /// Whether anything was found that no power cut explains.
+    /// Whether there is damage that a power loss does not explain.
     pub fn damaged(&self) -> bool {
         self.findings.iter().any(|finding| !finding.torn)
     }
@@ -57,157 +57,173 @@
 pub const UNFINISHED_SUFFIX: &str = ".new";
 pub const DAMAGED_SUFFIX: &str = ".broken";
 
-/// The name of a segment.
+/// File name of a segment.
 pub fn segment_name(number: u64) -> String {
     format!("{number:016x}{SEGMENT_SUFFIX}")
 }
 
-struct Read {
+struct SegmentContents {
+    /// Operations with the lengths of their records.
     ops: Vec<(Op, u64)>,
     next_seq: u64,
-    good: u64,
-    wrong: Option<String>,
-    ended: bool,
+    valid_bytes: u64,
+    /// Why the record after the valid bytes is invalid.
+    invalid: Option<String>,
+    /// Whether the end record of a snapshot was reached.
+    complete: bool,
 }
 
-/// Reads the records of one segment as long as they fit, numbered on from `seq`; None: from whatever the first says.
-fn read(bytes: &[u8], mut seq: Option<u64>) -> Read {
-    let (mut ops, mut at, mut wrong, mut ended) = (Vec::new(), HEADER_BYTES, None, false);
-    while at < bytes.len() && !ended {
+/// Decodes the records of one segment up to the first invalid one. `seq` is the expected sequence number of
+/// the first record; None accepts any.
+fn read_records(bytes: &[u8], mut seq: Option<u64>) -> SegmentContents {
+    let (mut ops, mut at, mut invalid, mut complete) = (Vec::new(), HEADER_BYTES, None, false);
+    while at < bytes.len() && !complete {
         match decode(&bytes[at..]) {
             Decoded::Record { seq: found, op, bytes } => {
-                ended = op == Op::SnapshotEnds;
-                if !ended && seq.is_some_and(|seq| seq != found) {
-                    wrong = Some(format!("record {found} where {} belongs", seq.unwrap_or(0)));
+                complete = op == Op::SnapshotEnds;
+                if !complete && seq.is_some_and(|seq| seq != found) {
+                    invalid = Some(format!("sequence number {found} instead of {}", seq.unwrap_or(0)));
                     break;
                 }
-                seq = Some(if ended { found } else { found + 1 });
+                seq = Some(if complete { found } else { found + 1 });
                 ops.push((op, bytes as u64));
                 at += bytes;
             }
-            Decoded::Short => {
-                wrong = Some("it ends within a record".into());
+            Decoded::Truncated => {
+                invalid = Some("the segment ends within a record".into());
                 break;
             }
-            Decoded::Wrong(what) => {
-                wrong = Some(what);
+            Decoded::Invalid(what) => {
+                invalid = Some(what);
                 break;
             }
         }
     }
-    Read { ops, next_seq: seq.unwrap_or(0), good: at as u64, wrong, ended }
+    SegmentContents { ops, next_seq: seq.unwrap_or(0), valid_bytes: at as u64, invalid, complete }
 }
 
-/// Puts the segments of a directory together.
+/// Rebuilds the state from the segments of a directory.
 pub fn recover(mut segments: Vec<Segment>) -> Recovered {
-    let mut all = Recovered::default();
-    let mut heads = Vec::new();
+    let mut recovered = Recovered::default();
+    let mut headers = Vec::new();
     segments.sort_by(|a, b| a.name.cmp(&b.name));
     for segment in segments {
         if segment.name.ends_with(UNFINISHED_SUFFIX) {
-            // A snapshot that never got its name; what it was made of is still there.
-            all.obsolete.push(segment.name);
+            // An unfinished snapshot; the segments that it was made from still exist.
+            recovered.obsolete.push(segment.name);
             continue;
         }
         let number =
             segment.name.strip_suffix(SEGMENT_SUFFIX).and_then(|name| u64::from_str_radix(name, 16).ok());
         let Some(number) = number else { continue };
-        all.next_segment = all.next_segment.max(number + 1);
-        heads.push((number, SegmentHeader::decode(&segment.bytes), segment));
+        recovered.next_segment = recovered.next_segment.max(number + 1);
+        headers.push((number, SegmentHeader::decode(&segment.bytes), segment));
     }
-    heads.sort_by_key(|(number, _, _)| *number);
-    let last = heads.last().map(|(number, _, _)| *number);
+    headers.sort_by_key(|(number, _, _)| *number);
+    let last = headers.last().map(|(number, _, _)| *number);
     let finding = |segment: &Segment, offset, what: &str, torn| Finding {
         segment: segment.name.clone(),
         offset,
         what: what.to_owned(),
         torn,
     };
-    // The newest snapshot that is whole is where the state begins.
+    // The state starts at the newest complete snapshot.
     let mut base = None;
-    for (number, head, segment) in heads.iter().rev() {
-        let Ok(head) = head else { continue };
-        if !head.snapshot || base.is_some() {
+    for (number, header, segment) in headers.iter().rev() {
+        let Ok(header) = header else { continue };
+        if !header.snapshot || base.is_some() {
             continue;
         }
-        let read = read(&segment.bytes, Some(0));
-        if read.ended && read.good == segment.bytes.len() as u64 {
-            base = Some((*number, read));
+        let contents = read_records(&segment.bytes, Some(0));
+        if contents.complete && contents.valid_bytes == segment.bytes.len() as u64 {
+            base = Some((*number, contents));
         } else {
-            let what = read.wrong.unwrap_or_else(|| "a snapshot that does not end".into());
-            all.findings.push(finding(segment, read.good, &what, false));
+            let what = contents.invalid.unwrap_or_else(|| "a snapshot without its end record".into());
+            recovered.findings.push(finding(segment, contents.valid_bytes, &what, false));
         }
     }
     let from = base.as_ref().map(|(number, _)| *number);
-    if let Some((number, read)) = base {
-        all.next_seq = read.next_seq;
-        for (op, bytes) in read.ops {
-            apply(&mut all.entries, op, bytes);
+    if let Some((number, contents)) = base {
+        recovered.next_seq = contents.next_seq;
+        for (op, bytes) in contents.ops {
+            apply(&mut recovered.entries, op, bytes);
         }
-        all.used.push((segment_name(number), read.good));
-        all.bytes += read.good;
+        recovered.used.push((segment_name(number), contents.valid_bytes));
+        recovered.bytes += contents.valid_bytes;
     }
-    let mut broken = false;
-    for (number, head, segment) in &heads {
+    let mut damaged = false;
+    for (number, header, segment) in &headers {
         let before = from.is_some_and(|from| *number < from);
         if before {
-            all.obsolete.push(segment.name.clone());
+            recovered.obsolete.push(segment.name.clone());
             continue;
         }
         if Some(*number) == from {
-            all.router = head.as_ref().ok().map(|head| head.router);
+            recovered.router = header.as_ref().ok().map(|header| header.router);
             continue;
         }
-        let head = match head {
-            Ok(head) if head.number == *number => head,
-            Ok(head) => {
-                all.findings.push(finding(segment, 16, &format!("it is segment {:x}", head.number), false));
-                broken = true;
+        let header = match header {
+            Ok(header) if header.number == *number => header,
+            Ok(header) => {
+                recovered.findings.push(finding(
+                    segment,
+                    16,
+                    &format!("its header names segment {:x}", header.number),
+                    false,
+                ));
+                damaged = true;
                 continue;
             }
             Err(what) => {
-                // The last one may have lost its head with the power: nothing in it was acknowledged then.
+                // A power loss may have left the last segment without its header. Nothing in it was
+                // acknowledged then.
                 let torn = Some(*number) == last && segment.bytes.len() <= HEADER_BYTES
                     || Some(*number) == last && segment.bytes.iter().all(|byte| *byte == 0);
-                all.findings.push(finding(segment, 0, what, torn));
-                broken = true;
+                recovered.findings.push(finding(segment, 0, what, torn));
+                damaged = true;
                 continue;
             }
         };
-        if head.snapshot {
-            // An older finding says why it is no base; the log before it may still be whole.
-            broken |= Some(*number) != from && number > &from.unwrap_or(0);
+        if header.snapshot {
+            // A finding above says why this snapshot is unusable; the log before it may still be complete.
+            damaged |= Some(*number) != from && number > &from.unwrap_or(0);
             continue;
         }
-        all.router = all.router.or(Some(head.router));
-        if broken {
-            all.findings.push(finding(segment, 0, "what comes before it is broken", false));
+        recovered.router = recovered.router.or(Some(header.router));
+        if damaged {
+            recovered.findings.push(finding(segment, 0, "an earlier segment is damaged", false));
             continue;
         }
-        let start = if all.used.is_empty() { None } else { Some(all.next_seq) };
-        let read = read(&segment.bytes, start);
-        // Without a snapshot the log must begin at its beginning.
-        let first_is_late = start.is_none() && !read.ops.is_empty() && read.next_seq != read.ops.len() as u64;
-        if first_is_late {
-            all.findings.push(finding(segment, HEADER_BYTES as u64, "the log before it is not there", false));
-            broken = true;
+        let start = if recovered.used.is_empty() { None } else { Some(recovered.next_seq) };
+        let contents = read_records(&segment.bytes, start);
+        // Without a snapshot the log must start with its first record.
+        let start_missing =
+            start.is_none() && !contents.ops.is_empty() && contents.next_seq != contents.ops.len() as u64;
+        if start_missing {
+            recovered.findings.push(finding(
+                segment,
+                HEADER_BYTES as u64,
+                "the log before it is missing",
+                false,
+            ));
+            damaged = true;
             continue;
         }
-        if let Some(what) = &read.wrong {
+        if let Some(what) = &contents.invalid {
             let torn = Some(*number) == last;
-            all.findings.push(finding(segment, read.good, what, torn));
-            broken = true;
+            recovered.findings.push(finding(segment, contents.valid_bytes, what, torn));
+            damaged = true;
         }
-        if !read.ops.is_empty() || start.is_none() {
-            all.next_seq = read.next_seq;
+        if !contents.ops.is_empty() || start.is_none() {
+            recovered.next_seq = contents.next_seq;
         }
-        for (op, bytes) in read.ops {
-            apply(&mut all.entries, op, bytes);
+        for (op, bytes) in contents.ops {
+            apply(&mut recovered.entries, op, bytes);
         }
-        all.used.push((segment.name.clone(), read.good));
-        all.bytes += read.good;
+        recovered.used.push((segment.name.clone(), contents.valid_bytes));
+        recovered.bytes += contents.valid_bytes;
     }
-    all
+    recovered
 }
 
 fn apply(entries: &mut BTreeMap<Key, Entry>, op: Op, bytes: u64) {
--- a/crates/store/src/retention/tests.rs
+++ b/crates/store/src/retention/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the module `retention`.
-
 use super::*;
 
 const CACHE_RECOVERY_LIMITS: CacheRecoveryLimits =
@@ -11,7 +9,7 @@
 }
 
 #[test]
-fn age_and_a_new_process_take_belief_away() {
+fn entries_lose_tokens_with_age_and_end_with_their_process() {
     let now_ms = 1e9;
     let entries = [
         entry(Text::Session(1), "a", 800.0, now_ms, 5),
@@ -20,35 +18,35 @@
         entry(Text::Session(4), "b", 800.0, now_ms, 5),
         entry(Text::Session(5), "gone", 800.0, now_ms, 5),
         entry(Text::Session(6), "a", f64::NAN, now_ms, 5),
-        // The clock went back since.
+        // The clock was set back since.
         entry(Text::Session(7), "a", 100.0, now_ms + 5e6, 5),
         (Box::from(&b"rubbish"[..]), b"{".to_vec()),
     ];
     let starts = [("a".to_owned(), 5), ("b".to_owned(), 6)].into();
-    let believed = recover_cache_entries(
+    let recovered = recover_cache_entries(
         now_ms,
         &CACHE_RECOVERY_LIMITS,
         &starts,
         stored_cache_entries(entries.iter().map(|(key, value)| (&**key, &**value))),
     );
-    let seen: Vec<_> = believed.iter().map(|row| (row.text, row.tokens.round(), row.age_ms)).collect();
-    let wanted = [
+    let found: Vec<_> = recovered.iter().map(|row| (row.text, row.tokens.round(), row.age_ms)).collect();
+    let expected = [
         (Text::Session(1), 800.0, 0.0),
         (Text::Session(7), 100.0, 0.0),
         (Text::Session(2), 400.0, 120_000.0),
     ];
-    assert_eq!(seen, wanted);
+    assert_eq!(found, expected);
 }
 
 #[test]
-fn what_is_over_goes() {
+fn expired_entries_are_deleted() {
     let tokened = |until_ms| serde_json::to_vec(&IdempotencyRecord { request_hash: 7, until_ms }).unwrap();
     let rows = [
         (Key::new(Kind::Tokened, b"old"), tokened(99.0)),
         (Key::new(Kind::Tokened, b"new"), tokened(101.0)),
         (Key::new(Kind::Word, b"a"), b"anything".to_vec()),
     ];
-    let gone =
+    let deletions =
         expired(100.0, &CACHE_RECOVERY_LIMITS, rows.iter().map(|(key, value)| (key, value.as_slice())));
-    assert_eq!(gone, [Op::Delete { key: rows[0].0.clone() }]);
+    assert_eq!(deletions, [Op::Delete { key: rows[0].0.clone() }]);
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,5 +1,5 @@
-//! The log: what is written goes to the last segment, what is live stands in the index, and a snapshot takes the place
-//! of all segments once too much of them is dead.
+//! The log of a store: writes go to the last segment, live entries are indexed in memory, and a snapshot
+//! replaces all segments once too much of them is obsolete.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Whose store it is; a store of another router is not opened.
+    /// Number of the router that owns the store; a store of another router is not opened.
     pub router: u32,
-    /// Bytes after which a segment is followed by the next.
+    /// Size after which the next segment is started.
     pub segment_bytes: u64,
-    /// A snapshot is due when the log is longer than this many times what is live.
+    /// A snapshot is due when the log is larger than this multiple of the live bytes.
     pub dead_factor: f64,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// What a person may want to know.
+/// Statistics of a store.
 #[derive(Clone, Debug, Default, serde::Serialize)]
 pub struct Stats {
     pub entries: usize,
@@ -46,18 +46,18 @@
     log_bytes: u64,
     next_seq: u64,
     synced_seq: u64,
-    /// Segments that hold the state, the one that is written last.
+    /// Segments that hold the state; the last one is written to.
     segments: Vec<String>,
     next_segment: u64,
     segment_bytes: u64,
     poisoned: bool,
-    /// Bytes of writes that failed in part must go before the next write.
+    /// A failed write may have left partial bytes, which are cut off before the next write.
     torn: bool,
-    /// What was found when it was opened.
+    /// Damage found when the store was opened.
     pub findings: Vec<Finding>,
 }
 
-fn read_all<M: Medium>(medium: &mut M) -> Result<Vec<Segment>, Error> {
+fn read_segments<M: Medium>(medium: &mut M) -> Result<Vec<Segment>, Error> {
     let mut segments = Vec::new();
     for name in medium.names().map_err(|cause| Error::io("listing the store", cause))? {
         if name.ends_with(recovery::SEGMENT_SUFFIX) || name.ends_with(UNFINISHED_SUFFIX) {
@@ -68,41 +68,44 @@
     Ok(segments)
 }
 
-/// Reads a store without changing anything.
+/// Reads a store without changing it.
 ///
 /// # Errors
-/// What the medium says.
+/// Errors of the medium.
 pub fn inspect<M: Medium>(medium: &mut M) -> Result<Recovered, Error> {
-    Ok(recovery::recover(read_all(medium)?))
+    Ok(recovery::recover(read_segments(medium)?))
 }
 
 impl<M: Medium> Store<M> {
-    /// Opens a store, empty where there is none. What is torn is cut off; what is damaged is kept aside under another
-    /// name, and the state is the one before it.
+    /// Opens a store, and creates it if there is none. Torn writes are cut off. Damaged segments are kept
+    /// under another name, and the state is the one before the damage.
     ///
     /// # Errors
-    /// What the medium says, or a store of another router.
+    /// Errors of the medium, or a store that belongs to another router.
     pub fn open(mut medium: M, options: Options) -> Result<Self, Error> {
-        let found = recovery::recover(read_all(&mut medium)?);
+        let found = recovery::recover(read_segments(&mut medium)?);
         if let Some(router) = found.router.filter(|router| *router != options.router) {
             return Err(Error::OtherRouter { found: router, own: options.router });
         }
-        let used: BTreeMap<&String, u64> = found.used.iter().map(|(name, good)| (name, *good)).collect();
+        let used: BTreeMap<&String, u64> =
+            found.used.iter().map(|(name, valid_bytes)| (name, *valid_bytes)).collect();
         for finding in &found.findings {
-            let failed = |cause| Error::io(&format!("mending {}", finding.segment), cause);
+            let io_error = |cause| Error::io(&format!("repairing {}", finding.segment), cause);
             match (used.get(&finding.segment), finding.torn) {
-                (Some(good), true) => medium.truncate(&finding.segment, *good).map_err(failed)?,
-                (Some(good), false) => {
-                    // The whole is kept for people; the part that is good goes on.
-                    let bytes = medium.read(&finding.segment).map_err(failed)?;
-                    let aside = format!("{}{DAMAGED_SUFFIX}", finding.segment);
-                    medium.create(&aside).and_then(|()| medium.append(&aside, &bytes)).map_err(failed)?;
-                    medium.sync(&aside).map_err(failed)?;
-                    medium.truncate(&finding.segment, *good).map_err(failed)?;
+                (Some(valid_bytes), true) => {
+                    medium.truncate(&finding.segment, *valid_bytes).map_err(io_error)?
+                }
+                (Some(valid_bytes), false) => {
+                    // The original is kept for analysis; the valid part stays in use.
+                    let bytes = medium.read(&finding.segment).map_err(io_error)?;
+                    let copy = format!("{}{DAMAGED_SUFFIX}", finding.segment);
+                    medium.create(&copy).and_then(|()| medium.append(&copy, &bytes)).map_err(io_error)?;
+                    medium.sync(&copy).map_err(io_error)?;
+                    medium.truncate(&finding.segment, *valid_bytes).map_err(io_error)?;
                 }
                 (None, _) => {
-                    let aside = format!("{}{DAMAGED_SUFFIX}", finding.segment);
-                    medium.rename(&finding.segment, &aside).map_err(failed)?;
+                    let copy = format!("{}{DAMAGED_SUFFIX}", finding.segment);
+                    medium.rename(&finding.segment, &copy).map_err(io_error)?;
                 }
             }
         }
@@ -127,34 +130,34 @@
                 .remove(&obsolete)
                 .map_err(|cause| Error::io(&format!("removing {obsolete}"), cause))?;
         }
-        store.begin_segment()?;
+        store.start_segment()?;
         Ok(store)
     }
 
-    /// The next segment, on the disk by name before anything in it can be acknowledged.
-    fn begin_segment(&mut self) -> Result<(), Error> {
+    /// Starts the next segment. Its name is durable before anything in it can be acknowledged.
+    fn start_segment(&mut self) -> Result<(), Error> {
         let number = self.next_segment;
         let name = segment_name(number);
-        let head =
+        let header =
             SegmentHeader { version: VERSION, snapshot: false, router: self.options.router, number }.encode();
         let medium = &mut self.medium;
-        let made = medium
+        let started = medium
             .create(&name)
-            .and_then(|()| medium.append(&name, &head))
+            .and_then(|()| medium.append(&name, &header))
             .and_then(|()| medium.sync(&name))
             .and_then(|()| medium.sync_dir());
-        if let Err(cause) = made {
+        if let Err(cause) = started {
             self.poisoned = true;
-            return Err(Error::io("beginning a segment", cause));
+            return Err(Error::io("starting a segment", cause));
         }
         self.next_segment += 1;
-        self.segment_bytes = head.len() as u64;
-        self.log_bytes += head.len() as u64;
+        self.segment_bytes = header.len() as u64;
+        self.log_bytes += header.len() as u64;
         self.segments.push(name);
         Ok(())
     }
 
-    fn last(&self) -> String {
+    fn current_segment(&self) -> String {
         self.segments.last().cloned().unwrap_or_default()
     }
 
@@ -162,7 +165,7 @@
         self.entries.get(key).map(|entry| entry.value.as_slice())
     }
 
-    /// All live entries of a kind, in the order of their keys.
+    /// All live entries of a kind in key order.
     pub fn entries_of(&self, kind: Kind) -> impl Iterator<Item = (&[u8], &[u8])> {
         let all = self.entries.iter().filter(move |(key, _)| key.kind == kind);
         all.map(|(key, entry)| (&*key.bytes, entry.value.as_slice()))
@@ -181,18 +184,18 @@
         self.entries.is_empty()
     }
 
-    /// Writes changes; they count as acknowledged once [`Store::commit`] has returned.
+    /// Writes operations. They are acknowledged once [`Store::commit`] has returned.
     ///
     /// # Errors
-    /// A record that is too long (nothing is written), a full disk (nothing of it stays; it may be tried again), or a
-    /// store that acknowledges nothing more.
+    /// A record that is too long (nothing is written), a full disk (nothing is kept, and the write may be
+    /// retried), or a store that failed to sync earlier.
     pub fn write(&mut self, ops: &[Op]) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
         }
         if self.torn {
-            // What a full disk left of the last try must not stand between this one and what is good.
-            let name = self.last();
+            // Cuts off the partial bytes of a write that failed on a full disk.
+            let name = self.current_segment();
             self.medium
                 .truncate(&name, self.segment_bytes)
                 .map_err(|cause| Error::io("cutting off a torn write", cause))?;
@@ -200,10 +203,10 @@
         }
         if self.segment_bytes > self.options.segment_bytes {
             self.commit()?;
-            self.begin_segment()?;
+            self.start_segment()?;
         }
         let mut bytes = Vec::new();
-        let mut sizes = Vec::with_capacity(ops.len());
+        let mut record_bytes = Vec::with_capacity(ops.len());
         for (row, op) in ops.iter().enumerate() {
             let before = bytes.len();
             if !encode(self.next_seq + row as u64, op, &mut bytes) {
@@ -212,11 +215,11 @@
                     Op::Delete { key } => key.bytes.len(),
                     Op::SnapshotEnds => 0,
                 };
-                return Err(Error::TooLong { bytes: long, most: RECORD_MAX_BYTES });
+                return Err(Error::TooLong { bytes: long, max_bytes: RECORD_MAX_BYTES });
             }
-            sizes.push((bytes.len() - before) as u64);
+            record_bytes.push((bytes.len() - before) as u64);
         }
-        let name = self.last();
+        let name = self.current_segment();
         if let Err(cause) = self.medium.append(&name, &bytes) {
             self.torn = true;
             return Err(Error::io("writing", cause));
@@ -224,7 +227,7 @@
         self.next_seq += ops.len() as u64;
         self.segment_bytes += bytes.len() as u64;
         self.log_bytes += bytes.len() as u64;
-        for (op, bytes) in ops.iter().zip(sizes) {
+        for (op, bytes) in ops.iter().zip(record_bytes) {
             let old = match op {
                 Op::Put { key, value } => {
                     self.live_bytes += bytes;
@@ -238,10 +241,10 @@
         Ok(())
     }
 
-    /// All that was written is on the disk when this returns.
+    /// Makes everything written so far durable.
     ///
     /// # Errors
-    /// A sync that failed; from then on nothing is acknowledged.
+    /// A failed sync; from then on nothing is acknowledged.
     pub fn commit(&mut self) -> Result<(), Error> {
         if self.poisoned {
             return Err(Error::Poisoned);
@@ -249,10 +252,10 @@
         if self.synced_seq == self.next_seq {
             return Ok(());
         }
-        let name = self.last();
+        let name = self.current_segment();
         if let Err(cause) = self.medium.sync(&name) {
-            // What the system holds of it now is anybody's guess: trying again could call lost what is there, or
-            // there what is lost.
+            // After a failed sync it is unknown what reached the disk. A retry could report lost data as
+            // durable or durable data as lost.
             self.poisoned = true;
             return Err(Error::io("syncing", cause));
         }
@@ -260,46 +263,46 @@
         Ok(())
     }
 
-    /// Whether so much of the log is dead that a snapshot is worth its writes.
+    /// Whether enough of the log is obsolete that a snapshot is worth its writes.
     pub fn should_compact(&self) -> bool {
         let live = self.live_bytes as f64 + self.options.segment_bytes as f64 / 4.0;
         self.log_bytes as f64 > self.options.dead_factor * live
     }
 
-    /// Writes all that is live into a snapshot, which takes the place of what was before. A power cut at any point
-    /// leaves either.
+    /// Writes all live entries into a snapshot, which replaces the log before it. A power loss at any point
+    /// leaves one of the two.
     ///
     /// # Errors
-    /// What the medium says; the log before it stands then, unless a sync failed.
+    /// Errors of the medium. The log before it then stays in use, unless a sync failed.
     pub fn compact(&mut self) -> Result<(), Error> {
         self.commit()?;
         let number = self.next_segment;
         let (name, unfinished) = (segment_name(number), format!("{number:016x}{UNFINISHED_SUFFIX}"));
-        let head = SegmentHeader { version: VERSION, snapshot: true, router: self.options.router, number };
-        let failed = |cause| Error::io("writing a snapshot", cause);
-        self.medium.create(&unfinished).map_err(failed)?;
-        self.medium.append(&unfinished, &head.encode()).map_err(failed)?;
-        let mut total = head.encode().len() as u64;
+        let header = SegmentHeader { version: VERSION, snapshot: true, router: self.options.router, number };
+        let io_error = |cause| Error::io("writing a snapshot", cause);
+        self.medium.create(&unfinished).map_err(io_error)?;
+        self.medium.append(&unfinished, &header.encode()).map_err(io_error)?;
+        let mut total = header.encode().len() as u64;
         let mut bytes = Vec::new();
         for (seq, (key, entry)) in self.entries.iter().enumerate() {
             encode(seq as u64, &Op::Put { key: key.clone(), value: entry.value.clone() }, &mut bytes);
             if bytes.len() > 1 << 20 {
-                self.medium.append(&unfinished, &bytes).map_err(failed)?;
+                self.medium.append(&unfinished, &bytes).map_err(io_error)?;
                 total += bytes.len() as u64;
                 bytes.clear();
             }
         }
         encode(self.next_seq, &Op::SnapshotEnds, &mut bytes);
-        self.medium.append(&unfinished, &bytes).map_err(failed)?;
+        self.medium.append(&unfinished, &bytes).map_err(io_error)?;
         total += bytes.len() as u64;
-        self.medium.sync(&unfinished).map_err(failed)?;
-        self.medium.rename(&unfinished, &name).map_err(failed)?;
-        self.medium.sync_dir().map_err(failed)?;
-        // From here on the snapshot is the state; what is left of the log before it may go at leisure.
+        self.medium.sync(&unfinished).map_err(io_error)?;
+        self.medium.rename(&unfinished, &name).map_err(io_error)?;
+        self.medium.sync_dir().map_err(io_error)?;
+        // From here on the snapshot is the state, and the older segments may be removed at any time.
         self.next_segment += 1;
         let old = std::mem::replace(&mut self.segments, vec![name]);
         self.log_bytes = total;
-        self.begin_segment()?;
+        self.start_segment()?;
         for segment in old {
             self.medium.remove(&segment).map_err(|cause| Error::io("removing an old segment", cause))?;
         }
--- a/crates/store/src/writer.rs
+++ b/crates/store/src/writer.rs
@@ -1,5 +1,5 @@
-//! A thread that owns a store, so that no router ever waits for a disk. Writes that arrive together are synced
-//! together.
+//! A thread that owns a store, so that a router never waits for the disk. Writes that arrive together share
+//! one sync.
 
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender, TrySendError};
 use std::thread::JoinHandle;
@@ -12,7 +12,7 @@
 use crate::store::{Stats, Store};
 use crate::Error;
 
-/// Whether a durable write is on the disk.
+/// Resolves once a durable write is on the disk or has failed.
 pub type Acknowledged = oneshot::Receiver<Result<(), String>>;
 
 enum Job {
@@ -21,20 +21,20 @@
         done: Option<oneshot::Sender<Result<(), String>>>,
     },
     Stats {
-        stats: oneshot::Sender<Stats>,
+        reply: oneshot::Sender<Stats>,
     },
-    /// Wall clock in ms since 1970: what is outdated by then goes.
-    Sweep {
+    /// Deletes the entries that have expired by this wall clock time, in ms since 1970.
+    RemoveExpired {
         now_ms: f64,
     },
 }
 
-/// Jobs that may wait for the thread; more are turned away at once.
-const QUEUE: usize = 1024;
-/// Jobs that are synced together at most.
-const TOGETHER: usize = 512;
+/// Jobs that may wait for the thread; further ones are rejected at once.
+const QUEUE_MAX_JOBS: usize = 1024;
+/// Maximum number of writes that share one sync.
+const MAX_BATCH_JOBS: usize = 512;
 
-/// Talks to the thread; clones share it. The thread ends once the last of them is gone.
+/// Sends jobs to the thread; clones share it. The thread ends when the last handle is dropped.
 #[derive(Clone, Debug)]
 pub struct Handle {
     jobs: SyncSender<Job>,
@@ -44,22 +44,22 @@
     /// Starts the thread.
     ///
     /// # Errors
-    /// What the system says.
+    /// The thread could not be started.
     pub fn start<M: Medium + Send + 'static>(store: Store<M>) -> std::io::Result<(Handle, JoinHandle<()>)> {
-        let (jobs, waiting) = sync_channel(QUEUE);
-        let thread = std::thread::Builder::new().name("store".into()).spawn(move || run(store, &waiting))?;
+        let (jobs, receiver) = sync_channel(QUEUE_MAX_JOBS);
+        let thread = std::thread::Builder::new().name("store".into()).spawn(move || run(store, &receiver))?;
         Ok((Handle { jobs }, thread))
     }
 
-    /// Writes when there is time for it; false where the queue is full or the thread gone, and nothing is written.
+    /// Writes without waiting. Returns false and writes nothing if the queue is full or the thread has ended.
     pub fn write_later(&self, ops: Vec<Op>) -> bool {
         self.jobs.try_send(Job::Write { ops, done: None }).is_ok()
     }
 
-    /// Writes, and tells when it is on the disk.
+    /// Writes, and reports when the write is durable.
     ///
     /// # Errors
-    /// A queue that is full, or a thread that is gone: at once, and nothing is written.
+    /// The queue is full or the thread has ended: returns at once, and nothing is written.
     pub fn write_durable(&self, ops: Vec<Op>) -> Result<Acknowledged, Error> {
         let (done, acknowledged) = oneshot::channel();
         match self.jobs.try_send(Job::Write { ops, done: Some(done) }) {
@@ -71,49 +71,49 @@
         }
     }
 
-    /// Lets go of what is outdated at this wall clock, in ms since 1970.
+    /// Deletes the entries that have expired by this wall clock time, in ms since 1970.
     pub fn remove_expired(&self, now_ms: f64) {
-        // A queue that is full has more urgent work; the next sweep does it.
-        let _ = self.jobs.try_send(Job::Sweep { now_ms });
+        // With a full queue the deletion is left to the next call.
+        let _ = self.jobs.try_send(Job::RemoveExpired { now_ms });
     }
 
-    /// Asks for figures; None where the queue is full or the thread gone.
+    /// Statistics of the store; None if the queue is full or the thread has ended.
     pub async fn stats(&self) -> Option<Stats> {
-        let (stats, answer) = oneshot::channel();
-        self.jobs.try_send(Job::Stats { stats }).ok()?;
-        answer.await.ok()
+        let (reply, stats) = oneshot::channel();
+        self.jobs.try_send(Job::Stats { reply }).ok()?;
+        stats.await.ok()
     }
 }
 
 fn run<M: Medium>(mut store: Store<M>, jobs: &Receiver<Job>) {
     while let Ok(first) = jobs.recv() {
-        let mut waiting = Vec::new();
+        let mut unacknowledged = Vec::new();
         let mut next = Some(first);
         while let Some(job) = next {
             match job {
-                Job::Stats { stats } => drop(stats.send(store.stats())),
-                Job::Sweep { now_ms } => {
-                    let gone = expired(now_ms, &CACHE_RECOVERY_LIMITS, store.iter());
-                    // What fails here is tried again at the next sweep.
-                    let _ = store.write(&gone);
+                Job::Stats { reply } => drop(reply.send(store.stats())),
+                Job::RemoveExpired { now_ms } => {
+                    let deletions = expired(now_ms, &CACHE_RECOVERY_LIMITS, store.iter());
+                    // A failed deletion is retried with the next `RemoveExpired`.
+                    let _ = store.write(&deletions);
                 }
                 Job::Write { ops, done } => match (store.write(&ops), done) {
-                    (Ok(()), Some(done)) => waiting.push(done),
+                    (Ok(()), Some(done)) => unacknowledged.push(done),
                     (Err(cause), Some(done)) => drop(done.send(Err(cause.to_string()))),
                     (_, None) => {}
                 },
             }
-            next = if waiting.len() < TOGETHER { jobs.try_recv().ok() } else { None };
+            next = if unacknowledged.len() < MAX_BATCH_JOBS { jobs.try_recv().ok() } else { None };
         }
-        if !waiting.is_empty() {
+        if !unacknowledged.is_empty() {
             let synced = store.commit().map_err(|cause| cause.to_string());
-            for done in waiting {
-                // Whoever asked may have gone.
+            for done in unacknowledged {
+                // The receiver may have been dropped.
                 let _ = done.send(synced.clone());
             }
         }
         if store.should_compact() {
-            // The log before it stands where this fails, and it is tried again.
+            // On failure the log stays as it is, and compaction is retried after the next jobs.
             let _ = store.compact();
         }
     }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! Power cuts, torn and lost writes, full disks and flipped bits: what is recovered is always the state after some number
-//! of writes, nothing acknowledged is missing, and no wrong value is ever read.
+//! Power losses, torn and lost writes, full disks and flipped bits: the recovered state is always the one
+//! after some number of writes, no acknowledged write is missing, and no wrong value is read.
 
 use std::collections::BTreeMap;
 
@@ -27,24 +27,24 @@
     }
 }
 
-fn op(chance: &mut Rng) -> Op {
-    let kind = [Kind::List, Kind::Kept, Kind::Tokened, Kind::Word][chance.usize(..4)];
-    let key = Key::new(kind, [chance.u8(..6)]);
-    if chance.u8(..4) == 0 {
+fn random_op(rng: &mut Rng) -> Op {
+    let kind = [Kind::List, Kind::Kept, Kind::Tokened, Kind::Word][rng.usize(..4)];
+    let key = Key::new(kind, [rng.u8(..6)]);
+    if rng.u8(..4) == 0 {
         return Op::Delete { key };
     }
-    let length = chance.usize(..40);
-    let value = std::iter::repeat_with(|| chance.u8(..)).take(length).collect();
+    let length = rng.usize(..40);
+    let value = std::iter::repeat_with(|| rng.u8(..)).take(length).collect();
     Op::Put { key, value }
 }
 
-/// A small store with some history, and its state after each number of writes.
-fn grown(writes: usize, seed: u64, compacts: bool) -> (Memory, Vec<State>) {
-    let (memory, mut chance) = (Memory::new(), Rng::with_seed(seed));
+/// A small store with some writes, and its expected state after each number of writes.
+fn store_with_writes(writes: usize, seed: u64, compacts: bool) -> (Memory, Vec<State>) {
+    let (memory, mut rng) = (Memory::new(), Rng::with_seed(seed));
     let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
     let mut states = vec![State::new()];
     for _ in 0..writes {
-        let op = op(&mut chance);
+        let op = random_op(&mut rng);
         let mut next = states.last().unwrap().clone();
         apply(&mut next, &op);
         states.push(next);
@@ -57,7 +57,7 @@
     (memory, states)
 }
 
-/// Opens what is there; the number of writes that its state contains.
+/// Opens the store; returns it with the number of writes in its state.
 fn reopened(memory: &Memory, states: &[State]) -> (Store<Memory>, usize) {
     let store = Store::open(memory.clone(), OPTIONS).unwrap();
     let count = store.stats().next_seq as usize;
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn cut_at_every_byte_the_state_is_one_of_before() {
-    let (memory, states) = grown(60, 1, false);
+fn truncation_at_any_byte_recovers_an_earlier_state() {
+    let (memory, states) = store_with_writes(60, 1, false);
     let names = memory.clone().names().unwrap();
     let last = names.last().unwrap().clone();
     let (mut cuts, mut fewest) = (0, usize::MAX);
@@ -78,7 +78,7 @@
             let copy = memory.copy();
             copy.modify(name, |bytes| bytes.truncate(cut));
             let (mut store, count) = reopened(&copy, &states);
-            // It goes on from there, and a second opening finds the same.
+            // The store can be written to afterwards, and opening it again finds the same.
             let more = Op::Put { key: Key::new(Kind::Word, b"after"), value: b"cut".to_vec() };
             store.write(&[more]).unwrap();
             store.commit().unwrap();
@@ -97,9 +97,9 @@
 }
 
 #[test]
-fn a_flipped_bit_anywhere_is_found() {
+fn every_flipped_bit_is_detected() {
     for compacts in [false, true] {
-        let (memory, states) = grown(60, 2, compacts);
+        let (memory, states) = store_with_writes(60, 2, compacts);
         let mut flips = 0;
         for name in memory.clone().names().unwrap() {
             let whole = memory.clone().read(&name).unwrap().len();
@@ -107,19 +107,19 @@
                 let copy = memory.copy();
                 copy.modify(&name, |bytes| bytes[at] ^= 1 << (at % 8));
                 let found = inspect(&mut copy.clone()).unwrap();
-                let last = found.next_seq as usize == states.len() - 1;
+                let complete = found.next_seq as usize == states.len() - 1;
                 assert!(
                     !found.findings.is_empty() || found.obsolete.contains(&name),
-                    "{name}: byte {at} goes unseen"
+                    "{name}: byte {at} is not detected"
                 );
                 let store = Store::open(copy.clone(), OPTIONS);
                 match store {
                     Ok(store) => {
                         let count = store.stats().next_seq as usize;
-                        // Where a snapshot is lost and the log before it is gone, nothing is left of it.
+                        // If the snapshot is lost and the log before it was removed, the store is empty.
                         let empty = compacts && store.is_empty();
                         assert!(empty || state(&store) == states[count], "{name}: byte {at}");
-                        assert!(!last || state(&store) == states[states.len() - 1]);
+                        assert!(!complete || state(&store) == states[states.len() - 1]);
                     }
                     Err(Error::OtherRouter { .. }) => panic!("{name}: byte {at}: a checksum must fail first"),
                     Err(other) => panic!("{name}: byte {at}: {other}"),
@@ -127,48 +127,49 @@
                 flips += 1;
             }
         }
-        println!("{flips} flipped bits, all found");
+        println!("{flips} flipped bits, all detected");
         assert!(flips > 500);
     }
 }
 
-/// Random work with a crash at a random call, again and again, against a model in memory.
-fn crashes(ops: usize, seed: u64) -> (usize, usize) {
-    let mut chance = Rng::with_seed(seed);
+/// Random operations with a crash at a random call, repeated, checked against a model in memory.
+fn run_with_crashes(ops: usize, seed: u64) -> (usize, usize) {
+    let mut rng = Rng::with_seed(seed);
     let memory = Memory::new();
     let mut states = vec![State::new()];
     let (mut done, mut crashes, mut acknowledged) = (0, 0, 0usize);
-    // States that a write which failed may have left: never acknowledged, and cut off by the next that succeeds.
-    let mut maybe: Vec<State> = Vec::new();
+    // States that a failed write may have left. They are never acknowledged, and the next successful write
+    // cuts them off.
+    let mut failed_write_states: Vec<State> = Vec::new();
     while done < ops {
-        let faults = match chance.u8(..4) {
-            0 => Faults { full_after: Some(chance.u64(1..60)), ..Faults::default() },
-            1 => Faults { sync_fails_after: Some(chance.u64(1..60)), ..Faults::default() },
-            _ => Faults { power_loss_after: Some(chance.u64(1..80)), ..Faults::default() },
+        let faults = match rng.u8(..4) {
+            0 => Faults { full_after: Some(rng.u64(1..60)), ..Faults::default() },
+            1 => Faults { sync_fails_after: Some(rng.u64(1..60)), ..Faults::default() },
+            _ => Faults { power_loss_after: Some(rng.u64(1..80)), ..Faults::default() },
         };
-        // Opening itself may be cut off, also twice in a row.
-        if chance.u8(..4) == 0 {
-            memory.set_faults(Faults { power_loss_after: Some(chance.u64(1..12)), ..Faults::default() });
+        // Opening may crash too, also twice in a row.
+        if rng.u8(..4) == 0 {
+            memory.set_faults(Faults { power_loss_after: Some(rng.u64(1..12)), ..Faults::default() });
             drop(Store::open(memory.clone(), OPTIONS));
-            memory.crash(&mut chance);
+            memory.crash(&mut rng);
             crashes += 1;
         }
         memory.set_faults(Faults::default());
         let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
         let count = store.stats().next_seq as usize;
-        states.append(&mut maybe);
+        states.append(&mut failed_write_states);
         assert!(count >= acknowledged, "{acknowledged} writes were acknowledged, {count} are there");
         assert!(count < states.len(), "{count} of {}", states.len() - 1);
-        assert!(state(&store) == states[count], "the state after {count} writes is another");
+        assert!(state(&store) == states[count], "the state after {count} writes differs from the model");
         assert!(!store.findings.iter().any(|finding| !finding.torn) || crashes > 0);
         states.truncate(count + 1);
         acknowledged = count;
         memory.set_faults(faults);
-        for _ in 0..chance.usize(1..60) {
-            let ops: Vec<_> = (0..chance.usize(1..4)).map(|_| op(&mut chance)).collect();
+        for _ in 0..rng.usize(1..60) {
+            let ops: Vec<_> = (0..rng.usize(1..4)).map(|_| random_op(&mut rng)).collect();
             match store.write(&ops) {
                 Ok(()) => {
-                    maybe.clear();
+                    failed_write_states.clear();
                     for op in &ops {
                         let mut next = states.last().unwrap().clone();
                         apply(&mut next, op);
@@ -176,51 +177,51 @@
                     }
                     done += ops.len();
                 }
-                // What failed may be there in part after a crash; it was never acknowledged, and a later write in
-                // the same life starts after what is good.
+                // The operations of a failed write may be there in part after a crash; they were never
+                // acknowledged. A later write to the same open store starts after the valid part.
                 Err(Error::Poisoned) => break,
                 Err(_) => {
-                    maybe.clear();
+                    failed_write_states.clear();
                     for op in &ops {
-                        let mut next = maybe.last().or(states.last()).unwrap().clone();
+                        let mut next = failed_write_states.last().or(states.last()).unwrap().clone();
                         apply(&mut next, op);
-                        maybe.push(next);
+                        failed_write_states.push(next);
                     }
-                    if chance.bool() {
+                    if rng.bool() {
                         break;
                     }
                     continue;
                 }
             }
-            if chance.u8(..3) == 0 && store.commit().is_ok() {
+            if rng.u8(..3) == 0 && store.commit().is_ok() {
                 acknowledged = states.len() - 1;
             }
-            if store.should_compact() && store.compact().is_err() && chance.bool() {
+            if store.should_compact() && store.compact().is_err() && rng.bool() {
                 break;
             }
             assert!(state(&store) == *states.last().unwrap());
         }
         drop(store);
-        memory.crash(&mut chance);
+        memory.crash(&mut rng);
         crashes += 1;
     }
     (done, crashes)
 }
 
 #[test]
-fn no_crash_loses_what_was_acknowledged() {
-    let wanted = std::env::var("STORE_OPS").ok().and_then(|ops| ops.parse().ok()).unwrap_or(6000usize);
+fn crashes_lose_no_acknowledged_write() {
+    let total_ops = std::env::var("STORE_OPS").ok().and_then(|ops| ops.parse().ok()).unwrap_or(6000usize);
     let (mut ops, mut crashed) = (0, 0);
-    for seed in 0..(wanted / 2000).max(1) as u64 {
-        let (done, times) = crashes(2000, seed);
-        (ops, crashed) = (ops + done, crashed + times);
+    for seed in 0..(total_ops / 2000).max(1) as u64 {
+        let (done, count) = run_with_crashes(2000, seed);
+        (ops, crashed) = (ops + done, crashed + count);
     }
     println!("{ops} operations, {crashed} crashes");
     assert!(crashed > 50);
 }
 
 #[test]
-fn a_full_disk_is_no_end_and_a_failed_sync_is_one() {
+fn a_store_survives_a_full_disk_but_not_a_failed_sync() {
     let memory = Memory::new();
     let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
     let put = |number: u8| Op::Put { key: Key::new(Kind::Word, [number]), value: vec![number; 9] };
@@ -244,7 +245,7 @@
 }
 
 #[test]
-fn another_router_s_store_and_too_long_a_record_are_refused() {
+fn a_store_of_another_router_and_an_oversized_record_are_refused() {
     let memory = Memory::new();
     let mut store = Store::open(memory.clone(), OPTIONS).unwrap();
     let long = Op::Put { key: Key::new(Kind::Word, b"long"), value: vec![0; 65 << 20] };
@@ -260,11 +261,11 @@
 }
 
 #[test]
-fn a_store_of_the_version_before_is_read() {
-    let (memory, states) = grown(20, 5, false);
+fn a_store_of_the_previous_format_version_is_read() {
+    let (memory, states) = store_with_writes(20, 5, false);
     for name in memory.clone().names().unwrap() {
         memory.modify(&name, |bytes| {
-            // Version 1 had the same records and a head without flags.
+            // Version 1 has the same records and a header without flags.
             bytes[8] = 1;
             let sum = crc32fast::hash(&bytes[..24]);
             bytes[24..28].copy_from_slice(&sum.to_le_bytes());
--- a/crates/store/tests/disk.rs
+++ b/crates/store/tests/disk.rs
@@ -1,4 +1,4 @@
-//! On a real directory: one process at a time, and a thread that acknowledges only what is synced.
+//! A store in a real directory: one process at a time, and the writer thread acknowledges only synced writes.
 
 use paddleproxy_store::format::{Key, Kind, Op};
 use paddleproxy_store::store::{Options, Store};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn one_process_holds_a_directory() {
+fn a_directory_is_locked_by_one_process() {
     let dir = tempfile::tempdir().unwrap();
     let first = Disk::open(dir.path()).unwrap();
     assert_eq!(Disk::open(dir.path()).unwrap_err().kind(), std::io::ErrorKind::WouldBlock);
@@ -18,14 +18,14 @@
 }
 
 #[tokio::test]
-async fn what_the_thread_acknowledged_is_there_afterwards() {
+async fn acknowledged_writes_survive_reopening() {
     let dir = tempfile::tempdir().unwrap();
     let options = Options { router: 1, segment_bytes: 2000, dead_factor: 2.0 };
     let store = Store::open(Disk::open(dir.path()).unwrap(), options).unwrap();
     let (handle, thread) = Handle::start(store).unwrap();
     let mut acknowledged = 0;
     for number in 0..500 {
-        // Every key is written three times, so that compaction has something to do.
+        // Most keys are written three times, so that compaction has something to remove.
         match handle.write_durable(vec![put(number % 170)]) {
             Ok(done) => {
                 done.await.unwrap().unwrap();
