--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -96,7 +96,7 @@
     pub version: u64,
     /// Time since it was reported, in ms.
     pub ago_ms: f64,
-    /// The source has since reported the server as ready, in a version that may be older or that was held.
+    /// The source has since reported another readiness, in a version that may be older or that was held.
     #[serde(default, rename = "denied")]
     pub contradicted: bool,
 }
