--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -15,7 +15,7 @@
 
 use paddleproxy::interface::{CacheEntry, CompletionId, ListKind, LoadReport, Role, Seq, WorkerId};
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
-use paddleproxy_membership::{Heard, Membership, Saved, SourceId};
+use paddleproxy_membership::{ListUpdate, Membership, SavedList, SourceId};
 use paddleproxy_routing::{
     Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, OutgoingDispatch, Permit,
     SocketEnd, Stage,
@@ -241,9 +241,9 @@
     ledger: Ledger<Box<dyn Decisions>>,
     membership: Membership,
     admission: Admission,
-    saved: Option<Saved>,
+    saved: Option<SavedList>,
     /// What its store holds of kept texts.
-    kept: BTreeMap<(Text, WorkerId), retention::Kept>,
+    kept: BTreeMap<(Text, WorkerId), retention::StoredCacheEntry>,
     next: u32,
     asked: BTreeMap<CompletionId, Asked>,
     /// Dispatches that are out, and all of open completions, by completion and number.
