--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -52,7 +52,7 @@
         if let Some(wanted) = &settings.log {
             log(wanted).map_err(|why| anyhow::anyhow!("'log': {why}"))?;
         }
-        let watched = paddleproxy_router::Watched { file: config.to_owned(), log };
+        let watched = paddleproxy_router::WatchedSettings { file: config.to_owned(), log };
         paddleproxy_router::serve(settings, Some(watched), ready, stop).await
     })?;
     Ok(true)
--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -17,9 +17,9 @@
 use tokio::sync::oneshot;
 
 use crate::clock::duration;
-use crate::failover::WordFor;
+use crate::failover::CommandRequest;
 use crate::front::Front;
-use crate::peers::{self, ToFellows};
+use crate::peers::{self, PeerSender};
 use crate::words::{Status, Told};
 
 /// How long an operator's word on a zone holds where it does not say, in ms.
@@ -63,7 +63,7 @@
             if let Some(fellows) = &front.fellows {
                 text.push_str(&view(fellows).await.map(|view| fellows_metrics(&view)).unwrap_or_default());
                 let (sender, receiver) = oneshot::channel();
-                let asked = fellows.send(peers::Ask::Failover(sender)).await;
+                let asked = fellows.send(peers::PeerRequest::Failover(sender)).await;
                 let plan = if asked.is_ok() { receiver.await.ok().flatten() } else { None };
                 text.push_str(&plan.map(|plan| failover_metrics(&plan)).unwrap_or_default());
             }
@@ -168,21 +168,21 @@
     }
 }
 
-async fn view(fellows: &ToFellows) -> Option<serde_json::Value> {
+async fn view(fellows: &PeerSender) -> Option<serde_json::Value> {
     let (sender, receiver) = oneshot::channel();
-    fellows.send(peers::Ask::View(sender)).await.ok()?;
+    fellows.send(peers::PeerRequest::View(sender)).await.ok()?;
     receiver.await.ok()
 }
 
 /// `GET /failover`, and `POST /failover/hold|drain-zone|return?zone=...&for_ms=...`.
 async fn failover(
-    fellows: &ToFellows,
+    fellows: &PeerSender,
     request: &Request<hyper::body::Incoming>,
 ) -> Result<serde_json::Value, (StatusCode, String)> {
     let gone = || (StatusCode::SERVICE_UNAVAILABLE, "the router stops".to_owned());
     let Some(word) = request.uri().path().strip_prefix("/failover/") else {
         let (sender, receiver) = oneshot::channel();
-        fellows.send(peers::Ask::Failover(sender)).await.map_err(|_| gone())?;
+        fellows.send(peers::PeerRequest::Failover(sender)).await.map_err(|_| gone())?;
         let view = receiver.await.map_err(|_| gone())?;
         return view
             .ok_or((StatusCode::NOT_FOUND, "this router has no 'failover' in its settings".to_owned()));
@@ -206,8 +206,8 @@
         Some(_) => return Err(wrong(format!("for_ms: a time in ms from 0 to {FOR_MAX_MS}"))),
     };
     let (sender, receiver) = oneshot::channel();
-    let said = WordFor { zone, word, for_ms };
-    fellows.send(peers::Ask::Word(said, sender)).await.map_err(|_| gone())?;
+    let said = CommandRequest { zone, word, for_ms };
+    fellows.send(peers::PeerRequest::Word(said, sender)).await.map_err(|_| gone())?;
     receiver.await.map_err(|_| gone())?.map_err(wrong)
 }
 
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,4 +1,4 @@
-//! The one final answer of a completion. `Owed` is consumed by each way to answer, so that a second answer does not
+//! The one final answer of a completion. `PendingReply` is consumed by each way to answer, so that a second answer does not
 //! compile; one that is forgotten is caught by its drop, which aborts and counts it.
 
 use std::cell::{Cell, RefCell};
@@ -16,11 +16,11 @@
 pub enum Reply {
     Whole(Answer),
     Error(ApiError),
-    Stream(Pieces),
+    Stream(AnswerPieces),
 }
 
 /// The pieces of a streamed answer, as its form writes them.
-pub struct Pieces {
+pub struct AnswerPieces {
     pub pieces: mpsc::Receiver<Bytes>,
     /// Whether the last piece was the answer's end; without it the connection breaks off.
     pub ended: Rc<Cell<bool>>,
@@ -33,7 +33,7 @@
 }
 
 /// What is remembered of a request that carries a key, once its fate is known.
-pub struct Keyed {
+pub struct IdempotencyGuard {
     pub repeats: Rc<RefCell<IdempotencyKeys>>,
     pub key: Key,
     pub may_repeat: bool,
@@ -41,7 +41,7 @@
     pub stored: Option<(Rc<State>, String)>,
 }
 
-impl Keyed {
+impl IdempotencyGuard {
     fn answered(self, answer: Answer) {
         self.repeats.borrow_mut().answered(&self.key, answer);
     }
@@ -68,9 +68,9 @@
 }
 
 /// The duty to answer one completion, with what is remembered of its key.
-pub struct Owed {
+pub struct PendingReply {
     reply: Option<Duty<Reply>>,
-    keyed: Option<Keyed>,
+    keyed: Option<IdempotencyGuard>,
     encoder: Encoder,
     pieces: usize,
     dropped: Dropped,
@@ -79,15 +79,15 @@
 /// Bytes of one piece at most; longer texts are handed on in parts, so that a bound on pieces is one on bytes.
 const PIECE_BYTES: usize = 4096;
 
-impl Owed {
+impl PendingReply {
     pub fn new(
         reply: Duty<Reply>,
-        keyed: Option<Keyed>,
+        keyed: Option<IdempotencyGuard>,
         encoder: Encoder,
         pieces: usize,
         dropped: Dropped,
     ) -> Self {
-        Owed { reply: Some(reply), keyed, encoder, pieces, dropped }
+        PendingReply { reply: Some(reply), keyed, encoder, pieces, dropped }
     }
 
     fn give(&mut self, reply: Reply) {
@@ -96,7 +96,7 @@
         }
     }
 
-    pub fn whole(mut self, answer: Answer) {
+    pub fn complete(mut self, answer: Answer) {
         if let Some(keyed) = self.keyed.take() {
             keyed.answered(answer.clone());
         }
@@ -105,27 +105,27 @@
 
     /// Rate-limited: trying again is harmless.
     pub fn rate_limit(mut self, error: ApiError) {
-        self.keyed.take().into_iter().for_each(Keyed::rate_limited);
+        self.keyed.take().into_iter().for_each(IdempotencyGuard::rate_limited);
         self.give(Reply::Error(error));
     }
 
     /// Aborted: nothing is promised.
     pub fn abort(mut self, error: ApiError) {
-        self.keyed.take().into_iter().for_each(Keyed::lost);
+        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
         self.give(Reply::Error(error));
     }
 
     /// For a client who has left: nobody waits for an answer.
-    pub fn void(mut self) {
-        self.keyed.take().into_iter().for_each(Keyed::lost);
+    pub fn discard(mut self) {
+        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
         self.reply.take().into_iter().for_each(Duty::void);
     }
 
-    pub fn begin(mut self) -> Stream {
+    pub fn start_stream(mut self) -> AnswerStream {
         let (sender, pieces) = mpsc::channel(self.pieces);
         let ended = Rc::new(Cell::new(false));
-        self.give(Reply::Stream(Pieces { pieces, ended: ended.clone() }));
-        Stream {
+        self.give(Reply::Stream(AnswerPieces { pieces, ended: ended.clone() }));
+        AnswerStream {
             pieces: Some(sender),
             ended,
             keyed: self.keyed.take(),
@@ -136,48 +136,48 @@
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingReply {
     fn drop(&mut self) {
-        self.keyed.take().into_iter().for_each(Keyed::lost);
+        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
     }
 }
 
 /// The client takes nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Left;
+pub struct ClientDisconnected;
 
 /// A streamed answer under way; it ends by `finish` or `broken`. A client who reads slowly makes its calls wait, and
-/// through them its server; one who takes nothing for too long is cut at its connection, which shows here as `Left`.
-pub struct Stream {
+/// through them its server; one who takes nothing for too long is cut at its connection, which shows here as `ClientDisconnected`.
+pub struct AnswerStream {
     pieces: Option<mpsc::Sender<Bytes>>,
     ended: Rc<Cell<bool>>,
-    keyed: Option<Keyed>,
+    keyed: Option<IdempotencyGuard>,
     /// All texts, where a key wants them remembered.
     said: String,
     encoder: Encoder,
     dropped: Dropped,
 }
 
-impl Stream {
-    async fn push(&mut self, events: String) -> Result<(), Left> {
+impl AnswerStream {
+    async fn push(&mut self, events: String) -> Result<(), ClientDisconnected> {
         let mut events = Bytes::from(events);
         while !events.is_empty() {
             let piece = events.split_to(PIECE_BYTES.min(events.len()));
-            let Some(sender) = &self.pieces else { return Err(Left) };
+            let Some(sender) = &self.pieces else { return Err(ClientDisconnected) };
             if sender.send(piece).await.is_err() {
                 self.pieces = None;
-                return Err(Left);
+                return Err(ClientDisconnected);
             }
         }
         Ok(())
     }
 
-    pub async fn start(&mut self, usage: Usage) -> Result<(), Left> {
+    pub async fn start(&mut self, usage: Usage) -> Result<(), ClientDisconnected> {
         let events = self.encoder.piece(&Piece::Start(usage));
         self.push(events).await
     }
 
-    pub async fn text(&mut self, texts: &[String]) -> Result<(), Left> {
+    pub async fn text(&mut self, texts: &[String]) -> Result<(), ClientDisconnected> {
         if self.keyed.is_some() {
             self.said.extend(texts.iter().map(String::as_str));
         }
@@ -185,12 +185,12 @@
         self.push(events).await
     }
 
-    pub async fn ping(&mut self) -> Result<(), Left> {
+    pub async fn ping(&mut self) -> Result<(), ClientDisconnected> {
         let events = self.encoder.piece(&Piece::Ping);
         self.push(events).await
     }
 
-    pub async fn finish(mut self, stop: Stop, usage: Usage) -> Result<(), Left> {
+    pub async fn finish(mut self, stop: Stop, usage: Usage) -> Result<(), ClientDisconnected> {
         if let Some(keyed) = self.keyed.take() {
             let text = std::mem::take(&mut self.said);
             keyed.answered(Answer { text, stop: stop.clone(), usage });
@@ -199,12 +199,12 @@
         self.end(events).await
     }
 
-    pub async fn broken(mut self, message: &str) {
+    pub async fn fail(mut self, message: &str) {
         let events = self.encoder.piece(&Piece::Error(&ApiError::new(ErrorKind::Api, message)));
         let _ = self.end(events).await;
     }
 
-    async fn end(&mut self, events: String) -> Result<(), Left> {
+    async fn end(&mut self, events: String) -> Result<(), ClientDisconnected> {
         let result = self.push(events).await;
         self.ended.set(result.is_ok());
         self.pieces = None;
@@ -212,9 +212,9 @@
     }
 }
 
-impl Drop for Stream {
+impl Drop for AnswerStream {
     fn drop(&mut self) {
-        self.keyed.take().into_iter().for_each(Keyed::lost);
+        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
         let Some(sender) = self.pieces.take() else { return };
         if sender.is_closed() {
             return;
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -23,16 +23,16 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, info, warn};
 
-use crate::answer::Owed;
+use crate::answer::PendingReply;
 use crate::book::Book;
 use crate::clock::{duration, Clock};
 use crate::dispatch::{request_id, Dispatch};
 use crate::engines::Engines;
-use crate::failover::{self, Desked};
+use crate::failover::{self, SharedController};
 use crate::letgo::{self, Call};
 use crate::list::ListWord;
 use crate::peers;
-use crate::state::{Left, State};
+use crate::state::{RecoveredState, State};
 use crate::words::{Ask, End, Known, Status, ToCore, Told, Word};
 
 pub struct Core {
@@ -41,7 +41,7 @@
     book: Book,
     membership: Membership,
     engines: Rc<Engines>,
-    owed: BTreeMap<CompletionId, Owed>,
+    owed: BTreeMap<CompletionId, PendingReply>,
     asks: BTreeMap<CompletionId, Rc<Ask>>,
     words: BTreeMap<(CompletionId, Seq), mpsc::Sender<Word>>,
     /// Whole answers that wait for the ledger's word.
@@ -59,7 +59,7 @@
     lapses: Option<Instant>,
     unheard: Rc<UndeliveredReleases>,
     /// Where failover between zones is decided, and the latency targets of open completions for it.
-    desk: Option<Desked>,
+    desk: Option<SharedController>,
     targets: BTreeMap<CompletionId, f64>,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    pub fn sit_at(&mut self, desk: Desked) {
+    pub fn sit_at(&mut self, desk: SharedController) {
         self.desk = Some(desk);
     }
 
@@ -116,10 +116,11 @@
 
     /// Takes in the list of an earlier run, if there is one; the version to ask on from. The decisions always get a
     /// saved list, if an empty one: with it they begin, and subscribe where that is theirs to do.
-    pub fn recover(&mut self, saved: Option<Saved>, left: &Left) -> Known {
+    pub fn recover(&mut self, saved: Option<Saved>, left: &RecoveredState) -> Known {
         let mut rows: std::sync::Arc<[Listing]> = [].into();
         if let Some(saved) = saved {
-            match self.membership.recover(self.book.clock.now_ms(), self.state.steady.now_ms(), &saved) {
+            match self.membership.recover(self.book.clock.now_ms(), self.state.steady_clock.now_ms(), &saved)
+            {
                 Ok(Heard::Listed { rows: recovered, .. }) => rows = recovered,
                 Ok(_) => {}
                 Err(cause) => warn!(%cause, "saved list refused; starting without one"),
@@ -130,7 +131,7 @@
             desk.borrow_mut().listed(ListKind::Saved, &rows);
         }
         self.handle(Input::Listed { kind: ListKind::Saved, rows });
-        let kept = left.believed(self.state.steady.now_ms(), &self.membership.starts());
+        let kept = left.usable_cache_entries(self.state.steady_clock.now_ms(), &self.membership.starts());
         info!(entries = kept.len(), "kept texts of the earlier run believed");
         self.handle(Input::Recovered(kept));
         self.membership.known(SourceId::Service)
@@ -174,7 +175,7 @@
     /// The decisions' settings with what fellows agreed laid over them.
     fn resettle(&mut self) {
         let decisions = match &self.shared {
-            Some(granted) => peers::overlaid(&self.base, granted),
+            Some(granted) => peers::settings_with_grant(&self.base, granted),
             None => self.base.clone(),
         };
         let answer_slack_ms = self.settings.front.answer_slack_ms;
@@ -188,7 +189,7 @@
                 let mut arrival = facts.arrival(completion, received_ms);
                 if let Some(desk) = &self.desk {
                     arrival.home_zone = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
-                    let target_ms = failover::target_ms(&self.base, &arrival);
+                    let target_ms = failover::first_token_target_ms(&self.base, &arrival);
                     self.targets.insert(completion, target_ms);
                 }
                 let streamed = ask.streamed;
@@ -197,7 +198,11 @@
                 self.handle(Input::Arrived { arrival, streamed });
             }
             Told::Began { completion, seq, took_ms } => {
-                self.met(completion, seq, failover::began(self.targets.get(&completion), took_ms));
+                self.met(
+                    completion,
+                    seq,
+                    failover::first_event_outcome(self.targets.get(&completion), took_ms),
+                );
                 self.handle(Input::Began { completion, seq, took_ms })
             }
             Told::Ended { completion, seq, took_ms, end } => {
@@ -208,7 +213,11 @@
                 }
                 let End { end, kept_tokens, state, .. } = end;
                 self.saw(completion, seq, &end);
-                self.met(completion, seq, failover::ended(self.targets.get(&completion), took_ms, &end));
+                self.met(
+                    completion,
+                    seq,
+                    failover::end_outcome(self.targets.get(&completion), took_ms, &end),
+                );
                 self.handle(Input::Ended {
                     completion,
                     seq,
@@ -221,7 +230,7 @@
             }
             Told::Left { completion } => {
                 // Nobody waits for an answer any more, so none is lost.
-                self.owed.remove(&completion).into_iter().for_each(Owed::void);
+                self.owed.remove(&completion).into_iter().for_each(PendingReply::discard);
                 self.handle(Input::Left { completion });
             }
             Told::Reported { worker, load } => self.reported(worker, &load),
@@ -271,7 +280,7 @@
                 self.resettle();
             }
             Told::Shared { granted, floor } => {
-                self.lapses = peers::lapses(self.book.clock, &granted);
+                self.lapses = peers::expires_at(self.book.clock, &granted);
                 (self.shared, self.floor) = (Some(granted), Some(floor));
                 self.resettle();
                 self.lapse();
@@ -316,7 +325,7 @@
                 desk.borrow_mut().listed(kind, &rows);
             }
             self.handle(Input::Listed { kind, rows });
-            self.saves.send_replace(self.membership.save(now_ms, self.state.steady.now_ms()));
+            self.saves.send_replace(self.membership.save(now_ms, self.state.steady_clock.now_ms()));
         }
         let asks = self.membership.asks(now_ms);
         self.wakes = self.membership.wakes_ms(now_ms).map(|at| Instant::now() + duration(at - now_ms));
@@ -379,7 +388,7 @@
             memory_share: load.mem_utilization,
             waiting_kilotokens: load.metric(wire::WAITING_TOKENS).map(|tokens| tokens / 1e3),
         };
-        if let Some((desk, share)) = self.desk.as_ref().zip(failover::share(&load)) {
+        if let Some((desk, share)) = self.desk.as_ref().zip(failover::utilization(&load)) {
             desk.borrow_mut().reported(self.book.clock.now_ms(), &worker, share);
         }
         self.handle(Input::Reported { worker, load });
@@ -403,13 +412,13 @@
             Effect::Grant { completion, seq } => {
                 let Some(owed) = self.owed.remove(&completion) else { return };
                 if let Some(words) = self.words.get(&(completion, seq)) {
-                    let _ = words.try_send(Word::Grant(owed.begin()));
+                    let _ = words.try_send(Word::Grant(owed.start_stream()));
                 }
             }
             Effect::Deliver { completion, seq } => {
                 let whole = self.wholes.remove(&(completion, seq));
                 if let (Some(owed), Some(whole)) = (self.owed.remove(&completion), whole) {
-                    owed.whole(whole);
+                    owed.complete(whole);
                 }
             }
             Effect::RateLimit { completion, retry_after_ms } => {
@@ -444,7 +453,7 @@
             }
             Effect::CacheUpdated { worker, session, tokens, prefix } => {
                 if let Some(start) = self.membership.start(&worker) {
-                    self.state.keeps(&worker, start, session, tokens, prefix);
+                    self.state.record_cached(&worker, start, session, tokens, prefix);
                 }
             }
             Effect::Subscribe => self.list_word(ListWord::Subscribe),
--- a/crates/router/src/core_tests.rs
+++ b/crates/router/src/core_tests.rs
@@ -54,7 +54,7 @@
     let engines = Rc::new(Engines::new(settings.engines.clone()));
     let dir = tempfile::tempdir().unwrap();
     let (state, _) =
-        crate::state::State::open(dir.path(), 0, crate::steady::SteadyClock::open(dir.path())).unwrap();
+        crate::state::State::open(dir.path(), 0, crate::steady_clock::SteadyClock::open(dir.path())).unwrap();
     let mut core =
         Core::new(settings, Clock::start(), 1, 7, engines, own, list_sender, saves, Rc::new(state));
     let entry = ServerEntry {
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep_until, Instant};
 
-use crate::answer::{Left, Stream};
+use crate::answer::{AnswerStream, ClientDisconnected};
 use crate::clock::{duration, Clock};
 use crate::engines::{load, request, Connection, Engines};
 use crate::words::{Ask, End, ToCore, Told, Word};
@@ -170,7 +170,7 @@
         let mut answer = Answering::default();
         answer.usage.input_tokens = self.ask.prompt_tokens;
         answer.read_kept = self.sending.state.as_ref().map(|_| self.sending.read_cached_tokens as u64);
-        let mut stream: Option<(Stream, StallDetector)> = None;
+        let mut stream: Option<(AnswerStream, StallDetector)> = None;
         let ping_ms = self.engines.settings.ping_ms;
         let mut ping = Instant::now() + duration(ping_ms);
         let ended = loop {
@@ -186,7 +186,7 @@
                     ping = Instant::now() + duration(ping_ms);
                     if let Some((stream, _)) = stream.as_mut() {
                         if stream.ping().await.is_err() {
-                            break Err(client_left(Left));
+                            break Err(client_left(ClientDisconnected));
                         }
                     }
                     continue;
@@ -248,18 +248,18 @@
             }
             (Err(end), None) => Err(end),
             (Err(SocketEnd::Stopped), Some(stream)) => {
-                stream.broken("the answer was called off").await;
+                stream.fail("the answer was called off").await;
                 Err(SocketEnd::Stopped)
             }
             (Err(end), Some(stream)) => {
-                stream.broken("the model server broke off within the answer").await;
+                stream.fail("the model server broke off within the answer").await;
                 Err(end)
             }
         }
     }
 
     /// Asks the core whether this stream is the answer.
-    async fn begin(&mut self, sent: Instant) -> Result<Stream, SocketEnd> {
+    async fn begin(&mut self, sent: Instant) -> Result<AnswerStream, SocketEnd> {
         let (completion, seq) = (self.sending.completion, self.sending.seq);
         let took_ms = sent.elapsed().as_secs_f64() * 1e3;
         let _ = self.core.send(Told::Began { completion, seq, took_ms }).await;
@@ -283,7 +283,7 @@
 }
 
 /// Whether a client left or was cut for its slowness, the work is called off.
-fn client_left(_: Left) -> SocketEnd {
+fn client_left(_: ClientDisconnected) -> SocketEnd {
     SocketEnd::Stopped
 }
 
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -14,7 +14,7 @@
 use tokio::sync::mpsc;
 
 use super::*;
-use crate::answer::Owed;
+use crate::answer::PendingReply;
 
 #[derive(Clone)]
 enum Step {
@@ -159,7 +159,7 @@
     let (duty, client) = crate::duty::Duty::new(Rc::default());
     let (dialect, id, model) = (paddleproxy_messages::Dialect::published(), "i".into(), "m".into());
     let encoder = paddleproxy_messages::Encoder { dialect, id, model, created: 0, tells_usage: true };
-    let mut owed = Some(Owed::new(duty, None, encoder, 64, Rc::default()));
+    let mut owed = Some(PendingReply::new(duty, None, encoder, 64, Rc::default()));
     let client = tokio::task::spawn_local(async move {
         if let Ok(crate::answer::Reply::Stream(mut pieces)) = client.await {
             while pieces.pieces.recv().await.is_some() {}
@@ -168,11 +168,11 @@
     loop {
         match told.recv().await.unwrap() {
             Told::Began { .. } => {
-                let stream = owed.take().expect("a stream begins once").begin();
+                let stream = owed.take().expect("a stream begins once").start_stream();
                 words.try_send(Word::Grant(stream)).ok().unwrap();
             }
             Told::Ended { end, .. } => {
-                owed.into_iter().for_each(Owed::void);
+                owed.into_iter().for_each(PendingReply::discard);
                 client.await.unwrap();
                 return end;
             }
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -19,15 +19,15 @@
 use tracing::{info, warn};
 
 use crate::clock::Clock;
-use crate::files::write_whole;
-use crate::steady::SteadyClock;
+use crate::files::write_atomic;
+use crate::steady_clock::SteadyClock;
 
-pub type Desked = Rc<RefCell<Desk>>;
+pub type SharedController = Rc<RefCell<Desk>>;
 
 const FILE: &str = "zone-words.json";
 
 /// The desk, where settings have `failover` and `peers`.
-pub fn desk(settings: &RouterSettings, clock: Clock) -> Option<Desked> {
+pub fn controller(settings: &RouterSettings, clock: Clock) -> Option<SharedController> {
     let (failover, peers) = settings.failover.as_ref().zip(settings.peers.as_ref())?;
     let decisions = &settings.decisions;
     let rules = Rules {
@@ -47,19 +47,19 @@
 }
 
 /// The time in which a completion's first token is in target.
-pub fn target_ms(settings: &Settings, arrival: &Arrival) -> f64 {
+pub fn first_token_target_ms(settings: &Settings, arrival: &Arrival) -> f64 {
     let workload = settings.workloads.get(arrival.workload.0);
     workload
         .map_or(f64::INFINITY, |row| row.latency_target_ms + row.target_per_token_ms * arrival.prompt_tokens)
 }
 
 /// What a first event says of its server's zone.
-pub fn began(target_ms: Option<&f64>, took_ms: f64) -> Option<Met> {
+pub fn first_event_outcome(target_ms: Option<&f64>, took_ms: f64) -> Option<Met> {
     target_ms.map(|target_ms| if took_ms <= *target_ms { Met::InTarget } else { Met::Late })
 }
 
 /// What an end says of it; an answer that began has spoken already, and one that we called off says nothing.
-pub fn ended(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<Met> {
+pub fn end_outcome(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<Met> {
     use SocketEnd::*;
     match end {
         ConnectRefused | Unreachable | NoAddress => Some(Met::Refused),
@@ -68,19 +68,19 @@
         ErrorStatus(_) | BrokeBeforeAnswer | BrokeWithinAnswer | BrokeAfterFirst | Stalled => {
             Some(Met::Broken)
         }
-        ReadDone => began(target_ms, took_ms),
+        ReadDone => first_event_outcome(target_ms, took_ms),
         NoRoom | NeverWritten | Withdrawn(_) | TurnedAway(_) | Stopped | Nonsense(_) | AnswerDone => None,
     }
 }
 
 /// Share of its room that a server says is in use.
-pub fn share(load: &LoadReport) -> Option<f64> {
+pub fn utilization(load: &LoadReport) -> Option<f64> {
     let queued = load.queue.is_some_and(|queue| queue >= 1.0);
     load.slots_share.map(|share| if queued { share.max(1.0) } else { share })
 }
 
 /// What goes to the fellows, and what is to be asked.
-pub struct Carried {
+pub struct ExchangeData {
     pub row: Vec<u8>,
     pub page: Vec<u8>,
     pub after: u64,
@@ -90,7 +90,7 @@
 }
 
 /// Reads what fellows carry and works out what to carry.
-pub fn carry(desk: &mut Desk, peers: &Peers, now_ms: f64) -> Carried {
+pub fn exchange(desk: &mut Desk, peers: &Peers, now_ms: f64) -> ExchangeData {
     let mut rows: Vec<Row> = peers.peer_extras().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
     let news = desk.hear(now_ms, &rows);
     // Of many routers of a zone the lowest tell what it sees, each for its part.
@@ -117,18 +117,18 @@
         let before = desk.alone_before();
         let page = desk.next(now_ms, &before, &own, &[own_zone]);
         desk.force_alone(&page);
-        return Carried { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
+        return ExchangeData { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
     }
     let (after, before) =
         peers.consensus().allocation().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
     let page = desk.next(now_ms, before, &rows, &speaking);
     // What no page carries is no plan: the one that stands goes on.
     let page = if page.len() > MAX_EXTRA_BYTES { before.to_vec() } else { page };
-    Carried { row, page, after, asks: desk.asks(now_ms as u64), news }
+    ExchangeData { row, page, after, asks: desk.asks(now_ms as u64), news }
 }
 
 /// An operator's word as it comes in.
-pub struct WordFor {
+pub struct CommandRequest {
     pub zone: String,
     pub word: Word,
     pub for_ms: f64,
@@ -143,15 +143,15 @@
 }
 
 /// Operators' words on disk: they survive a restart, and the time in between counts.
-pub struct Words {
+pub struct CommandStore {
     file: PathBuf,
     zones: Vec<String>,
     steady: SteadyClock,
 }
 
-impl Words {
+impl CommandStore {
     pub fn new(settings: &RouterSettings, steady: SteadyClock) -> Self {
-        Words { file: settings.state_dir.join(FILE), zones: settings.names.zones.clone(), steady }
+        CommandStore { file: settings.state_dir.join(FILE), zones: settings.names.zones.clone(), steady }
     }
 
     pub fn recover(&self, desk: &mut Desk, now_ms: f64) {
@@ -181,7 +181,7 @@
             })
             .collect();
         let written = serde_json::to_vec(&saved).map_err(std::io::Error::from);
-        if let Err(cause) = written.and_then(|bytes| write_whole(&self.file, &bytes)) {
+        if let Err(cause) = written.and_then(|bytes| write_atomic(&self.file, &bytes)) {
             warn!(%cause, file = FILE, "operators' words are not kept; fellows know them");
         }
     }
@@ -191,7 +191,7 @@
         &self,
         desk: &mut Desk,
         zones: &[String],
-        said: &WordFor,
+        said: &CommandRequest,
         now_ms: f64,
     ) -> Result<Value, String> {
         let zone = zones.iter().position(|zone| *zone == said.zone);
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -17,7 +17,7 @@
 
 use crate::front::Front;
 use crate::words::{ToCore, Told};
-use crate::Watched;
+use crate::WatchedSettings;
 
 /// How often a file is looked at whatever the system tells of it, and how long it must stay the same to count as
 /// written.
@@ -93,7 +93,7 @@
 }
 
 /// Follows the operators' list of servers as long as the router runs.
-pub async fn servers(path: PathBuf, core: ToCore) {
+pub async fn watch_servers(path: PathBuf, core: ToCore) {
     let mut file = File::new(path);
     let name = file.path.display().to_string();
     loop {
@@ -117,7 +117,7 @@
 }
 
 /// Follows the settings as long as the router runs.
-pub async fn settings(watched: Watched, started: Rc<RouterSettings>, front: Rc<Front>) {
+pub async fn watch_settings(watched: WatchedSettings, started: Rc<RouterSettings>, front: Rc<Front>) {
     let name = watched.file.display().to_string();
     let good = started.state_dir.join("router.good.kdl");
     let (mut stands, mut decisions) = ((*started).clone(), started.decisions.clone());
@@ -164,7 +164,7 @@
             (stands, decisions) = (applied.settings, applied.decisions);
         }
         let good = good.clone();
-        let kept = tokio::task::spawn_blocking(move || write_whole(&good, text.as_bytes())).await;
+        let kept = tokio::task::spawn_blocking(move || write_atomic(&good, text.as_bytes())).await;
         if let Ok(Err(cause)) = kept {
             warn!(%cause, "the settings could not be kept for another start");
         }
@@ -172,7 +172,7 @@
 }
 
 /// Writes a file whole or not at all.
-pub fn write_whole(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
+pub fn write_atomic(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     use std::io::Write;
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -29,12 +29,12 @@
 use tokio_io_timeout::TimeoutStream;
 use tracing::debug;
 
-use crate::answer::{Keyed, Owed, Pieces, Reply};
+use crate::answer::{AnswerPieces, IdempotencyGuard, PendingReply, Reply};
 use crate::clock::{duration, wall_ms, Clock};
 use crate::duty::{Dropped, Duty};
-use crate::peers::ToFellows;
-use crate::polite::Polite;
-use crate::state::{Left, State};
+use crate::http_errors::HttpErrorStream;
+use crate::peers::PeerSender;
+use crate::state::{RecoveredState, State};
 use crate::words::Ask;
 use crate::words::{ToCore, Told};
 
@@ -62,7 +62,7 @@
     /// Changes of the settings that were taken, and those that were not, with the last reason.
     pub settings_taken: Cell<u64>,
     /// Where fellows are known; none without them.
-    pub fellows: Option<ToFellows>,
+    pub fellows: Option<PeerSender>,
     pub settings_refused: RefCell<(u64, Option<String>)>,
 }
 
@@ -102,7 +102,7 @@
 /// The body of an answer: whole, or pieces as they come.
 pub enum ReplyBody {
     Whole(Option<Bytes>),
-    Pieces { pieces: Pieces, leave: Leaving },
+    Pieces { pieces: AnswerPieces, leave: Leaving },
 }
 
 /// Kept by a streamed body for as long as it runs.
@@ -246,7 +246,7 @@
         // A client who takes nothing for too long is cut, whatever is being written to it.
         let mut stream = TimeoutStream::new(Stream::from(stream));
         stream.set_write_timeout(Some(duration(self.settings.slow_client_ms)));
-        let stream = TokioIo::new(Polite::new(Box::pin(stream)));
+        let stream = TokioIo::new(HttpErrorStream::new(Box::pin(stream)));
         let mut connection = std::pin::pin!(builder.serve_connection(stream, service));
         let ended = tokio::select! {
             ended = connection.as_mut() => ended,
@@ -355,7 +355,7 @@
         }
         drop(bytes);
         if let Err(refused) = self.admit(&mut taken, &facts, prompt.len()) {
-            keyed.into_iter().for_each(Keyed::never_ran);
+            keyed.into_iter().for_each(IdempotencyGuard::never_ran);
             return Err(refused);
         }
         let client_id = header(&head, wire::REQUEST_ID)?.filter(|text| text.len() <= 256).map(str::to_owned);
@@ -371,8 +371,13 @@
             model: asked.model,
         };
         let (duty, answer) = Duty::new(self.dropped.clone());
-        let owed =
-            Owed::new(duty, keyed, encoder.clone(), self.settings.pieces_waiting, self.dropped.clone());
+        let owed = PendingReply::new(
+            duty,
+            keyed,
+            encoder.clone(),
+            self.settings.pieces_waiting,
+            self.dropped.clone(),
+        );
         let mut leave = Leave { completion, core: Some(self.core.clone()) };
         let told = Told::Arrived { completion, facts, received_ms, ask: Rc::new(ask), owed };
         if self.core.send(told).await.is_err() {
@@ -398,7 +403,12 @@
     }
 
     /// Where its workload asks for it, a key is on the disk before anything is sent.
-    async fn remember(&self, mut guard: Keyed, wish: &[u8], rule: KeyRule) -> Result<Keyed, ApiError> {
+    async fn remember(
+        &self,
+        mut guard: IdempotencyGuard,
+        wish: &[u8],
+        rule: KeyRule,
+    ) -> Result<IdempotencyGuard, ApiError> {
         if !rule.remembered {
             return Ok(guard);
         }
@@ -423,7 +433,7 @@
     }
 
     /// What an earlier run left: tries that may have run.
-    pub fn recover(&self, left: &Left) {
+    pub fn recover(&self, left: &RecoveredState) {
         let (requests, now_ms) = (self.requests.borrow(), self.clock.now_ms());
         for (customer, key, wish, left_ms) in &left.tokened {
             let key = Key { customer: requests.customer_by_name(customer), text: Rc::from(key.as_str()) };
@@ -437,7 +447,7 @@
         key: Key,
         body: &[u8],
         rule: KeyRule,
-    ) -> Result<Result<Keyed, Rc<paddleproxy_messages::Answer>>, ApiError> {
+    ) -> Result<Result<IdempotencyGuard, Rc<paddleproxy_messages::Answer>>, ApiError> {
         let now_ms = self.clock.now_ms();
         let verdict = self.repeats.borrow_mut().begin(now_ms, &key, body, rule.window_ms, rule.may_repeat);
         let conflict = |message| {
@@ -447,7 +457,7 @@
         match verdict {
             KeyDecision::Proceed => {
                 let (repeats, may_repeat) = (self.repeats.clone(), rule.may_repeat);
-                Ok(Ok(Keyed { repeats, key, may_repeat, stored: None }))
+                Ok(Ok(IdempotencyGuard { repeats, key, may_repeat, stored: None }))
             }
             KeyDecision::Replay(answer) => {
                 self.answered_again.set(self.answered_again.get() + 1);
--- a/crates/router/src/polite.rs
+++ b/crates/router/src/http_errors.rs
@@ -8,7 +8,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// A client's connection, of which an answer that is not the front's own is written anew.
-pub struct Polite<T> {
+pub struct HttpErrorStream<T> {
     inner: T,
     instead: Vec<u8>,
 }
@@ -16,9 +16,9 @@
 /// Heads that hyper writes by itself. The front's own carry a request id, these do not.
 const OWN_HEADS: [&[u8]; 3] = [b"HTTP/1.1 400 ", b"HTTP/1.1 414 ", b"HTTP/1.1 431 "];
 
-impl<T> Polite<T> {
+impl<T> HttpErrorStream<T> {
     pub fn new(inner: T) -> Self {
-        Polite { inner, instead: Vec::new() }
+        HttpErrorStream { inner, instead: Vec::new() }
     }
 }
 
@@ -38,13 +38,13 @@
     !marked && OWN_HEADS.iter().any(|head| bytes.starts_with(head))
 }
 
-impl<T: AsyncRead + Unpin> AsyncRead for Polite<T> {
+impl<T: AsyncRead + Unpin> AsyncRead for HttpErrorStream<T> {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         Pin::new(&mut self.get_mut().inner).poll_read(cx, into)
     }
 }
 
-impl<T: AsyncWrite + Unpin> Polite<T> {
+impl<T: AsyncWrite + Unpin> HttpErrorStream<T> {
     fn poll_instead(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.instead.is_empty() {
             let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.instead))?;
@@ -57,7 +57,7 @@
     }
 }
 
-impl<T: AsyncWrite + Unpin> AsyncWrite for Polite<T> {
+impl<T: AsyncWrite + Unpin> AsyncWrite for HttpErrorStream<T> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
         ready!(this.poll_instead(cx))?;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -12,12 +12,12 @@
 mod failover;
 mod files;
 mod front;
+mod http_errors;
 pub mod letgo;
 mod list;
 mod peers;
-mod polite;
 mod state;
-mod steady;
+mod steady_clock;
 mod words;
 
 use std::cell::{Cell, RefCell};
@@ -38,7 +38,7 @@
 use crate::core::Core;
 use crate::engines::Engines;
 use crate::front::Front;
-use crate::steady::SteadyClock;
+use crate::steady_clock::SteadyClock;
 use crate::words::Told;
 
 /// Where a running router listens.
@@ -51,7 +51,7 @@
 }
 
 /// The document of a router's settings, read again when it changes.
-pub struct Watched {
+pub struct WatchedSettings {
     pub file: PathBuf,
     /// Sets what is logged.
     pub log: LogSetter,
@@ -72,7 +72,7 @@
 /// A state directory that can't be made, or an address that can't be listened on.
 pub async fn serve(
     settings: RouterSettings,
-    watched: Option<Watched>,
+    watched: Option<WatchedSettings>,
     ready: impl FnOnce(Listening),
     mut stop: watch::Receiver<bool>,
 ) -> Result<()> {
@@ -110,7 +110,7 @@
     let store = Rc::new(store);
     let own = (engines.clone(), core.clone());
     let mut state = Core::new(settings.clone(), clock, boot, seed, own.0, own.1, list, saves, store.clone());
-    let desk = failover::desk(&settings, clock);
+    let desk = failover::controller(&settings, clock);
     if let Some(desk) = &desk {
         state.sit_at(desk.clone());
     }
@@ -119,11 +119,11 @@
     let (to_fellows, asks) = mpsc::channel(8);
     let fellows = match fellows {
         Some((bound, row)) => {
-            let (rules, floor) = peers::first(&settings, &row);
+            let (rules, floor) = peers::initial_grant(&settings, &row);
             admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
             state.begin_with(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
-            Some(peers::Fellows {
+            Some(peers::PeerTaskParts {
                 bound,
                 rules,
                 settings,
@@ -182,10 +182,10 @@
     tokio::task::spawn_local(list::save(dir, lists));
     tokio::task::spawn_local(list::follow(settings.clone(), engines, core.clone(), list_words, after));
     if let Some(path) = settings.servers_file.clone() {
-        tokio::task::spawn_local(files::servers(path, core.clone()));
+        tokio::task::spawn_local(files::watch_servers(path, core.clone()));
     }
     if let Some(watched) = watched {
-        tokio::task::spawn_local(files::settings(watched, settings.clone(), front.clone()));
+        tokio::task::spawn_local(files::watch_settings(watched, settings.clone(), front.clone()));
     }
     if let Some(listener) = admin {
         tokio::task::spawn_local(admin::listen(listener, front.clone()));
@@ -203,7 +203,7 @@
     // First of all: what comes while peers are told is refused too.
     admission.borrow_mut().stop();
     if let Some(fellows) = &front.fellows {
-        peers::leave(fellows).await;
+        peers::announce_leave(fellows).await;
     }
     closing.send_replace(true);
     let _ = accepting.await;
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -14,7 +14,7 @@
 
 use crate::clock::duration;
 use crate::engines::Engines;
-use crate::files::write_whole;
+use crate::files::write_atomic;
 use crate::words::{Known, ToCore, Told};
 
 /// What the decisions want of the list.
@@ -132,5 +132,5 @@
 }
 
 fn write(dir: &Path, list: &Saved) -> std::io::Result<()> {
-    write_whole(&dir.join(FILE), &serde_json::to_vec(list)?)
+    write_atomic(&dir.join(FILE), &serde_json::to_vec(list)?)
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -22,9 +22,9 @@
 use tracing::{info, warn};
 
 use crate::clock::{duration, Clock};
-use crate::failover::{self, Desked, WordFor};
-use crate::files::write_whole;
-use crate::steady::SteadyClock;
+use crate::failover::{self, CommandRequest, SharedController};
+use crate::files::write_atomic;
+use crate::steady_clock::SteadyClock;
 use crate::words::{ToCore, Told};
 
 /// Calls that may be open at once; further ones are closed, and their callers come again.
@@ -42,17 +42,17 @@
 const LIFE: &str = "life";
 
 /// Questions to the task that knows the fellows.
-pub enum Ask {
+pub enum PeerRequest {
     View(oneshot::Sender<Value>),
     /// Say goodbye; answered once that is sent.
     Leave(oneshot::Sender<()>),
     /// All of failover; none where settings have none.
     Failover(oneshot::Sender<Option<Value>>),
     /// An operator's word on a zone, or why it is none.
-    Word(WordFor, oneshot::Sender<Result<Value, String>>),
+    Word(CommandRequest, oneshot::Sender<Result<Value, String>>),
 }
 
-pub type ToFellows = mpsc::Sender<Ask>;
+pub type PeerSender = mpsc::Sender<PeerRequest>;
 
 enum Inside {
     Called { letters: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>> },
@@ -60,7 +60,7 @@
 }
 
 /// Sockets of a router's fellows, bound but not yet used.
-pub struct Bound {
+pub struct PeerSockets {
     datagrams: UdpSocket,
     calls: TcpListener,
     pub address: SocketAddr,
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// An address that is taken; with port 0, sixteen tries without a port that is free for both.
-pub async fn bind(settings: &PeerSettings) -> Result<Bound> {
+pub async fn bind(settings: &PeerSettings) -> Result<PeerSockets> {
     let mut tries = 0;
     loop {
         tries += 1;
@@ -78,7 +78,7 @@
         let calls = calls.await.with_context(|| format!("fellows' calls on {}", settings.listen))?;
         let address = calls.local_addr()?;
         match UdpSocket::bind(address).await {
-            Ok(datagrams) => return Ok(Bound { datagrams, calls, address }),
+            Ok(datagrams) => return Ok(PeerSockets { datagrams, calls, address }),
             Err(_) if settings.listen.port() == 0 && tries < 16 => {}
             Err(cause) => return Err(cause).with_context(|| format!("fellows' datagrams on {address}")),
         }
@@ -86,7 +86,7 @@
 }
 
 /// What is shared out before any fellow was heard.
-pub fn first(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
+pub fn initial_grant(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
     let places = decisions.routers;
     let things = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::MAX_RESOURCES - 1);
@@ -117,7 +117,7 @@
 }
 
 /// The decisions' settings as fellows agreed: how many reckon, the own place among them, the part of fresh servers.
-pub fn overlaid(base: &Settings, granted: &Granted) -> Settings {
+pub fn settings_with_grant(base: &Settings, granted: &Granted) -> Settings {
     Settings {
         routers: granted.routers.max(1),
         own_number: granted.rank.min(granted.routers.max(1) - 1),
@@ -127,8 +127,8 @@
 }
 
 /// All that the task needs.
-pub struct Fellows {
-    pub bound: Bound,
+pub struct PeerTaskParts {
+    pub bound: PeerSockets,
     pub rules: Rules,
     pub settings: Rc<RouterSettings>,
     pub peers: PeerSettings,
@@ -137,7 +137,7 @@
     pub steady: SteadyClock,
     pub core: ToCore,
     pub admission: Rc<RefCell<Admission>>,
-    pub desk: Option<Desked>,
+    pub desk: Option<SharedController>,
 }
 
 struct Task {
@@ -157,13 +157,13 @@
     asked: (f64, Vec<u64>),
     needs: Vec<f64>,
     outgoing: Rc<std::cell::Cell<usize>>,
-    desk: Option<Desked>,
-    words: failover::Words,
+    desk: Option<SharedController>,
+    words: failover::CommandStore,
 }
 
 /// Runs as long as the router does.
-pub async fn run(fellows: Fellows, mut asks: mpsc::Receiver<Ask>) {
-    let Fellows { bound, rules, settings, peers, seed, clock, steady, core, admission, desk } = fellows;
+pub async fn run(fellows: PeerTaskParts, mut asks: mpsc::Receiver<PeerRequest>) {
+    let PeerTaskParts { bound, rules, settings, peers, seed, clock, steady, core, admission, desk } = fellows;
     let life_file = settings.state_dir.join(LIFE);
     let life = next_life(&life_file);
     let about = about(&settings, &peers, bound.address);
@@ -188,7 +188,7 @@
         asked: (clock.now_ms(), Vec::new()),
         needs: Vec::new(),
         outgoing: Rc::default(),
-        words: failover::Words::new(&settings, steady),
+        words: failover::CommandStore::new(&settings, steady),
         desk,
     };
     if let Some(desk) = &task.desk {
@@ -205,13 +205,13 @@
             biased;
             _ = sleep_until(due) => task.tell(Event::Tick).await,
             asked = asks.recv() => match asked {
-                Some(Ask::View(answer)) => drop(answer.send(task.view())),
-                Some(Ask::Leave(done)) => {
+                Some(PeerRequest::View(answer)) => drop(answer.send(task.view())),
+                Some(PeerRequest::Leave(done)) => {
                     task.tell(Event::Leave).await;
                     let _ = done.send(());
                 }
-                Some(Ask::Failover(answer)) => drop(answer.send(task.failover())),
-                Some(Ask::Word(word, answer)) => drop(answer.send(task.word(&word))),
+                Some(PeerRequest::Failover(answer)) => drop(answer.send(task.failover())),
+                Some(PeerRequest::Word(word, answer)) => drop(answer.send(task.word(&word))),
                 None => return,
             },
             _ = need.tick() => {
@@ -309,7 +309,7 @@
         let now_ms = self.clock.now_ms();
         let carried = {
             let desk = &mut *desk.borrow_mut();
-            let carried = failover::carry(desk, &self.peers, now_ms);
+            let carried = failover::exchange(desk, &self.peers, now_ms);
             if carried.news {
                 self.words.keep(desk, now_ms);
             }
@@ -334,7 +334,7 @@
         ))
     }
 
-    fn word(&mut self, word: &WordFor) -> Result<Value, String> {
+    fn word(&mut self, word: &CommandRequest) -> Result<Value, String> {
         let desk = self.desk.as_ref().ok_or("this router has no 'failover' in its settings")?;
         self.words.say(&mut desk.borrow_mut(), &self.zones, word, self.clock.now_ms())
     }
@@ -469,7 +469,7 @@
 }
 
 fn keep_life(file: &Path, life: Generation) {
-    if let Err(cause) = write_whole(file, format!("{}\n", life.0).as_bytes()) {
+    if let Err(cause) = write_atomic(file, format!("{}\n", life.0).as_bytes()) {
         warn!(%cause, file = %file.display(), "the router's life is not kept; its fellows will tell it");
     }
 }
@@ -523,14 +523,14 @@
 }
 
 /// Tells the fellows that this router goes, and waits until that is on its way; not for long.
-pub async fn leave(fellows: &ToFellows) {
+pub async fn announce_leave(fellows: &PeerSender) {
     let (done, said) = oneshot::channel();
-    if fellows.send(Ask::Leave(done)).await.is_ok() {
+    if fellows.send(PeerRequest::Leave(done)).await.is_ok() {
         let _ = timeout(Duration::from_millis(200), said).await;
     }
 }
 
 /// When what is granted lapses on the router's own clock; none where it does not.
-pub fn lapses(clock: Clock, granted: &Granted) -> Option<Instant> {
+pub fn expires_at(clock: Clock, granted: &Granted) -> Option<Instant> {
     granted.until_ms.is_finite().then(|| clock.at(granted.until_ms))
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 use tracing::{error, info, warn};
 
-use crate::steady::SteadyClock;
+use crate::steady_clock::SteadyClock;
 
 /// A client does not wait longer than this for the disk; then its request is turned away.
 const DISK_WITHIN: Duration = Duration::from_millis(1000);
@@ -23,7 +23,7 @@
 pub struct State {
     handle: RefCell<Option<(Handle, JoinHandle<()>)>>,
     /// By which times are kept.
-    pub steady: SteadyClock,
+    pub steady_clock: SteadyClock,
     /// Writes that found no room in the queue, and durable ones that failed.
     pub skipped: Cell<u64>,
     pub failed: Cell<u64>,
@@ -31,15 +31,19 @@
 
 /// What an earlier run left.
 #[derive(Default)]
-pub struct Left {
+pub struct RecoveredState {
     kept: Vec<(Vec<u8>, Vec<u8>)>,
     /// Customer, key, what was asked for, and how long it still matters, in ms.
     pub tokened: Vec<(String, String, u64, f64)>,
 }
 
-impl Left {
+impl RecoveredState {
     /// What of it may be believed, given the processes that run now.
-    pub fn believed(&self, now_ms: f64, starts: &std::collections::BTreeMap<String, u64>) -> Vec<CacheEntry> {
+    pub fn usable_cache_entries(
+        &self,
+        now_ms: f64,
+        starts: &std::collections::BTreeMap<String, u64>,
+    ) -> Vec<CacheEntry> {
         let entries = self.kept.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
         let rows = retention::believe(now_ms, &retention::TRUST, starts, retention::stored(entries));
         rows.into_iter().map(CacheEntry::from).collect()
@@ -52,9 +56,13 @@
     ///
     /// # Errors
     /// Such a mistake.
-    pub fn open(dir: &Path, router: usize, steady: SteadyClock) -> anyhow::Result<(State, Left)> {
-        let none =
-            || State { handle: RefCell::new(None), steady, skipped: Cell::new(0), failed: Cell::new(0) };
+    pub fn open(dir: &Path, router: usize, steady: SteadyClock) -> anyhow::Result<(State, RecoveredState)> {
+        let none = || State {
+            handle: RefCell::new(None),
+            steady_clock: steady,
+            skipped: Cell::new(0),
+            failed: Cell::new(0),
+        };
         let dir = dir.join(DIR);
         let disk = match Disk::open(&dir) {
             Ok(disk) => disk,
@@ -66,7 +74,7 @@
             }
             Err(cause) => {
                 error!(%cause, dir = %dir.display(), "NOTHING IS KEPT: the store can't be opened");
-                return Ok((none(), Left::default()));
+                return Ok((none(), RecoveredState::default()));
             }
         };
         let options = Options { router: router as u32, ..Options::default() };
@@ -75,7 +83,7 @@
             Err(cause @ paddleproxy_store::Error::OtherRouter { .. }) => return Err(cause.into()),
             Err(cause) => {
                 error!(%cause, dir = %dir.display(), "NOTHING IS KEPT: the store can't be opened");
-                return Ok((none(), Left::default()));
+                return Ok((none(), RecoveredState::default()));
             }
         };
         for finding in &store.findings {
@@ -91,7 +99,7 @@
         let tokened = retention::tokened(now_ms, store.of(Kind::Tokened));
         let tokened =
             tokened.into_iter().map(|(customer, key, wish, left)| (customer.into(), key.into(), wish, left));
-        let left = Left { kept, tokened: tokened.collect() };
+        let left = RecoveredState { kept, tokened: tokened.collect() };
         match Handle::start(store) {
             Ok((handle, thread)) => {
                 handle.sweep(now_ms);
@@ -111,7 +119,7 @@
     }
 
     /// A server keeps a text; written when there is time.
-    pub fn keeps(
+    pub fn record_cached(
         &self,
         worker: &WorkerId,
         start: u64,
@@ -119,7 +127,7 @@
         tokens: f64,
         prefix: Option<(PrefixId, f64)>,
     ) {
-        let at_ms = self.steady.now_ms();
+        let at_ms = self.steady_clock.now_ms();
         let op = |(text, tokens)| {
             let value = serde_json::to_vec(&retention::Kept { tokens, at_ms, start }).unwrap_or_default();
             Op::Put { key: retention::kept_key(text, &worker.0), value }
@@ -129,7 +137,7 @@
 
     /// Work with a key is about to be sent; on the disk when this returns true.
     pub async fn remember(&self, customer: &str, key: &str, wish: u64, window_ms: f64) -> bool {
-        let work = retention::Tokened { wish, until_ms: self.steady.now_ms() + window_ms };
+        let work = retention::Tokened { wish, until_ms: self.steady_clock.now_ms() + window_ms };
         let value = serde_json::to_vec(&work).unwrap_or_default();
         let op = Op::Put { key: retention::tokened_key(customer, key), value };
         let done = self.handle.borrow().as_ref().and_then(|(handle, _)| handle.durable(vec![op]).ok());
@@ -151,7 +159,7 @@
 
     /// Lets go of what is outdated.
     pub fn sweep(&self) {
-        self.handle.borrow().iter().for_each(|(handle, _)| handle.sweep(self.steady.now_ms()));
+        self.handle.borrow().iter().for_each(|(handle, _)| handle.sweep(self.steady_clock.now_ms()));
     }
 
     /// Writes what waits and lets go of the directory.
--- a/crates/router/src/steady.rs
+++ b/crates/router/src/steady_clock.rs
@@ -12,7 +12,7 @@
 use tracing::warn;
 
 use crate::clock::wall_ms;
-use crate::files::write_whole;
+use crate::files::write_atomic;
 
 const FILE: &str = "clock.json";
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
@@ -56,7 +56,7 @@
         let anchor = Anchor::of(kept.clone(), boot.trim(), wall_ms(), since_boot_ms());
         if kept.as_ref() != Some(&anchor) {
             let written = serde_json::to_vec(&anchor).map_err(std::io::Error::from);
-            if let Err(cause) = written.and_then(|bytes| write_whole(&file, &bytes)) {
+            if let Err(cause) = written.and_then(|bytes| write_atomic(&file, &bytes)) {
                 warn!(%cause, file = FILE, "the clock is not kept; the next start goes by the wall clock");
             }
         }
--- a/crates/router/src/words.rs
+++ b/crates/router/src/words.rs
@@ -12,7 +12,7 @@
 use paddleproxy_routing::{Counts, RequestFacts, SocketEnd};
 use tokio::sync::{mpsc, oneshot};
 
-use crate::answer::{Owed, Stream};
+use crate::answer::{AnswerStream, PendingReply};
 
 /// What the core is told.
 pub enum Told {
@@ -21,7 +21,7 @@
         facts: RequestFacts,
         received_ms: f64,
         ask: Rc<Ask>,
-        owed: Owed,
+        owed: PendingReply,
     },
     Began {
         completion: CompletionId,
@@ -144,7 +144,7 @@
 
 /// What the core tells a dispatch that is out.
 pub enum Word {
-    Grant(Stream),
+    Grant(AnswerStream),
     Stop,
 }
 
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -81,7 +81,7 @@
     let (sender, ready) = tokio::sync::oneshot::channel();
     let file = dir.path().join("router.kdl");
     std::fs::write(&file, &text).unwrap();
-    let watched = paddleproxy_router::Watched { file, log: Box::new(|_| Ok(())) };
+    let watched = paddleproxy_router::WatchedSettings { file, log: Box::new(|_| Ok(())) };
     let serving =
         paddleproxy_router::serve(settings, Some(watched), move |at| sender.send(at).unwrap(), stopped);
     let router = tokio::task::spawn_local(serving);
