--- a/crates/router/src/http_errors.rs
+++ b/crates/router/src/http_errors.rs
@@ -1,4 +1,4 @@
-//! What hyper answers by itself to bytes that are no HTTP has no body. Here it gets the API's error form.
+//! Replaces the empty error responses that hyper itself writes for invalid HTTP by the API's error format.
 
 use std::io;
 use std::pin::Pin;
@@ -7,22 +7,23 @@
 use paddleproxy_messages::{ApiError, Dialect, ErrorKind};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// A client's connection, of which an answer that is not the front's own is written anew.
+/// A client connection on which hyper's own error responses are replaced.
 pub struct HttpErrorStream<T> {
     inner: T,
-    instead: Vec<u8>,
+    replacement: Vec<u8>,
 }
 
-/// Heads that hyper writes by itself. The front's own carry a request id, these do not.
-const OWN_HEADS: [&[u8]; 3] = [b"HTTP/1.1 400 ", b"HTTP/1.1 414 ", b"HTTP/1.1 431 "];
+/// Status lines of the errors that hyper itself writes. Unlike the router's responses they carry no request
+/// id.
+const HYPER_ERROR_HEADS: [&[u8]; 3] = [b"HTTP/1.1 400 ", b"HTTP/1.1 414 ", b"HTTP/1.1 431 "];
 
 impl<T> HttpErrorStream<T> {
     pub fn new(inner: T) -> Self {
-        HttpErrorStream { inner, instead: Vec::new() }
+        HttpErrorStream { inner, replacement: Vec::new() }
     }
 }
 
-fn answer() -> Vec<u8> {
+fn error_response() -> Vec<u8> {
     let error = ApiError::new(ErrorKind::InvalidRequest, "this is not a request that HTTP/1.1 allows");
     let body = Dialect::published().error(&error, "none");
     let length = body.len();
@@ -33,25 +34,29 @@
     .into_bytes()
 }
 
-fn is_hypers(bytes: &[u8]) -> bool {
-    let marked = bytes.windows(12).any(|part| part == b"request-id: ");
-    !marked && OWN_HEADS.iter().any(|head| bytes.starts_with(head))
+fn is_hyper_error(bytes: &[u8]) -> bool {
+    let has_request_id = bytes.windows(12).any(|part| part == b"request-id: ");
+    !has_request_id && HYPER_ERROR_HEADS.iter().any(|head| bytes.starts_with(head))
 }
 
 impl<T: AsyncRead + Unpin> AsyncRead for HttpErrorStream<T> {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut self.get_mut().inner).poll_read(cx, into)
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.get_mut().inner).poll_read(cx, buffer)
     }
 }
 
 impl<T: AsyncWrite + Unpin> HttpErrorStream<T> {
-    fn poll_instead(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.instead.is_empty() {
-            let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.instead))?;
+    fn poll_replacement(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while !self.replacement.is_empty() {
+            let written = ready!(Pin::new(&mut self.inner).poll_write(cx, &self.replacement))?;
             if written == 0 {
                 return Poll::Ready(Err(io::ErrorKind::WriteZero.into()));
             }
-            self.instead.drain(..written);
+            self.replacement.drain(..written);
         }
         Poll::Ready(Ok(()))
     }
@@ -60,10 +65,10 @@
 impl<T: AsyncWrite + Unpin> AsyncWrite for HttpErrorStream<T> {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let this = self.get_mut();
-        ready!(this.poll_instead(cx))?;
-        if is_hypers(bytes) {
-            this.instead = answer();
-            // All of hyper's bytes count as written; ours go out with the next write or flush.
+        ready!(this.poll_replacement(cx))?;
+        if is_hyper_error(bytes) {
+            this.replacement = error_response();
+            // Reports all of hyper's bytes as written; the replacement is sent by the next write or flush.
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut this.inner).poll_write(cx, bytes)
@@ -71,13 +76,13 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.poll_instead(cx))?;
+        ready!(this.poll_replacement(cx))?;
         Pin::new(&mut this.inner).poll_flush(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = self.get_mut();
-        ready!(this.poll_instead(cx))?;
+        ready!(this.poll_replacement(cx))?;
         Pin::new(&mut this.inner).poll_shutdown(cx)
     }
 }
