--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health and plain metrics on a local port of their own.
+//! HTTP server of the admin port: health, metrics, status, and operator commands.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
 use paddleproxy_failover::words::FOR_MAX_MS;
-use paddleproxy_membership::Word as ListSays;
+use paddleproxy_membership::Word as ServerCommand;
 use paddleproxy_routing::RejectReason;
 use paddleproxy_sockets::Stream;
 use serde_json::json;
@@ -22,18 +22,19 @@
 use crate::peers::{self, PeerSender};
 use crate::words::{Status, Told};
 
-/// How long an operator's word on a zone holds where it does not say, in ms.
-const WORD_FOR_MS: f64 = 3_600_000.0;
+/// How long an operator's zone command holds if the request has no `for_ms`.
+const DEFAULT_COMMAND_MS: f64 = 3_600_000.0;
 
 pub async fn listen(listener: TcpListener, front: Rc<Front>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
+            // Out of file descriptors, or the connection was closed before accept: pause briefly.
             tokio::time::sleep(duration(10.0)).await;
             continue;
         };
         let front = front.clone();
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |request| answer(front.clone(), request));
+            let service = service_fn(move |request| handle_request(front.clone(), request));
             let mut builder = hyper::server::conn::http1::Builder::new();
             builder.timer(TokioTimer::new()).header_read_timeout(duration(2000.0));
             let _ = builder.serve_connection(TokioIo::new(Stream::from(stream)), service).await;
@@ -41,17 +42,17 @@
     }
 }
 
-async fn answer(
+async fn handle_request(
     front: Rc<Front>,
     request: Request<hyper::body::Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (sender, receiver) = oneshot::channel();
-    let asked = front.core.send(Told::Ask { status: sender }).await;
-    let status = match asked {
+    let sent = front.core.send(Told::Ask { status: sender }).await;
+    let status = match sent {
         Ok(()) => receiver.await.ok(),
         Err(_) => None,
     };
-    if let Some(response) = operators(&front, &request).await {
+    if let Some(response) = operator_request(&front, &request).await {
         return Ok(response);
     }
     let stopping = front.admission.borrow().stopping();
@@ -60,11 +61,13 @@
         ("/healthz", _) => (StatusCode::SERVICE_UNAVAILABLE, "not ready\n".to_owned()),
         ("/metrics", Some(status)) => {
             let mut text = metrics(&front, &status);
-            if let Some(fellows) = &front.fellows {
-                text.push_str(&view(fellows).await.map(|view| fellows_metrics(&view)).unwrap_or_default());
+            if let Some(peer_sender) = &front.peers {
+                text.push_str(
+                    &peers_view(peer_sender).await.map(|view| peers_metrics(&view)).unwrap_or_default(),
+                );
                 let (sender, receiver) = oneshot::channel();
-                let asked = fellows.send(peers::PeerRequest::Failover(sender)).await;
-                let plan = if asked.is_ok() { receiver.await.ok().flatten() } else { None };
+                let sent = peer_sender.send(peers::PeerRequest::Failover(sender)).await;
+                let plan = if sent.is_ok() { receiver.await.ok().flatten() } else { None };
                 text.push_str(&plan.map(|plan| failover_metrics(&plan)).unwrap_or_default());
             }
             (StatusCode::OK, text)
@@ -79,29 +82,33 @@
     Ok(response)
 }
 
-/// What operators ask and say: `GET /status`, `POST /workers/drain?name=...` and its like, `POST /list/accept`.
-async fn operators(front: &Front, request: &Request<hyper::body::Incoming>) -> Option<Response<Full<Bytes>>> {
+/// Answers operator requests: `GET /status`, `GET /peers`, `/failover`, `POST
+/// /workers/drain|undrain|quarantine?name=...` and `POST /list/accept`; `None` for any other path.
+async fn operator_request(
+    front: &Front,
+    request: &Request<hyper::body::Incoming>,
+) -> Option<Response<Full<Bytes>>> {
     let path = request.uri().path();
     let json = |code: StatusCode, value: serde_json::Value| {
         let mut response = Response::new(Full::new(Bytes::from(format!("{value}\n"))));
         *response.status_mut() = code;
         Some(response)
     };
-    let gone = || json(StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "the router stops" }));
+    let stopping = || json(StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "the router stops" }));
     if path == "/status" {
         let (sender, receiver) = oneshot::channel();
-        let asked = front.core.send(Told::Members { status: sender }).await;
-        let Some(list) = (match asked {
+        let sent = front.core.send(Told::Members { status: sender }).await;
+        let Some(list) = (match sent {
             Ok(()) => receiver.await.ok(),
             Err(_) => None,
         }) else {
-            return gone();
+            return stopping();
         };
-        let (refused, why) = front.settings_refused.borrow().clone();
+        let (refused, why) = front.settings_rejected.borrow().clone();
         let settings =
-            json!({ "taken": front.settings_taken.get(), "refused": refused, "last_refused": why });
-        let stands = match &front.fellows {
-            Some(fellows) => view(fellows).await.map(|view| {
+            json!({ "taken": front.settings_applied.get(), "refused": refused, "last_refused": why });
+        let cluster = match &front.peers {
+            Some(peer_sender) => peers_view(peer_sender).await.map(|view| {
                 json!({
                     "mind": view["mind"], "why": view["why"], "same": view["same"], "of": view["of"],
                     "differ": view["differ"], "page": view["page"]["number"], "shares": view["shares"],
@@ -111,37 +118,37 @@
         };
         return json(
             StatusCode::OK,
-            json!({ "schema": "paddleproxy.status.v1", "list": list, "settings": settings, "peers": stands }),
+            json!({ "schema": "paddleproxy.status.v1", "list": list, "settings": settings, "peers": cluster }),
         );
     }
     if path == "/peers" {
-        let Some(fellows) = &front.fellows else {
+        let Some(peer_sender) = &front.peers else {
             return json(
                 StatusCode::NOT_FOUND,
                 json!({ "error": "this router has no 'peers' in its settings" }),
             );
         };
-        return match view(fellows).await {
+        return match peers_view(peer_sender).await {
             Some(view) => json(StatusCode::OK, view),
-            None => gone(),
+            None => stopping(),
         };
     }
     if path == "/failover" || path.starts_with("/failover/") {
-        let Some(fellows) = &front.fellows else {
+        let Some(peer_sender) = &front.peers else {
             return json(
                 StatusCode::NOT_FOUND,
                 json!({ "error": "this router has no 'peers' in its settings" }),
             );
         };
-        return match failover(fellows, request).await {
+        return match failover_request(peer_sender, request).await {
             Ok(view) => json(StatusCode::OK, view),
             Err((code, why)) => json(code, json!({ "error": why })),
         };
     }
-    let word = match path.strip_prefix("/workers/") {
-        Some("drain") => Some(ListSays::Drain),
-        Some("undrain") => Some(ListSays::Undrain),
-        Some("quarantine") => Some(ListSays::Quarantine),
+    let command = match path.strip_prefix("/workers/") {
+        Some("drain") => Some(ServerCommand::Drain),
+        Some("undrain") => Some(ServerCommand::Undrain),
+        Some("quarantine") => Some(ServerCommand::Quarantine),
         _ if path == "/list/accept" => None,
         _ => return None,
     };
@@ -151,47 +158,47 @@
     let (done, receiver) = oneshot::channel();
     let query = request.uri().query().unwrap_or_default();
     let name = query.split('&').find_map(|part| part.strip_prefix("name=")).unwrap_or_default().to_owned();
-    let told = match word {
-        Some(word) => Told::Say { server: name.clone(), word, done },
+    let event = match command {
+        Some(command) => Told::Say { server: name.clone(), word: command, done },
         None => Told::Accept { done },
     };
-    if front.core.send(told).await.is_err() {
-        return gone();
+    if front.core.send(event).await.is_err() {
+        return stopping();
     }
-    match (receiver.await, word) {
+    match (receiver.await, command) {
         (Ok(Some(revision)), _) => json(StatusCode::OK, json!({ "revision": revision })),
         (Ok(None), Some(_)) => {
             json(StatusCode::NOT_FOUND, json!({ "error": format!("there is no server '{name}'") }))
         }
         (Ok(None), None) => json(StatusCode::NOT_FOUND, json!({ "error": "no version is held" })),
-        (Err(_), _) => gone(),
+        (Err(_), _) => stopping(),
     }
 }
 
-async fn view(fellows: &PeerSender) -> Option<serde_json::Value> {
+async fn peers_view(peer_sender: &PeerSender) -> Option<serde_json::Value> {
     let (sender, receiver) = oneshot::channel();
-    fellows.send(peers::PeerRequest::View(sender)).await.ok()?;
+    peer_sender.send(peers::PeerRequest::View(sender)).await.ok()?;
     receiver.await.ok()
 }
 
 /// `GET /failover`, and `POST /failover/hold|drain-zone|return?zone=...&for_ms=...`.
-async fn failover(
-    fellows: &PeerSender,
+async fn failover_request(
+    peer_sender: &PeerSender,
     request: &Request<hyper::body::Incoming>,
 ) -> Result<serde_json::Value, (StatusCode, String)> {
-    let gone = || (StatusCode::SERVICE_UNAVAILABLE, "the router stops".to_owned());
-    let Some(word) = request.uri().path().strip_prefix("/failover/") else {
+    let stopping = || (StatusCode::SERVICE_UNAVAILABLE, "the router stops".to_owned());
+    let Some(name) = request.uri().path().strip_prefix("/failover/") else {
         let (sender, receiver) = oneshot::channel();
-        fellows.send(peers::PeerRequest::Failover(sender)).await.map_err(|_| gone())?;
-        let view = receiver.await.map_err(|_| gone())?;
+        peer_sender.send(peers::PeerRequest::Failover(sender)).await.map_err(|_| stopping())?;
+        let view = receiver.await.map_err(|_| stopping())?;
         return view
             .ok_or((StatusCode::NOT_FOUND, "this router has no 'failover' in its settings".to_owned()));
     };
     if request.method() != Method::POST {
         return Err((StatusCode::METHOD_NOT_ALLOWED, "only POST says anything".to_owned()));
     }
-    let wrong = |why: String| (StatusCode::BAD_REQUEST, why);
-    let word = word.parse().map_err(wrong)?;
+    let bad_request = |why: String| (StatusCode::BAD_REQUEST, why);
+    let command = name.parse().map_err(bad_request)?;
     let query = request.uri().query().unwrap_or_default();
     let value = |name: &str| {
         query
@@ -201,26 +208,26 @@
     };
     let zone = value("zone").unwrap_or_default().to_owned();
     let for_ms = match value("for_ms").map(str::parse::<f64>) {
-        None => WORD_FOR_MS,
+        None => DEFAULT_COMMAND_MS,
         Some(Ok(ms)) if (0.0..=FOR_MAX_MS).contains(&ms) => ms,
-        Some(_) => return Err(wrong(format!("for_ms: a time in ms from 0 to {FOR_MAX_MS}"))),
+        Some(_) => return Err(bad_request(format!("for_ms: a time in ms from 0 to {FOR_MAX_MS}"))),
     };
     let (sender, receiver) = oneshot::channel();
-    let said = CommandRequest { zone, word, for_ms };
-    fellows.send(peers::PeerRequest::Word(said, sender)).await.map_err(|_| gone())?;
-    receiver.await.map_err(|_| gone())?.map_err(wrong)
+    let command = CommandRequest { zone, command, for_ms };
+    peer_sender.send(peers::PeerRequest::Command(command, sender)).await.map_err(|_| stopping())?;
+    receiver.await.map_err(|_| stopping())?.map_err(bad_request)
 }
 
-/// Lines on fellows, from the view that operators see.
-fn fellows_metrics(view: &serde_json::Value) -> String {
+/// Metrics of the peers, from the view of `/peers`.
+fn peers_metrics(view: &serde_json::Value) -> String {
     let members = view["members"].as_array().map_or(&[][..], Vec::as_slice);
     let of = |state: &str| members.iter().filter(|row| row["state"] == state).count();
     let mut text = String::new();
     for state in ["alive", "suspect", "failed", "left"] {
         text.push_str(&format!("paddleproxy_peers{{state=\"{state}\"}} {}\n", of(state)));
     }
-    let mind = view["mind"].as_str().unwrap_or_default();
-    text.push_str(&format!("paddleproxy_peers_mind{{mind=\"{mind}\"}} 1\n"));
+    let status = view["mind"].as_str().unwrap_or_default();
+    text.push_str(&format!("paddleproxy_peers_mind{{mind=\"{status}\"}} 1\n"));
     for name in ["hears", "roster", "same", "of", "health"] {
         text.push_str(&format!("paddleproxy_peers_{name} {}\n", view[name]));
     }
@@ -231,7 +238,7 @@
     text
 }
 
-/// Lines on failover; a plan's number is 0 where none is in force.
+/// Metrics of failover; the plan's number is 0 if none is in force.
 fn failover_metrics(view: &serde_json::Value) -> String {
     let mut text = String::new();
     let number = |value: &serde_json::Value| value.as_f64().unwrap_or(0.0);
@@ -255,7 +262,7 @@
     text
 }
 
-/// Counts what the process allocates; costs a little on each allocation.
+/// Counts allocations of the process, at a small cost per allocation.
 #[cfg(feature = "allocations")]
 #[global_allocator]
 static ALLOCATOR: &stats_alloc::StatsAlloc<std::alloc::System> = &stats_alloc::INSTRUMENTED_SYSTEM;
@@ -282,11 +289,11 @@
         ("dispatches_moot_total", counts.moot),
         ("first_events_late_total", counts.late_first),
         ("answers_overdue_total", counts.overdue),
-        ("answers_dropped_total", front.dropped.get()),
+        ("answers_dropped_total", front.dropped_answers.get()),
         ("states_unpinned_total", counts.unpinned),
         ("invariant_breaches_total", counts.breaches),
-        ("answers_again_total", front.answered_again.get()),
-        ("refused_by_key_total", front.refused_by_key.get()),
+        ("answers_again_total", front.answers_replayed.get()),
+        ("refused_by_key_total", front.requests_refused_by_key.get()),
         ("connections_refused_total", front.connections_refused.get()),
         ("places_open", front.admission.borrow().open() as u64),
         ("completions_open", status.open as u64),
@@ -297,9 +304,9 @@
         ("list_revision", status.revision),
         ("lists_held_total", status.held_total),
         ("lists_refused_total", status.refused),
-        ("store_writes_skipped_total", front.state.skipped.get()),
-        ("store_writes_failed_total", front.state.failed.get()),
-        ("settings_refused_total", front.settings_refused.borrow().0),
+        ("store_writes_skipped_total", front.state.writes_skipped.get()),
+        ("store_writes_failed_total", front.state.writes_failed.get()),
+        ("settings_refused_total", front.settings_rejected.borrow().0),
     ];
     let mut text: String = rows.iter().map(|(name, value)| format!("paddleproxy_{name} {value}\n")).collect();
     allocations(&mut text);
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,5 +1,5 @@
-//! The one final answer of a completion. `PendingReply` is consumed by each way to answer, so that a second answer does not
-//! compile; one that is forgotten is caught by its drop, which aborts and counts it.
+//! The final answer of a completion, given exactly once. Every way to answer consumes `PendingReply`, so that
+//! a second answer does not compile; a reply that is dropped unanswered is aborted and counted.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -12,17 +12,17 @@
 use crate::duty::{Answers, Dropped, Duty};
 use crate::state::State;
 
-/// What the client's connection is handed.
+/// What the client's connection receives.
 pub enum Reply {
     Whole(Answer),
     Error(ApiError),
     Stream(AnswerPieces),
 }
 
-/// The pieces of a streamed answer, as its form writes them.
+/// Receiver of a streamed answer, encoded in the dialect of the request.
 pub struct AnswerPieces {
     pub pieces: mpsc::Receiver<Bytes>,
-    /// Whether the last piece was the answer's end; without it the connection breaks off.
+    /// Whether the last piece was the end of the answer; if not, the connection is aborted.
     pub ended: Rc<Cell<bool>>,
 }
 
@@ -32,25 +32,26 @@
     }
 }
 
-/// What is remembered of a request that carries a key, once its fate is known.
+/// The entry of a request with an idempotency key; each method records a result of the request.
 pub struct IdempotencyGuard {
-    pub repeats: Rc<RefCell<IdempotencyKeys>>,
+    pub idempotency_keys: Rc<RefCell<IdempotencyKeys>>,
     pub key: Key,
     pub may_repeat: bool,
-    /// Where it is on the disk, and the customer's name there.
+    /// The store that holds the key, and the customer's name there; `None` if the key is not stored on disk.
     pub stored: Option<(Rc<State>, String)>,
 }
 
 impl IdempotencyGuard {
     fn answered(self, answer: Answer) {
-        self.repeats.borrow_mut().answered(&self.key, answer);
+        self.idempotency_keys.borrow_mut().answered(&self.key, answer);
     }
 
     fn lost(self) {
-        self.repeats.borrow_mut().lost(&self.key);
+        self.idempotency_keys.borrow_mut().lost(&self.key);
     }
 
-    /// A rate-limit says that trying again is harmless: it never ran, or servers drop the repeat.
+    /// A rate limit tells the client that a retry is safe: the request never ran, or servers drop the
+    /// duplicate.
     fn rate_limited(self) {
         if self.may_repeat {
             self.lost();
@@ -61,101 +62,102 @@
 
     pub fn never_ran(self) {
         if let Some((state, customer)) = &self.stored {
-            state.forget(customer, &self.key.text);
+            state.delete_key(customer, &self.key.text);
         }
-        self.repeats.borrow_mut().never_ran(&self.key);
+        self.idempotency_keys.borrow_mut().never_ran(&self.key);
     }
 }
 
-/// The duty to answer one completion, with what is remembered of its key.
+/// The reply that a completion still has to get, with the guard of its idempotency key.
 pub struct PendingReply {
-    reply: Option<Duty<Reply>>,
-    keyed: Option<IdempotencyGuard>,
+    pending: Option<Duty<Reply>>,
+    guard: Option<IdempotencyGuard>,
     encoder: Encoder,
-    pieces: usize,
-    dropped: Dropped,
+    max_pieces: usize,
+    dropped_answers: Dropped,
 }
 
-/// Bytes of one piece at most; longer texts are handed on in parts, so that a bound on pieces is one on bytes.
+/// Longer texts are split into pieces of at most this size, so that the limit on pieces limits bytes too.
 const PIECE_BYTES: usize = 4096;
 
 impl PendingReply {
     pub fn new(
-        reply: Duty<Reply>,
-        keyed: Option<IdempotencyGuard>,
+        pending: Duty<Reply>,
+        guard: Option<IdempotencyGuard>,
         encoder: Encoder,
-        pieces: usize,
-        dropped: Dropped,
+        max_pieces: usize,
+        dropped_answers: Dropped,
     ) -> Self {
-        PendingReply { reply: Some(reply), keyed, encoder, pieces, dropped }
+        PendingReply { pending: Some(pending), guard, encoder, max_pieces, dropped_answers }
     }
 
     fn give(&mut self, reply: Reply) {
-        if let Some(duty) = self.reply.take() {
-            duty.give(reply);
+        if let Some(pending) = self.pending.take() {
+            pending.give(reply);
         }
     }
 
     pub fn complete(mut self, answer: Answer) {
-        if let Some(keyed) = self.keyed.take() {
-            keyed.answered(answer.clone());
+        if let Some(guard) = self.guard.take() {
+            guard.answered(answer.clone());
         }
         self.give(Reply::Whole(answer));
     }
 
-    /// Rate-limited: trying again is harmless.
+    /// Rate-limited: a retry is safe.
     pub fn rate_limit(mut self, error: ApiError) {
-        self.keyed.take().into_iter().for_each(IdempotencyGuard::rate_limited);
+        self.guard.take().into_iter().for_each(IdempotencyGuard::rate_limited);
         self.give(Reply::Error(error));
     }
 
-    /// Aborted: nothing is promised.
+    /// Aborted: the request may or may not have run.
     pub fn abort(mut self, error: ApiError) {
-        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
+        self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
         self.give(Reply::Error(error));
     }
 
-    /// For a client who has left: nobody waits for an answer.
+    /// The client has disconnected: no answer is sent.
     pub fn discard(mut self) {
-        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
-        self.reply.take().into_iter().for_each(Duty::void);
+        self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
+        self.pending.take().into_iter().for_each(Duty::void);
     }
 
     pub fn start_stream(mut self) -> AnswerStream {
-        let (sender, pieces) = mpsc::channel(self.pieces);
+        let (sender, pieces) = mpsc::channel(self.max_pieces);
         let ended = Rc::new(Cell::new(false));
         self.give(Reply::Stream(AnswerPieces { pieces, ended: ended.clone() }));
         AnswerStream {
             pieces: Some(sender),
             ended,
-            keyed: self.keyed.take(),
-            said: String::new(),
+            guard: self.guard.take(),
+            text_so_far: String::new(),
             encoder: self.encoder.clone(),
-            dropped: self.dropped.clone(),
+            dropped_answers: self.dropped_answers.clone(),
         }
     }
 }
 
 impl Drop for PendingReply {
     fn drop(&mut self) {
-        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
+        self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
     }
 }
 
-/// The client takes nothing more.
+/// The client's connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientDisconnected;
 
-/// A streamed answer under way; it ends by `finish` or `broken`. A client who reads slowly makes its calls wait, and
-/// through them its server; one who takes nothing for too long is cut at its connection, which shows here as `ClientDisconnected`.
+/// A streamed answer in progress; ends with `finish` or `fail`. A client that reads slowly blocks these calls
+/// and so slows its model server down; the connection of one that reads nothing for too long is closed, which
+/// shows here as `ClientDisconnected`.
 pub struct AnswerStream {
     pieces: Option<mpsc::Sender<Bytes>>,
     ended: Rc<Cell<bool>>,
-    keyed: Option<IdempotencyGuard>,
-    /// All texts, where a key wants them remembered.
-    said: String,
+    guard: Option<IdempotencyGuard>,
+    /// The whole text so far, if an idempotency key needs it for replays.
+    text_so_far: String,
     encoder: Encoder,
-    dropped: Dropped,
+    dropped_answers: Dropped,
 }
 
 impl AnswerStream {
@@ -178,8 +180,8 @@
     }
 
     pub async fn text(&mut self, texts: &[String]) -> Result<(), ClientDisconnected> {
-        if self.keyed.is_some() {
-            self.said.extend(texts.iter().map(String::as_str));
+        if self.guard.is_some() {
+            self.text_so_far.extend(texts.iter().map(String::as_str));
         }
         let events: String = texts.iter().map(|text| self.encoder.piece(&Piece::Text(text))).collect();
         self.push(events).await
@@ -191,9 +193,9 @@
     }
 
     pub async fn finish(mut self, stop: Stop, usage: Usage) -> Result<(), ClientDisconnected> {
-        if let Some(keyed) = self.keyed.take() {
-            let text = std::mem::take(&mut self.said);
-            keyed.answered(Answer { text, stop: stop.clone(), usage });
+        if let Some(guard) = self.guard.take() {
+            let text = std::mem::take(&mut self.text_so_far);
+            guard.answered(Answer { text, stop: stop.clone(), usage });
         }
         let events = self.encoder.piece(&Piece::End(&stop, usage));
         self.end(events).await
@@ -214,12 +216,12 @@
 
 impl Drop for AnswerStream {
     fn drop(&mut self) {
-        self.keyed.take().into_iter().for_each(IdempotencyGuard::lost);
+        self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
         let Some(sender) = self.pieces.take() else { return };
         if sender.is_closed() {
             return;
         }
-        self.dropped.set(self.dropped.get() + 1);
+        self.dropped_answers.set(self.dropped_answers.get() + 1);
         let error = ApiError::new(ErrorKind::Api, "the answer was lost inside the router");
         let event = Bytes::from(self.encoder.piece(&Piece::Error(&error)));
         self.ended.set(sender.try_send(event).is_ok());
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -1,5 +1,6 @@
-//! Failover's part of the edge: the desk that the core and the fellows' task share, operators' words and their file.
-//! What moves where is decided in `paddleproxy-failover`.
+//! Connects the failover controller to the router: it is shared by the core and the peer task, fed with the
+//! results of dispatches, and exchanges data with the peers. Also reads and writes the file of operator
+//! commands. Which sessions move to which zone is decided in `paddleproxy-failover`.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -26,7 +27,7 @@
 
 const FILE: &str = "zone-words.json";
 
-/// The desk, where settings have `failover` and `peers`.
+/// The controller, if the settings have `failover` and `peers`.
 pub fn controller(settings: &RouterSettings, clock: Clock) -> Option<SharedController> {
     let (failover, peers) = settings.failover.as_ref().zip(settings.peers.as_ref())?;
     let decisions = &settings.decisions;
@@ -46,19 +47,20 @@
     Some(Rc::new(RefCell::new(Desk::new(clock.now_ms(), rules))))
 }
 
-/// The time in which a completion's first token is in target.
+/// The latency target of a completion's first token.
 pub fn first_token_target_ms(settings: &Settings, arrival: &Arrival) -> f64 {
     let workload = settings.workloads.get(arrival.workload.0);
     workload
         .map_or(f64::INFINITY, |row| row.latency_target_ms + row.target_per_token_ms * arrival.prompt_tokens)
 }
 
-/// What a first event says of its server's zone.
+/// What a dispatch's first event says about the zone of its server.
 pub fn first_event_outcome(target_ms: Option<&f64>, took_ms: f64) -> Option<Met> {
     target_ms.map(|target_ms| if took_ms <= *target_ms { Met::InTarget } else { Met::Late })
 }
 
-/// What an end says of it; an answer that began has spoken already, and one that we called off says nothing.
+/// What the end of a dispatch says about the zone of its server. A finished answer was counted at its first
+/// event, and a dispatch that we cancelled says nothing.
 pub fn end_outcome(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<Met> {
     use SocketEnd::*;
     match end {
@@ -73,192 +75,229 @@
     }
 }
 
-/// Share of its room that a server says is in use.
+/// Share of a server's slots in use by its report; at least 1 with requests queued.
 pub fn utilization(load: &LoadReport) -> Option<f64> {
     let queued = load.queue.is_some_and(|queue| queue >= 1.0);
     load.slots_share.map(|share| if queued { share.max(1.0) } else { share })
 }
 
-/// What goes to the fellows, and what is to be asked.
+/// What to send to the peers, and which workers to probe.
 pub struct ExchangeData {
+    /// This router's observations, sent with its state.
     pub row: Vec<u8>,
-    pub page: Vec<u8>,
+    /// Plan to propose with the next allocation.
+    pub allocation: Vec<u8>,
+    /// Number of the allocation that the proposed one replaces.
     pub after: u64,
-    pub asks: Vec<WorkerId>,
-    /// Operators' words that were not known here.
-    pub news: bool,
+    pub probes: Vec<WorkerId>,
+    /// The peers sent operator commands that were unknown here.
+    pub new_commands: bool,
 }
 
-/// Reads what fellows carry and works out what to carry.
-pub fn exchange(desk: &mut Desk, peers: &Peers, now_ms: f64) -> ExchangeData {
+/// Reads the rows of the peers, and computes this router's own row and the plan to propose.
+pub fn exchange(controller: &mut Desk, peers: &Peers, now_ms: f64) -> ExchangeData {
     let mut rows: Vec<Row> = peers.peer_extras().filter_map(|(_, bytes)| Row::read(bytes).ok()).collect();
-    let news = desk.hear(now_ms, &rows);
-    // Of many routers of a zone the lowest tell what it sees, each for its part.
-    let (zone, place) = (peers.info().zone, peers.rules().own);
-    let fellows = || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
-    let rank = fellows().filter(|member| member.router < place).count();
-    let own = desk.row(now_ms, tells(rank, fellows().count() + 1));
-    let row = own.bytes();
-    // As fellows read it: counts on the wire are rounded.
+    let new_commands = controller.hear(now_ms, &rows);
+    // In a zone with many routers only those with the lowest indices report, each for its share of the zone.
+    let (zone, own_index) = (peers.info().zone, peers.rules().own);
+    let zone_peers =
+        || peers.members().filter(|member| member.state.is_running() && member.info.zone == zone);
+    let rank = zone_peers().filter(|member| member.router < own_index).count();
+    let encoded = controller.row(now_ms, tells(rank, zone_peers().count() + 1));
+    let row = encoded.bytes();
+    // Decoded again, as the peers see it: counts are rounded when encoded.
     let own_row = Row::read(&row).unwrap_or_default();
     rows.push(own_row.clone());
-    let mut speaking: Vec<Zone> = peers
+    let mut reporting: Vec<Zone> = peers
         .members()
         .filter(|member| member.state.is_running())
         .map(|member| Zone(member.info.zone))
         .collect();
     let own_zone = Zone(peers.info().zone);
-    speaking.push(own_zone);
-    speaking.sort();
-    speaking.dedup();
-    if desk.rules().alone {
-        // Its own plan, from its own row, in force at once.
-        let own = [own_row];
-        let before = desk.alone_before();
-        let page = desk.next(now_ms, &before, &own, &[own_zone]);
-        desk.force_alone(&page);
-        return ExchangeData { row, page: Vec::new(), after: 0, asks: desk.asks(now_ms as u64), news };
+    reporting.push(own_zone);
+    reporting.sort();
+    reporting.dedup();
+    if controller.rules().alone {
+        // Without agreement: a plan from the own row alone, in force at once.
+        let own_rows = [own_row];
+        let before = controller.alone_before();
+        let allocation = controller.next(now_ms, &before, &own_rows, &[own_zone]);
+        controller.force_alone(&allocation);
+        return ExchangeData {
+            row,
+            allocation: Vec::new(),
+            after: 0,
+            probes: controller.asks(now_ms as u64),
+            new_commands,
+        };
     }
-    let (after, before) =
-        peers.consensus().allocation().map_or((0, &[][..]), |page| (page.number, page.extra.as_slice()));
-    let page = desk.next(now_ms, before, &rows, &speaking);
-    // What no page carries is no plan: the one that stands goes on.
-    let page = if page.len() > MAX_EXTRA_BYTES { before.to_vec() } else { page };
-    ExchangeData { row, page, after, asks: desk.asks(now_ms as u64), news }
+    let (after, before) = peers
+        .consensus()
+        .allocation()
+        .map_or((0, &[][..]), |agreed| (agreed.number, agreed.extra.as_slice()));
+    let allocation = controller.next(now_ms, before, &rows, &reporting);
+    // A plan too large for an allocation can't be agreed: the current one stays in force.
+    let allocation = if allocation.len() > MAX_EXTRA_BYTES { before.to_vec() } else { allocation };
+    ExchangeData { row, allocation, after, probes: controller.asks(now_ms as u64), new_commands }
 }
 
-/// An operator's word as it comes in.
+/// An operator's zone command as received on the admin port.
 pub struct CommandRequest {
     pub zone: String,
-    pub word: Word,
+    pub command: Word,
     pub for_ms: f64,
 }
 
 #[derive(Serialize, Deserialize)]
-struct SavedWord {
+struct SavedCommand {
     zone: String,
-    saying: Saying,
+    #[serde(rename = "saying")]
+    command: Saying,
     left_ms: f64,
     saved_at_ms: f64,
 }
 
-/// Operators' words on disk: they survive a restart, and the time in between counts.
+/// The file of operator commands. They survive a restart, and the time in between counts against their
+/// duration.
 pub struct CommandStore {
     file: PathBuf,
     zones: Vec<String>,
-    steady: SteadyClock,
+    steady_clock: SteadyClock,
 }
 
 impl CommandStore {
-    pub fn new(settings: &RouterSettings, steady: SteadyClock) -> Self {
-        CommandStore { file: settings.state_dir.join(FILE), zones: settings.names.zones.clone(), steady }
+    pub fn new(settings: &RouterSettings, steady_clock: SteadyClock) -> Self {
+        CommandStore {
+            file: settings.state_dir.join(FILE),
+            zones: settings.names.zones.clone(),
+            steady_clock,
+        }
     }
 
-    pub fn recover(&self, desk: &mut Desk, now_ms: f64) {
+    pub fn recover(&self, controller: &mut Desk, now_ms: f64) {
         let Ok(bytes) = std::fs::read(&self.file) else { return };
-        let saved: Vec<SavedWord> = match serde_json::from_slice(&bytes) {
+        let saved: Vec<SavedCommand> = match serde_json::from_slice(&bytes) {
             Ok(saved) => saved,
             Err(cause) => {
-                warn!(%cause, file = FILE, "operators' words can't be read; fellows will tell those that hold");
+                warn!(%cause, file = FILE, "can't read operator commands; peers will send those in force");
                 return;
             }
         };
         for row in saved {
-            // By name: settings may count zones otherwise now. A clock that went back makes no word longer.
+            // By name: the settings may number zones differently now. A clock that went back must not extend
+            // a command.
             let Some(zone) = self.zones.iter().position(|zone| *zone == row.zone) else { continue };
-            let left_ms = row.left_ms - (self.steady.now_ms() - row.saved_at_ms).max(0.0);
-            desk.sayings.hear(now_ms, Saying { zone: zone as u8, ..row.saying }, left_ms);
+            let left_ms = row.left_ms - (self.steady_clock.now_ms() - row.saved_at_ms).max(0.0);
+            controller.sayings.hear(now_ms, Saying { zone: zone as u8, ..row.command }, left_ms);
         }
     }
 
-    pub fn keep(&self, desk: &Desk, now_ms: f64) {
-        let saved: Vec<SavedWord> = desk
+    pub fn save(&self, controller: &Desk, now_ms: f64) {
+        let saved: Vec<SavedCommand> = controller
             .sayings
             .holding(now_ms)
-            .filter_map(|(saying, left_ms)| {
-                let zone = self.zones.get(usize::from(saying.zone))?.clone();
-                Some(SavedWord { zone, saying, left_ms, saved_at_ms: self.steady.now_ms() })
+            .filter_map(|(command, left_ms)| {
+                let zone = self.zones.get(usize::from(command.zone))?.clone();
+                Some(SavedCommand { zone, command, left_ms, saved_at_ms: self.steady_clock.now_ms() })
             })
             .collect();
         let written = serde_json::to_vec(&saved).map_err(std::io::Error::from);
         if let Err(cause) = written.and_then(|bytes| write_atomic(&self.file, &bytes)) {
-            warn!(%cause, file = FILE, "operators' words are not kept; fellows know them");
+            warn!(%cause, file = FILE, "could not save operator commands; only peers have them");
         }
     }
 
-    /// Takes a word that is said here.
-    pub fn say(
+    /// Accepts an operator command on this router.
+    pub fn execute(
         &self,
-        desk: &mut Desk,
+        controller: &mut Desk,
         zones: &[String],
-        said: &CommandRequest,
+        request: &CommandRequest,
         now_ms: f64,
     ) -> Result<Value, String> {
-        let zone = zones.iter().position(|zone| *zone == said.zone);
-        let zone = zone.ok_or_else(|| format!("zone '{:.64}' is none of {}", said.zone, zones.join(", ")))?;
-        let place = desk.rules().place;
-        let saying = desk.sayings.say(now_ms, place, zone as u8, said.word, said.for_ms);
-        info!(zone = said.zone, word = ?said.word, for_ms = said.for_ms, "an operator's word on a zone");
-        self.keep(desk, now_ms);
-        Ok(
-            json!({ "zone": said.zone, "word": name(said.word), "for_ms": saying.for_ms, "stamp": saying.stamp }),
-        )
+        let zone = zones.iter().position(|zone| *zone == request.zone);
+        let zone =
+            zone.ok_or_else(|| format!("zone '{:.64}' is none of {}", request.zone, zones.join(", ")))?;
+        let own_index = controller.rules().place;
+        let command = controller.sayings.say(now_ms, own_index, zone as u8, request.command, request.for_ms);
+        info!(
+            zone = request.zone,
+            word = ?request.command,
+            for_ms = request.for_ms,
+            "operator command for a zone"
+        );
+        self.save(controller, now_ms);
+        Ok(json!({
+            "zone": request.zone, "word": command_name(request.command), "for_ms": command.for_ms,
+            "stamp": command.stamp,
+        }))
     }
 }
 
-fn name(word: Word) -> &'static str {
-    match word {
+fn command_name(command: Word) -> &'static str {
+    match command {
         Word::Hold => "hold",
         Word::Drain => "drain-zone",
         Word::Return => "return",
     }
 }
 
-/// All that operators may ask for.
-pub fn view(desk: &Desk, zones: &[String], about: &RouterInfo, stand: ClusterReport, now_ms: f64) -> Value {
+/// The document of `/failover`.
+pub fn view(
+    controller: &Desk,
+    zones: &[String],
+    info: &RouterInfo,
+    report: ClusterReport,
+    now_ms: f64,
+) -> Value {
     let zone = |zone: Zone| zones.get(usize::from(zone.0)).cloned().unwrap_or_default();
-    let (looked, agreed) = (&desk.last, desk.agreed());
-    let words = desk.sayings.holding(now_ms).collect::<Vec<_>>();
-    let rows: Vec<Value> = desk
+    let (last, agreed) = (&controller.last, controller.agreed());
+    let commands = controller.sayings.holding(now_ms).collect::<Vec<_>>();
+    let rows: Vec<Value> = controller
         .rules()
         .map
         .zones()
-        .map(|of| {
-            let at = usize::from(of.0);
-            let verdict = looked.verdicts.get(at).unwrap_or(&Verdict::Unknown);
-            let moves = agreed.and_then(|agreed| agreed.plan.moves.get(&of.0)).into_iter().flatten();
+        .map(|this| {
+            let index = usize::from(this.0);
+            let verdict = last.verdicts.get(index).unwrap_or(&Verdict::Unknown);
+            let moves = agreed.and_then(|agreed| agreed.plan.moves.get(&this.0)).into_iter().flatten();
             let moves =
                 moves.map(|(to, share)| json!({ "to": zone(Zone(*to)), "share": f64::from(*share) / 1e4 }));
-            let seen = looked.matrix.seen.iter().filter(|((_, seen), _)| *seen == of);
-            let seen = seen.map(|((from, _), saw)| {
-                let seen = &saw.sum;
+            let seen = last.matrix.seen.iter().filter(|((_, seen), _)| *seen == this);
+            let seen = seen.map(|((from, _), observed)| {
+                let counts = &observed.sum;
                 json!({
-                    "from": zone(*from), "routers": saw.routers, "dead": saw.dead, "good": saw.good, "in_target": seen.in_target, "late": seen.late,
-                    "refused": seen.refused, "silent": seen.silent, "broken": seen.broken, "full": seen.full,
-                    "answered": seen.answered, "listed": seen.listed, "usable": seen.usable,
+                    "from": zone(*from), "routers": observed.routers, "dead": observed.dead,
+                    "good": observed.good, "in_target": counts.in_target, "late": counts.late,
+                    "refused": counts.refused, "silent": counts.silent, "broken": counts.broken,
+                    "full": counts.full, "answered": counts.answered, "listed": counts.listed,
+                    "usable": counts.usable,
                 })
             });
-            let word = words.iter().find(|(saying, _)| saying.zone == of.0);
+            let command = commands.iter().find(|(command, _)| command.zone == this.0);
             json!({
-                "zone": zone(of), "region": desk.rules().map.regions.get(at), "verdict": said(verdict, zones),
-                "demand_per_s": looked.demand.get(at), "capacity_per_s": looked.capacity.get(at),
-                "load": looked.matrix.loads.get(&of), "moves": moves.collect::<Vec<_>>(),
-                "word": word.map(|(saying, left)| json!({ "word": name(saying.word), "left_ms": left })),
-                "flaps": agreed.and_then(|agreed| agreed.hands.flaps.get(&of.0)),
+                "zone": zone(this), "region": controller.rules().map.regions.get(index),
+                "verdict": verdict_json(verdict, zones),
+                "demand_per_s": last.demand.get(index), "capacity_per_s": last.capacity.get(index),
+                "load": last.matrix.loads.get(&this), "moves": moves.collect::<Vec<_>>(),
+                "word": command.map(|(command, left_ms)| {
+                    json!({ "word": command_name(command.word), "left_ms": left_ms })
+                }),
+                "flaps": agreed.and_then(|agreed| agreed.hands.flaps.get(&this.0)),
                 "seen": seen.collect::<Vec<_>>(),
             })
         })
         .collect();
     json!({
         "schema": "paddleproxy.failover.v1",
-        "name": about.name, "zone": zone(Zone(about.zone)), "mind": stand.status.name(), "why": stand.reason,
-        "page": desk.forced(), "plan": agreed.map(|agreed| agreed.plan.number),
-        "speaking": looked.speaking.iter().map(|speaks| zone(*speaks)).collect::<Vec<_>>(),
-        "completions": desk.homed_total, "moved": desk.moved_total, "zones": rows,
+        "name": info.name, "zone": zone(Zone(info.zone)), "mind": report.status.name(), "why": report.reason,
+        "page": controller.forced(), "plan": agreed.map(|agreed| agreed.plan.number),
+        "speaking": last.speaking.iter().map(|speaking| zone(*speaking)).collect::<Vec<_>>(),
+        "completions": controller.homed_total, "moved": controller.moved_total, "zones": rows,
     })
 }
 
-fn said(verdict: &Verdict, zones: &[String]) -> Value {
+fn verdict_json(verdict: &Verdict, zones: &[String]) -> Value {
     let names = |list: &[Zone]| {
         list.iter().filter_map(|zone| zones.get(usize::from(zone.0)).cloned()).collect::<Vec<_>>()
     };
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -1,5 +1,5 @@
-//! Watches the files that operators edit: the list of servers and the settings. Each is read once it has settled, and
-//! applied whole or not at all.
+//! Watches the files that operators edit: the list of servers and the settings. A changed file is read once
+//! it has stopped changing, and is applied completely or not at all.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -19,88 +19,89 @@
 use crate::words::{ToCore, Told};
 use crate::WatchedSettings;
 
-/// How often a file is looked at whatever the system tells of it, and how long it must stay the same to count as
-/// written.
-const POLL: Duration = Duration::from_millis(500);
-const SETTLED: Duration = Duration::from_millis(30);
+/// How often a file is read even without a change event.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a file must stay unchanged to count as completely written.
+const SETTLE_TIME: Duration = Duration::from_millis(30);
 
-/// What was seen of a file: a text and its fingerprint, or why there is none.
-type Seen = Result<(String, u64), String>;
+/// Result of reading a file: its text and fingerprint, or the error.
+type ReadResult = Result<(String, u64), String>;
 
-/// One file, and what was last seen of it.
-struct File {
+/// A watched file, and the result of its last reading.
+struct WatchedFile {
     path: PathBuf,
     events: mpsc::Receiver<()>,
-    /// Dropped with the file; without one the poll does it alone.
+    /// Held so that it watches until the file is dropped; without one the file is only polled.
     _watcher: Option<RecommendedWatcher>,
     last: Option<Result<u64, String>>,
 }
 
-impl File {
+impl WatchedFile {
     fn new(path: PathBuf) -> Self {
-        // One waiting event says as much as many.
+        // One queued event is enough: it causes a read of the whole file.
         let (sender, events) = mpsc::channel(1);
-        let told = move |event: notify::Result<notify::Event>| {
-            // Our own reads are told too; to answer them with another read would never end.
+        let on_event = move |event: notify::Result<notify::Event>| {
+            // Our own reads cause access events; reading again on them would never end.
             if matches!(&event, Ok(event) if event.kind.is_access()) {
                 return;
             }
-            // One that waits already says the same.
+            // If the queue is full, an event is already waiting.
             let _ = sender.try_send(());
         };
-        // The folder, so that renames over the file and swapped links are seen.
-        let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-        let watcher = notify::recommended_watcher(told).and_then(|mut watcher| {
-            watcher.watch(folder, RecursiveMode::NonRecursive)?;
+        // Watches the directory, so that renames over the file and replaced symlinks are noticed.
+        let dir = path.parent().filter(|dir| !dir.as_os_str().is_empty()).unwrap_or(Path::new("."));
+        let watcher = notify::recommended_watcher(on_event).and_then(|mut watcher| {
+            watcher.watch(dir, RecursiveMode::NonRecursive)?;
             Ok(watcher)
         });
         if let Err(cause) = &watcher {
-            warn!(file = %path.display(), %cause, "no word of changes; it is looked at twice a second");
+            warn!(file = %path.display(), %cause, "file can't be watched; polling it twice a second");
         }
-        File { path, events, _watcher: watcher.ok(), last: None }
+        WatchedFile { path, events, _watcher: watcher.ok(), last: None }
     }
 
-    async fn read(&self) -> Seen {
+    async fn read(&self) -> ReadResult {
         let path = self.path.clone();
-        // A disk that hangs must not hold up the router.
+        // On a blocking thread: a disk that hangs must not block the router.
         let read = tokio::task::spawn_blocking(move || documents::text_of(&path)).await;
         let text = read.map_err(|cause| cause.to_string())?.map_err(|cause| cause.to_string())?;
         let fingerprint = xxh3_64(text.as_bytes());
         Ok((text, fingerprint))
     }
 
-    /// Waits until the file says something new and has stayed so for a moment; None where it only is still there.
-    async fn next(&mut self) -> Option<Seen> {
-        if self.last.is_some() && timeout(POLL, self.events.recv()).await.is_ok() {
-            // Whatever goes on in the folder, it is not read in a tight loop.
-            sleep(SETTLED).await;
+    /// Waits for the next poll or event; returns the content once it has changed and then stayed the same for
+    /// `SETTLE_TIME`, `None` if it is unchanged.
+    async fn next(&mut self) -> Option<ReadResult> {
+        if self.last.is_some() && timeout(POLL_INTERVAL, self.events.recv()).await.is_ok() {
+            // Limits the read rate under constant events in the directory.
+            sleep(SETTLE_TIME).await;
         }
-        let mut seen = self.read().await;
+        let mut current = self.read().await;
         loop {
-            let known = seen.as_ref().map(|(_, fingerprint)| *fingerprint).map_err(Clone::clone);
-            if self.last.as_ref() == Some(&known) {
+            let fingerprint = current.as_ref().map(|(_, hash)| *hash).map_err(Clone::clone);
+            if self.last.as_ref() == Some(&fingerprint) {
                 return None;
             }
-            sleep(SETTLED).await;
+            sleep(SETTLE_TIME).await;
             let again = self.read().await;
-            if again == seen {
-                self.last = Some(known);
-                return Some(seen);
+            if again == current {
+                self.last = Some(fingerprint);
+                return Some(current);
             }
-            seen = again;
+            current = again;
         }
     }
 }
 
-/// Follows the operators' list of servers as long as the router runs.
+/// Sends changes of the operators' list of servers to the core as long as the router runs.
 pub async fn watch_servers(path: PathBuf, core: ToCore) {
-    let mut file = File::new(path);
+    let mut file = WatchedFile::new(path);
     let name = file.path.display().to_string();
     loop {
-        let told = match file.next().await {
+        let event = match file.next().await {
             None if matches!(file.last, Some(Ok(_))) => Told::ListSpoke { source: SourceId::File },
             None => continue,
-            // It may be gone for the moment between two names; what stood stands.
+            // The file may be missing for a moment during a rename; the current list stays in force.
             Some(Err(why)) => Told::ListUnreadable { source: SourceId::File, why },
             Some(Ok((text, fingerprint))) => match documents::servers::parse(&name, &text) {
                 Err(problems) => Told::ListUnreadable { source: SourceId::File, why: problems.to_string() },
@@ -110,68 +111,68 @@
                 }
             },
         };
-        if core.send(told).await.is_err() {
+        if core.send(event).await.is_err() {
             return;
         }
     }
 }
 
-/// Follows the settings as long as the router runs.
+/// Applies changes of the settings file as long as the router runs.
 pub async fn watch_settings(watched: WatchedSettings, started: Rc<RouterSettings>, front: Rc<Front>) {
     let name = watched.file.display().to_string();
-    let good = started.state_dir.join("router.good.kdl");
-    let (mut stands, mut decisions) = ((*started).clone(), started.decisions.clone());
-    let mut file = File::new(watched.file);
+    let good_file = started.state_dir.join("router.good.kdl");
+    let (mut in_force, mut decisions) = ((*started).clone(), started.decisions.clone());
+    let mut file = WatchedFile::new(watched.file);
     loop {
         let Some(Ok((text, _))) = file.next().await else { continue };
-        let refuse = |why: String| {
-            warn!(why, "settings refused; those that stood stand");
-            let mut refused = front.settings_refused.borrow_mut();
-            *refused = (refused.0 + 1, Some(why));
+        let reject = |why: String| {
+            warn!(why, "settings refused; the current settings stay in force");
+            let mut rejected = front.settings_rejected.borrow_mut();
+            *rejected = (rejected.0 + 1, Some(why));
         };
         let new = match documents::router::parse(&name, &text) {
             Ok(new) => new,
             Err(problems) => {
-                refuse(problems.to_string());
+                reject(problems.to_string());
                 continue;
             }
         };
-        let applied = match reload::apply(&stands, &decisions, &new) {
+        let applied = match reload::apply(&in_force, &decisions, &new) {
             Ok(applied) => applied,
-            Err(fixed) => {
-                refuse(fixed.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
+            Err(unchangeable) => {
+                reject(unchangeable.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "));
                 continue;
             }
         };
         if let Some(Err(why)) = new.log.as_deref().map(&watched.log) {
-            refuse(format!("'log': {why}"));
+            reject(format!("'log': {why}"));
             continue;
         }
         if !applied.same {
             let (settings, rows) = (&applied.settings, applied.settings.workload_rows.clone());
             let workloads = applied.decisions.workloads.clone();
-            // The decisions first: no request may be told to them by a row that they don't have.
-            let told = Told::Settings { decisions: Box::new(applied.decisions.clone()) };
-            if front.core.send(told).await.is_err() {
+            // The core first: no request may reach it with a workload row that it doesn't have yet.
+            let event = Told::Settings { decisions: Box::new(applied.decisions.clone()) };
+            if front.core.send(event).await.is_err() {
                 return;
             }
-            let mut bounds = AdmissionLimits::from_settings(settings);
-            bounds.workload_values = workloads.iter().map(|workload| workload.value).collect();
-            front.admission.borrow_mut().set_limits(bounds);
-            front.requests.borrow_mut().update_settings(settings.names.clone(), workloads, rows);
-            front.settings_taken.set(front.settings_taken.get() + 1);
-            info!("settings taken");
-            (stands, decisions) = (applied.settings, applied.decisions);
+            let mut limits = AdmissionLimits::from_settings(settings);
+            limits.workload_values = workloads.iter().map(|workload| workload.value).collect();
+            front.admission.borrow_mut().set_limits(limits);
+            front.classifier.borrow_mut().update_settings(settings.names.clone(), workloads, rows);
+            front.settings_applied.set(front.settings_applied.get() + 1);
+            info!("settings applied");
+            (in_force, decisions) = (applied.settings, applied.decisions);
         }
-        let good = good.clone();
-        let kept = tokio::task::spawn_blocking(move || write_atomic(&good, text.as_bytes())).await;
-        if let Ok(Err(cause)) = kept {
-            warn!(%cause, "the settings could not be kept for another start");
+        let good_file = good_file.clone();
+        let saved = tokio::task::spawn_blocking(move || write_atomic(&good_file, text.as_bytes())).await;
+        if let Ok(Err(cause)) = saved {
+            warn!(%cause, "the settings could not be saved for the next start");
         }
     }
 }
 
-/// Writes a file whole or not at all.
+/// Writes a file atomically: to `.new` beside it, synced, then renamed over it.
 pub fn write_atomic(path: &Path, bytes: &[u8]) -> std::io::Result<()> {
     use std::io::Write;
     let mut new = path.as_os_str().to_owned();
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -1,4 +1,5 @@
-//! The clients' side: HTTP on a local port, one task a connection.
+//! HTTP server for clients: one task per connection. Parses, classifies and admits requests, hands
+//! completions to the core and writes their answers.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -38,77 +39,80 @@
 use crate::words::Ask;
 use crate::words::{ToCore, Told};
 
-/// What all connections of clients share.
+/// State shared by all client connections.
 pub struct Front {
     pub settings: FrontSettings,
-    pub requests: RefCell<RequestClassifier>,
+    pub classifier: RefCell<RequestClassifier>,
     pub admission: Rc<RefCell<Admission>>,
-    pub repeats: Rc<RefCell<IdempotencyKeys>>,
+    pub idempotency_keys: Rc<RefCell<IdempotencyKeys>>,
     pub state: Rc<State>,
-    /// Forms of the API by path.
+    /// API dialects by request path.
     pub dialects: Vec<(String, Dialect)>,
     pub clock: Clock,
     pub core: ToCore,
-    pub next: Cell<u32>,
+    pub next_completion: Cell<u32>,
     pub connections: Cell<usize>,
-    /// Names a router's answers: router and start.
-    pub prefix: String,
-    pub dropped: Dropped,
-    /// Connections closed at once because there were too many.
+    /// Prefix of all request ids of this process: router number and start time.
+    pub id_prefix: String,
+    pub dropped_answers: Dropped,
+    /// Connections closed on accept because the connection limit was reached.
     pub connections_refused: Cell<u64>,
-    /// Requests answered from memory because an earlier one with their key had finished, and those refused by key.
-    pub answered_again: Cell<u64>,
-    pub refused_by_key: Cell<u64>,
-    /// Changes of the settings that were taken, and those that were not, with the last reason.
-    pub settings_taken: Cell<u64>,
-    /// Where fellows are known; none without them.
-    pub fellows: Option<PeerSender>,
-    pub settings_refused: RefCell<(u64, Option<String>)>,
+    /// Requests answered with the stored answer of an earlier request with the same idempotency key.
+    pub answers_replayed: Cell<u64>,
+    /// Requests refused because of their idempotency key: still running, unknown result or different request.
+    pub requests_refused_by_key: Cell<u64>,
+    /// Number of settings changes that were applied.
+    pub settings_applied: Cell<u64>,
+    /// Channel to the peer task; `None` where the settings have no `peers`.
+    pub peers: Option<PeerSender>,
+    /// Number of settings changes that were rejected, with the last reason.
+    pub settings_rejected: RefCell<(u64, Option<String>)>,
 }
 
-/// Gives a place back when the last of a completion is gone from the front.
-struct Taken {
+/// Releases the admission permit when a request and its answer are finished.
+struct AdmissionGuard {
     admission: Rc<RefCell<Admission>>,
     clock: Clock,
-    place: Option<Permit>,
+    permit: Option<Permit>,
 }
 
-impl Drop for Taken {
+impl Drop for AdmissionGuard {
     fn drop(&mut self) {
-        if let Some(place) = self.place.take() {
-            self.admission.borrow_mut().release(self.clock.now_ms(), place);
+        if let Some(permit) = self.permit.take() {
+            self.admission.borrow_mut().release(self.clock.now_ms(), permit);
         }
     }
 }
 
-/// Tells the core that a client left, unless its answer came first.
-struct Leave {
+/// Reports to the core on drop that the client disconnected; disarmed (`core` is `None`) once the answer is
+/// complete.
+struct DisconnectGuard {
     completion: CompletionId,
     core: Option<ToCore>,
 }
 
-impl Drop for Leave {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         let Some(core) = self.core.take() else { return };
-        let told = Told::Left { completion: self.completion };
-        if let Err(mpsc::error::TrySendError::Full(told)) = core.try_send(told) {
+        let event = Told::Left { completion: self.completion };
+        if let Err(mpsc::error::TrySendError::Full(event)) = core.try_send(event) {
             tokio::task::spawn_local(async move {
-                let _ = core.send(told).await;
+                let _ = core.send(event).await;
             });
         }
     }
 }
 
-/// The body of an answer: whole, or pieces as they come.
+/// Response body: complete, or streamed in pieces.
 pub enum ReplyBody {
     Whole(Option<Bytes>),
-    Pieces { pieces: AnswerPieces, leave: Leaving },
+    Pieces { pieces: AnswerPieces, guards: StreamGuards },
 }
 
-/// Kept by a streamed body for as long as it runs.
-pub struct Leaving {
-    leave: Leave,
-    _taken: Taken,
+/// Guards that a streamed body holds until it ends.
+pub struct StreamGuards {
+    disconnect: DisconnectGuard,
+    _admission: AdmissionGuard,
 }
 
 impl Body for ReplyBody {
@@ -121,14 +125,15 @@
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
             ReplyBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            ReplyBody::Pieces { pieces, leave } => pieces.pieces.poll_recv(cx).map(|piece| match piece {
+            ReplyBody::Pieces { pieces, guards } => pieces.pieces.poll_recv(cx).map(|piece| match piece {
                 Some(bytes) => Some(Ok(Frame::data(bytes))),
                 None if pieces.ended.get() => {
-                    leave.leave.core = None;
+                    guards.disconnect.core = None;
                     None
                 }
-                // No end could be written: the connection must not look as if this were one.
-                None => Some(Err(std::io::Error::other("the answer broke off"))),
+                // The stream has no end event: fail the body, so that the client doesn't take it for
+                // complete.
+                None => Some(Err(std::io::Error::other("answer stream ended without its final event"))),
             }),
         }
     }
@@ -145,21 +150,21 @@
     }
 }
 
-fn answer_of(status: u16, kind: &'static str, body: String) -> Response<ReplyBody> {
+fn response_with(status: u16, content_type: &'static str, body: String) -> Response<ReplyBody> {
     let mut response = Response::new(ReplyBody::Whole(Some(Bytes::from(body))));
     let status = hyper::StatusCode::from_u16(status);
     *response.status_mut() = status.unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
 
-fn json(body: String) -> Response<ReplyBody> {
-    answer_of(200, "application/json", body)
+fn json_response(body: String) -> Response<ReplyBody> {
+    response_with(200, "application/json", body)
 }
 
-fn error(dialect: &Dialect, error: &ApiError, request_id: &str) -> Response<ReplyBody> {
+fn error_response(dialect: &Dialect, error: &ApiError, request_id: &str) -> Response<ReplyBody> {
     let body = dialect.error(error, request_id);
-    let mut response = answer_of(dialect.status(error.kind), "application/json", body);
+    let mut response = response_with(dialect.status(error.kind), "application/json", body);
     if let Some(ms) = error.retry_after_ms.filter(|ms| *ms > 0.0) {
         let headers = response.headers_mut();
         headers.insert(RETRY_AFTER, HeaderValue::from((ms / 1e3).ceil() as u64));
@@ -168,8 +173,8 @@
     response
 }
 
-fn turned_away(turned: Rejection) -> ApiError {
-    let (kind, message) = match turned.reason {
+fn rejection_error(rejection: Rejection) -> ApiError {
+    let (kind, message) = match rejection.reason {
         RejectReason::Stopping => (ErrorKind::Overloaded, "this router is about to stop"),
         RejectReason::Full => (ErrorKind::Overloaded, "too many completions are open here"),
         RejectReason::LeastValue => (ErrorKind::Overloaded, "only work of more value is taken here now"),
@@ -180,49 +185,50 @@
         RejectReason::CustomerRequests => (ErrorKind::RateLimited, "this customer sends too many requests"),
         RejectReason::CustomerTokens => (ErrorKind::RateLimited, "this customer sends too many tokens"),
     };
-    ApiError::new(kind, message).with_retry(turned.retry_after_ms)
+    ApiError::new(kind, message).with_retry(rejection.retry_after_ms)
 }
 
-/// After the word to stop connections are accepted for this time, in ms, and then those that the system has accepted by then:
-/// each is told that this router stops.
-const LAST_LOOK_MS: f64 = 50.0;
+/// Connections are still accepted for this time after shutdown begins, then those in the listen backlog: each
+/// gets an answer that says that this router stops.
+const ACCEPT_AFTER_STOP_MS: f64 = 50.0;
 
-/// Where the tokens of a messages request are counted.
+/// Path that counts the tokens of a messages request.
 const COUNT_TOKENS: &str = "/v1/messages/count_tokens";
 
 impl Front {
-    /// Accepts until told to stop, and for a moment after that.
+    /// Accepts connections until `stop` changes, and for `ACCEPT_AFTER_STOP_MS` after that.
     pub async fn listen(self: Rc<Self>, listener: TcpListener, mut stop: tokio::sync::watch::Receiver<bool>) {
-        let stops = stop.clone();
-        let closes = async {
+        let connection_stop = stop.clone();
+        let stop_elapsed = async {
             let _ = stop.changed().await;
-            tokio::time::sleep(duration(LAST_LOOK_MS)).await;
+            tokio::time::sleep(duration(ACCEPT_AFTER_STOP_MS)).await;
         };
         tokio::select! {
             biased;
-            () = closes => {}
-            () = self.accept(&listener, &stops) => {}
+            () = stop_elapsed => {}
+            () = self.accept(&listener, &connection_stop) => {}
         }
-        close_listener(listener, |stream| self.take(stream, &stops)).await;
+        close_listener(listener, |stream| self.start_connection(stream, &connection_stop)).await;
     }
 
     async fn accept(self: &Rc<Self>, listener: &TcpListener, stop: &tokio::sync::watch::Receiver<bool>) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.take(stream, stop),
-                // Out of descriptors, or a connection gone before it was taken: a short pause.
+                Ok((stream, _)) => self.start_connection(stream, stop),
+                // Out of file descriptors, or the connection was closed before accept: pause briefly.
                 Err(_) => tokio::time::sleep(duration(10.0)).await,
             }
         }
     }
 
-    /// Beyond the bound a connection is closed at once; nothing of it was taken.
-    fn take(self: &Rc<Self>, stream: TcpStream, stop: &tokio::sync::watch::Receiver<bool>) {
+    /// Starts a task for the connection; above the connection limit it is closed at once with nothing read
+    /// from it.
+    fn start_connection(self: &Rc<Self>, stream: TcpStream, stop: &tokio::sync::watch::Receiver<bool>) {
         if self.connections.get() >= self.settings.connections {
             self.connections_refused.set(self.connections_refused.get() + 1);
             return;
         }
-        // Who comes after the word to stop is not cut off by it before it has said anything.
+        // A connection accepted after shutdown began is not closed before it could send its one request.
         let mut stop = stop.clone();
         stop.mark_unchanged();
         tokio::task::spawn_local(self.clone().serve(stream, stop));
@@ -237,38 +243,38 @@
             async move { Ok::<_, Infallible>(front.answer(request).await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        // A connection that comes at the last moment gets one answer: that this router stops.
+        // A connection accepted during shutdown gets one answer, that this router stops, and is closed.
         builder.keep_alive(!*stop.borrow());
         builder
             .timer(TokioTimer::new())
             .header_read_timeout(duration(self.settings.header_ms))
             .max_headers(64);
-        // A client who takes nothing for too long is cut, whatever is being written to it.
+        // Closes the connection of a client that reads nothing for too long, whatever is being written.
         let mut stream = TimeoutStream::new(Stream::from(stream));
         stream.set_write_timeout(Some(duration(self.settings.slow_client_ms)));
         let stream = TokioIo::new(HttpErrorStream::new(Box::pin(stream)));
         let mut connection = std::pin::pin!(builder.serve_connection(stream, service));
-        let ended = tokio::select! {
-            ended = connection.as_mut() => ended,
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
             _ = stop.changed() => {
                 connection.as_mut().graceful_shutdown();
                 connection.await
             }
         };
-        if let Err(cause) = ended {
-            debug!(%cause, "a client's connection");
+        if let Err(cause) = result {
+            debug!(%cause, "client connection failed");
         }
         self.connections.set(self.connections.get().saturating_sub(1));
     }
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<ReplyBody> {
-        let completion = CompletionId(self.next.get());
-        self.next.set(self.next.get().wrapping_add(1));
-        let id: Rc<str> = Rc::from(format!("{}.{}", self.prefix, completion.0));
+        let completion = CompletionId(self.next_completion.get());
+        self.next_completion.set(self.next_completion.get().wrapping_add(1));
+        let id: Rc<str> = Rc::from(format!("{}.{}", self.id_prefix, completion.0));
         let path = request.uri().path();
         let known = self.dialects.iter().find(|(known, _)| known == path).map(|(_, dialect)| dialect.clone());
         let dialect = known.clone().unwrap_or_else(Dialect::published);
-        let answered = match known {
+        let result = match known {
             Some(_) if request.method() != Method::POST => {
                 Err(ApiError::invalid(format!("{path:.64} takes POST")))
             }
@@ -279,7 +285,7 @@
                 Err(ApiError::new(ErrorKind::NotFound, format!("served here are {}", paths.join(", "))))
             }
         };
-        let mut response = answered.unwrap_or_else(|refused| error(&dialect, &refused, &id));
+        let mut response = result.unwrap_or_else(|refused| error_response(&dialect, &refused, &id));
         if let Ok(id) = HeaderValue::from_str(&id) {
             response.headers_mut().insert("request-id", id.clone());
             response.headers_mut().insert("x-request-id", id);
@@ -287,24 +293,28 @@
         response
     }
 
-    /// Counts tokens by the settings' estimate; no completion.
+    /// Counts the tokens of a request by the estimate of the settings; starts no completion.
     async fn count(&self, request: Request<Incoming>) -> Result<Response<ReplyBody>, ApiError> {
         let (head, body) = request.into_parts();
         let customer = self.customer(&head)?;
-        let _taken = self.enter(customer)?;
-        let asked = Dialect::published().parse_to_count(&self.body(body).await?)?;
-        let bytes = asked.system.len() + asked.turns.iter().map(|turn| turn.text.len()).sum::<usize>();
-        Ok(json(format!("{{\"input_tokens\":{}}}", self.requests.borrow().estimate_tokens(bytes) as u64)))
+        let _admission = self.enter(customer)?;
+        let parsed = Dialect::published().parse_to_count(&self.read_body(body).await?)?;
+        let bytes = parsed.system.len() + parsed.turns.iter().map(|turn| turn.text.len()).sum::<usize>();
+        Ok(json_response(format!(
+            "{{\"input_tokens\":{}}}",
+            self.classifier.borrow().estimate_tokens(bytes) as u64
+        )))
     }
 
     fn customer(&self, head: &Head) -> Result<Option<CustomerId>, ApiError> {
         let bearer = header(head, "authorization")?.and_then(|value| value.strip_prefix("Bearer "));
-        self.requests.borrow().customer(header(head, "x-api-key")?.or(bearer))
+        self.classifier.borrow().customer(header(head, "x-api-key")?.or(bearer))
     }
 
-    fn enter(&self, customer: Option<CustomerId>) -> Result<Taken, ApiError> {
-        let place = self.admission.borrow_mut().enter(self.clock.now_ms(), customer).map_err(turned_away)?;
-        Ok(Taken { admission: self.admission.clone(), clock: self.clock, place: Some(place) })
+    fn enter(&self, customer: Option<CustomerId>) -> Result<AdmissionGuard, ApiError> {
+        let permit =
+            self.admission.borrow_mut().enter(self.clock.now_ms(), customer).map_err(rejection_error)?;
+        Ok(AdmissionGuard { admission: self.admission.clone(), clock: self.clock, permit: Some(permit) })
     }
 
     async fn completion(
@@ -317,84 +327,86 @@
         let received_ms = self.clock.now_ms();
         let (head, body) = request.into_parts();
         let customer = self.customer(&head)?;
-        let mut taken = self.enter(customer)?;
-        let bytes = self.body(body).await?;
-        let asked = dialect.parse(&bytes)?;
+        let mut admission = self.enter(customer)?;
+        let bytes = self.read_body(body).await?;
+        let parsed = dialect.parse(&bytes)?;
         let key = header(&head, wire::EFFECT_KEY)?.filter(|key| !key.is_empty());
         if key.is_some_and(|key| key.len() > 256) {
             return Err(ApiError::invalid(format!("{}: at most 256 bytes", wire::EFFECT_KEY)));
         }
         let facts = {
-            let requests = self.requests.borrow();
-            let rules = requests.rules();
+            let classifier = self.classifier.borrow();
+            let rules = classifier.rules();
             let headers = Headers {
                 session: header(&head, &rules.session_header)?,
                 timeout: header(&head, &rules.timeout_header)?,
                 keyed: key.is_some(),
             };
-            requests.classify(&asked, customer, &headers)?
+            classifier.classify(&parsed, customer, &headers)?
         };
         let encoder = Encoder {
             dialect,
             id,
-            model: Rc::from(asked.model.as_str()),
+            model: Rc::from(parsed.model.as_str()),
             created: (wall_ms() / 1e3) as u64,
-            tells_usage: asked.stream_usage,
+            tells_usage: parsed.stream_usage,
         };
-        let prompt = asked.prompt();
-        let mut keyed = None;
+        let prompt = parsed.prompt();
+        let mut guard = None;
         if let Some(key) = key {
             let key = Key { customer, text: Rc::from(key) };
-            // The same wish may be streamed at one try and not at another.
-            let (stops, most) = (&asked.stop_sequences, asked.max_tokens);
-            let wish = format!("{}\n{most}\n{stops:?}\n{prompt}", asked.model);
-            match self.keyed(key, wish.as_bytes(), facts.key_rule)? {
-                Ok(guard) => keyed = Some(self.remember(guard, wish.as_bytes(), facts.key_rule).await?),
-                Err(answer) => return Ok(again(&encoder, &answer, asked.stream)),
+            // `stream` is left out: a retry of the same request may differ in it.
+            let (stop, max_tokens) = (&parsed.stop_sequences, parsed.max_tokens);
+            let fingerprint_text = format!("{}\n{max_tokens}\n{stop:?}\n{prompt}", parsed.model);
+            match self.check_key(key, fingerprint_text.as_bytes(), facts.key_rule)? {
+                Ok(new) => {
+                    guard = Some(self.store_key(new, fingerprint_text.as_bytes(), facts.key_rule).await?)
+                }
+                Err(answer) => return Ok(replay_response(&encoder, &answer, parsed.stream)),
             }
         }
         drop(bytes);
-        if let Err(refused) = self.admit(&mut taken, &facts, prompt.len()) {
-            keyed.into_iter().for_each(IdempotencyGuard::never_ran);
+        if let Err(refused) = self.admit(&mut admission, &facts, prompt.len()) {
+            guard.into_iter().for_each(IdempotencyGuard::never_ran);
             return Err(refused);
         }
         let client_id = header(&head, wire::REQUEST_ID)?.filter(|text| text.len() <= 256).map(str::to_owned);
         let ask = Ask {
             prompt,
-            max_tokens: asked.max_tokens,
-            stop: asked.stop_sequences,
+            max_tokens: parsed.max_tokens,
+            stop: parsed.stop_sequences,
             prompt_tokens: facts.prompt_tokens as u64,
-            streamed: asked.stream,
+            streamed: parsed.stream,
             client_id,
-            // Keys of two customers must not meet at the servers.
-            effect_key: key.map(|key| self.requests.borrow().effect_key(customer, key)),
-            model: asked.model,
+            // Equal keys of two customers must not collide at the model servers.
+            effect_key: key.map(|key| self.classifier.borrow().effect_key(customer, key)),
+            model: parsed.model,
         };
-        let (duty, answer) = Duty::new(self.dropped.clone());
-        let owed = PendingReply::new(
-            duty,
-            keyed,
+        let (pending, answer) = Duty::new(self.dropped_answers.clone());
+        let reply = PendingReply::new(
+            pending,
+            guard,
             encoder.clone(),
             self.settings.pieces_waiting,
-            self.dropped.clone(),
+            self.dropped_answers.clone(),
         );
-        let mut leave = Leave { completion, core: Some(self.core.clone()) };
-        let told = Told::Arrived { completion, facts, received_ms, ask: Rc::new(ask), owed };
-        if self.core.send(told).await.is_err() {
+        let mut disconnect = DisconnectGuard { completion, core: Some(self.core.clone()) };
+        let event = Told::Arrived { completion, facts, received_ms, ask: Rc::new(ask), owed: reply };
+        if self.core.send(event).await.is_err() {
             return Err(ApiError::new(ErrorKind::Api, "the router stops"));
         }
         match answer.await {
             Ok(Reply::Stream(pieces)) => {
-                let leave = Leaving { leave, _taken: taken };
-                let mut response = Response::new(ReplyBody::Pieces { pieces, leave });
+                let guards = StreamGuards { disconnect, _admission: admission };
+                let mut response = Response::new(ReplyBody::Pieces { pieces, guards });
                 response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/event-stream"));
                 response.headers_mut().insert("cache-control", HeaderValue::from_static("no-cache"));
                 Ok(response)
             }
             other => {
-                leave.core = None;
+                disconnect.core = None;
                 match other {
-                    Ok(Reply::Whole(answer)) => Ok(json(encoder.whole(&answer))),
+                    Ok(Reply::Whole(answer)) => Ok(json_response(encoder.whole(&answer))),
                     Ok(Reply::Error(refused)) => Err(refused),
                     _ => Err(ApiError::new(ErrorKind::Api, "the router stops")),
                 }
@@ -402,65 +414,67 @@
         }
     }
 
-    /// Where its workload asks for it, a key is on the disk before anything is sent.
-    async fn remember(
+    /// Stores the key on disk before anything is sent, where the rule of the workload requires it.
+    async fn store_key(
         &self,
         mut guard: IdempotencyGuard,
-        wish: &[u8],
+        fingerprint_text: &[u8],
         rule: KeyRule,
     ) -> Result<IdempotencyGuard, ApiError> {
         if !rule.remembered {
             return Ok(guard);
         }
-        let name = self.named(guard.key.customer);
+        let name = self.customer_name(guard.key.customer);
         if self
             .state
-            .remember(&name, &guard.key.text, IdempotencyKeys::fingerprint(wish), rule.window_ms)
+            .store_key(&name, &guard.key.text, IdempotencyKeys::fingerprint(fingerprint_text), rule.window_ms)
             .await
         {
             guard.stored = Some((self.state.clone(), name));
             return Ok(guard);
         }
-        // Guards rule 2: without a record of it another try after a restart could have the effect twice. Harm: a disk
-        // that is full or slow turns away this work, and this work alone.
+        // Without a stored key a retry after a restart could run the effect twice. Cost: a full or slow disk
+        // rejects these requests, and only these.
         guard.never_ran();
         Err(ApiError::new(ErrorKind::Overloaded, "this work can't be remembered now; come again"))
     }
 
-    fn named(&self, customer: Option<CustomerId>) -> String {
-        let requests = self.requests.borrow();
-        customer.and_then(|customer| requests.customer_name(customer)).unwrap_or_default().to_owned()
+    fn customer_name(&self, customer: Option<CustomerId>) -> String {
+        let classifier = self.classifier.borrow();
+        customer.and_then(|customer| classifier.customer_name(customer)).unwrap_or_default().to_owned()
     }
 
-    /// What an earlier run left: tries that may have run.
-    pub fn recover(&self, left: &RecoveredState) {
-        let (requests, now_ms) = (self.requests.borrow(), self.clock.now_ms());
-        for (customer, key, wish, left_ms) in &left.tokened {
-            let key = Key { customer: requests.customer_by_name(customer), text: Rc::from(key.as_str()) };
-            self.repeats.borrow_mut().recover(now_ms, key, *wish, *left_ms);
+    /// Restores the keys of an earlier run: their requests may have run.
+    pub fn recover(&self, recovered: &RecoveredState) {
+        let (classifier, now_ms) = (self.classifier.borrow(), self.clock.now_ms());
+        for (customer, key, fingerprint, remaining_ms) in &recovered.keys {
+            let key = Key { customer: classifier.customer_by_name(customer), text: Rc::from(key.as_str()) };
+            self.idempotency_keys.borrow_mut().recover(now_ms, key, *fingerprint, *remaining_ms);
         }
     }
 
-    /// What is known here of an earlier try with the same key: go on under its guard, or its answer.
-    fn keyed(
+    /// Checks the idempotency key: `Ok(guard)` to proceed, `Err(answer)` to replay the answer of an earlier
+    /// request.
+    fn check_key(
         &self,
         key: Key,
         body: &[u8],
         rule: KeyRule,
     ) -> Result<Result<IdempotencyGuard, Rc<paddleproxy_messages::Answer>>, ApiError> {
         let now_ms = self.clock.now_ms();
-        let verdict = self.repeats.borrow_mut().begin(now_ms, &key, body, rule.window_ms, rule.may_repeat);
+        let decision =
+            self.idempotency_keys.borrow_mut().begin(now_ms, &key, body, rule.window_ms, rule.may_repeat);
         let conflict = |message| {
-            self.refused_by_key.set(self.refused_by_key.get() + 1);
+            self.requests_refused_by_key.set(self.requests_refused_by_key.get() + 1);
             Err(ApiError::new(ErrorKind::Conflict, message))
         };
-        match verdict {
+        match decision {
             KeyDecision::Proceed => {
-                let (repeats, may_repeat) = (self.repeats.clone(), rule.may_repeat);
-                Ok(Ok(IdempotencyGuard { repeats, key, may_repeat, stored: None }))
+                let (idempotency_keys, may_repeat) = (self.idempotency_keys.clone(), rule.may_repeat);
+                Ok(Ok(IdempotencyGuard { idempotency_keys, key, may_repeat, stored: None }))
             }
             KeyDecision::Replay(answer) => {
-                self.answered_again.set(self.answered_again.get() + 1);
+                self.answers_replayed.set(self.answers_replayed.get() + 1);
                 Ok(Err(answer))
             }
             KeyDecision::Running => conflict("idempotency-key: a request with this key is under way"),
@@ -475,24 +489,30 @@
         }
     }
 
-    fn admit(&self, taken: &mut Taken, facts: &RequestFacts, prompt_bytes: usize) -> Result<(), ApiError> {
-        let Some(place) = &mut taken.place else { return Ok(()) };
+    fn admit(
+        &self,
+        admission: &mut AdmissionGuard,
+        facts: &RequestFacts,
+        prompt_bytes: usize,
+    ) -> Result<(), ApiError> {
+        let Some(permit) = &mut admission.permit else { return Ok(()) };
         let tokens = facts.prompt_tokens + facts.max_tokens;
         let now_ms = self.clock.now_ms();
-        let admitted = self.admission.borrow_mut().admit(now_ms, place, facts.workload, prompt_bytes, tokens);
-        admitted.map_err(turned_away)
+        let admitted =
+            self.admission.borrow_mut().admit(now_ms, permit, facts.workload, prompt_bytes, tokens);
+        admitted.map_err(rejection_error)
     }
 
-    async fn body(&self, body: Incoming) -> Result<Bytes, ApiError> {
+    async fn read_body(&self, body: Incoming) -> Result<Bytes, ApiError> {
         let limit = self.settings.body_bytes;
         let too_large =
             || ApiError::new(ErrorKind::TooLarge, format!("the body is larger than {limit} bytes"));
         if body.size_hint().lower() > limit as u64 {
             return Err(too_large());
         }
-        let whole = timeout(duration(self.settings.body_ms), Limited::new(body, limit).collect()).await;
-        match whole {
-            Ok(Ok(whole)) => Ok(whole.to_bytes()),
+        let collected = timeout(duration(self.settings.body_ms), Limited::new(body, limit).collect()).await;
+        match collected {
+            Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(cause)) if cause.downcast_ref::<LengthLimitError>().is_some() => Err(too_large()),
             Ok(Err(_)) => Err(ApiError::invalid("the body broke off")),
             Err(_) => Err(ApiError::new(ErrorKind::Timeout, "the body did not arrive in time")),
@@ -507,14 +527,18 @@
     value.transpose().map_err(|_| ApiError::invalid(format!("{name}: header is not plain text")))
 }
 
-/// An answer that was given before, in the form now asked for.
-fn again(encoder: &Encoder, answer: &paddleproxy_messages::Answer, streamed: bool) -> Response<ReplyBody> {
+/// A stored answer, streamed or complete as this request asks for.
+fn replay_response(
+    encoder: &Encoder,
+    answer: &paddleproxy_messages::Answer,
+    streamed: bool,
+) -> Response<ReplyBody> {
     use paddleproxy_messages::Piece;
     if !streamed {
-        return json(encoder.whole(answer));
+        return json_response(encoder.whole(answer));
     }
     let pieces =
         [Piece::Start(answer.usage), Piece::Text(&answer.text), Piece::End(&answer.stop, answer.usage)];
     let events: String = pieces.iter().map(|piece| encoder.piece(piece)).collect();
-    answer_of(200, "text/event-stream", events)
+    response_with(200, "text/event-stream", events)
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,6 @@
-//! The running router: HTTP in front, model servers behind, `Control` in between. One current-thread runtime, tasks
-//! on a `LocalSet`, bounded channels, no locks. Decides nothing: `paddleproxy-routing` and `paddleproxy` do.
+//! The router process: an HTTP server for clients, connections to the model servers, and the core task with
+//! `Control` between them. Everything runs on one current-thread runtime as tasks of a `LocalSet`, with
+//! bounded channels and no locks. Routing decisions are made in `paddleproxy-routing` and `paddleproxy`.
 
 mod admin;
 mod answer;
@@ -41,35 +42,36 @@
 use crate::steady_clock::SteadyClock;
 use crate::words::Told;
 
-/// Where a running router listens.
+/// Addresses on which a running router listens.
 #[derive(Clone, Copy, Debug)]
 pub struct Listening {
     pub clients: SocketAddr,
     pub admin: Option<SocketAddr>,
-    /// For fellows.
+    /// Datagrams and calls of the peers.
     pub peers: Option<SocketAddr>,
 }
 
-/// The document of a router's settings, read again when it changes.
+/// The router's settings file, which is read again when it changes.
 pub struct WatchedSettings {
     pub file: PathBuf,
     /// Sets what is logged.
     pub log: LogSetter,
 }
 
-/// Takes `level` or `target=level,...`, or says what is wrong with it.
+/// Sets the log filter to `level` or `target=level,...`; returns an error message if it is invalid.
 pub type LogSetter = Box<dyn Fn(&str) -> Result<(), String>>;
 
-/// How often what is outdated is looked for in the store, in ms.
+/// Interval at which outdated entries are deleted from the store.
 const SWEEP_MS: f64 = 30_000.0;
 
-/// Words that may wait for the core.
-const CORE_QUEUE: usize = 4096;
+/// Events that may be queued for the core.
+const CORE_QUEUE_EVENTS: usize = 4096;
 
-/// Runs a router until `stop` turns true, then lets open answers end. Must run on a `LocalSet`.
+/// Runs a router until `stop` turns true, then waits for open answers to end. Must run on a `LocalSet`.
 ///
 /// # Errors
-/// A state directory that can't be made, or an address that can't be listened on.
+/// The state directory can't be created, its store is another router's or is locked by another process, or an
+/// address can't be bound.
 pub async fn serve(
     settings: RouterSettings,
     watched: Option<WatchedSettings>,
@@ -87,53 +89,55 @@
         Some(address) => Some(bind(address).await?),
         None => None,
     };
-    let fellows = match &settings.peers {
+    let peer_sockets = match &settings.peers {
         Some(row) => Some((peers::bind(row).await?, row.clone())),
         None => None,
     };
-    let listening = Listening {
-        peers: fellows.as_ref().map(|(bound, _)| bound.address),
+    let addresses = Listening {
+        peers: peer_sockets.as_ref().map(|(sockets, _)| sockets.address),
         clients: clients.local_addr()?,
         admin: admin.as_ref().map(TcpListener::local_addr).transpose()?,
     };
     let clock = Clock::start();
-    // Names this start on the wire; the seed of chance is its own where the settings give none.
+    // The start time identifies this process in request ids. Without a seed in the settings, the random seed
+    // is derived from it and the process id.
     let boot = wall_ms() as u64;
     let seed =
         settings.seed.unwrap_or(boot.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id()));
     let engines = Rc::new(Engines::new(settings.engines.clone()));
-    let (core, told) = mpsc::channel(CORE_QUEUE);
-    let (list, list_words) = mpsc::channel(8);
+    let (core, events) = mpsc::channel(CORE_QUEUE_EVENTS);
+    let (list, list_requests) = mpsc::channel(8);
     let (saves, lists) = watch::channel(None);
-    let steady = SteadyClock::open(&dir);
-    let (store, left) = state::State::open(&dir, settings.decisions.own_number, steady)?;
+    let steady_clock = SteadyClock::open(&dir);
+    let (store, recovered) = state::State::open(&dir, settings.decisions.own_number, steady_clock)?;
     let store = Rc::new(store);
-    let own = (engines.clone(), core.clone());
-    let mut state = Core::new(settings.clone(), clock, boot, seed, own.0, own.1, list, saves, store.clone());
-    let desk = failover::controller(&settings, clock);
-    if let Some(desk) = &desk {
-        state.sit_at(desk.clone());
+    let shared = (engines.clone(), core.clone());
+    let mut core_task =
+        Core::new(settings.clone(), clock, boot, seed, shared.0, shared.1, list, saves, store.clone());
+    let controller = failover::controller(&settings, clock);
+    if let Some(controller) = &controller {
+        core_task.sit_at(controller.clone());
     }
-    let after = state.recover(list::saved(&dir), &left);
+    let known_list = core_task.recover(list::saved(&dir), &recovered);
     let admission = Rc::new(RefCell::new(Admission::new(AdmissionLimits::from_settings(&settings))));
-    let (to_fellows, asks) = mpsc::channel(8);
-    let fellows = match fellows {
-        Some((bound, row)) => {
+    let (peer_sender, peer_requests) = mpsc::channel(8);
+    let peer_task = match peer_sockets {
+        Some((sockets, row)) => {
             let (rules, floor) = peers::initial_grant(&settings, &row);
             admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
-            state.begin_with(floor);
+            core_task.begin_with(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
             Some(peers::PeerTaskParts {
-                bound,
+                sockets,
                 rules,
                 settings,
                 peers: row,
                 seed,
                 clock,
-                steady,
+                steady_clock,
                 core,
                 admission,
-                desk,
+                controller,
             })
         }
         None => None,
@@ -141,14 +145,14 @@
     let (workloads, keys_ms) = (settings.decisions.workloads.clone(), settings.front.keys_ms);
     let front = Rc::new(Front {
         settings: settings.front.clone(),
-        requests: RefCell::new(RequestClassifier::new(
+        classifier: RefCell::new(RequestClassifier::new(
             settings.names.clone(),
             settings.rules.clone(),
             workloads,
             keys_ms,
         )),
         admission: admission.clone(),
-        repeats: Rc::new(RefCell::new(IdempotencyKeys::new(
+        idempotency_keys: Rc::new(RefCell::new(IdempotencyKeys::new(
             settings.front.keys,
             settings.front.answer_memory_bytes,
         ))),
@@ -156,31 +160,37 @@
         dialects: dialects(&settings),
         clock,
         core: core.clone(),
-        next: Cell::new(0),
+        next_completion: Cell::new(0),
         connections: Cell::new(0),
-        prefix: format!("{}.{boot:x}", settings.decisions.own_number),
-        dropped: Rc::default(),
+        id_prefix: format!("{}.{boot:x}", settings.decisions.own_number),
+        dropped_answers: Rc::default(),
         connections_refused: Cell::new(0),
-        answered_again: Cell::new(0),
-        refused_by_key: Cell::new(0),
-        settings_taken: Cell::new(0),
-        settings_refused: RefCell::default(),
-        fellows: fellows.is_some().then(|| to_fellows.clone()),
+        answers_replayed: Cell::new(0),
+        requests_refused_by_key: Cell::new(0),
+        settings_applied: Cell::new(0),
+        settings_rejected: RefCell::default(),
+        peers: peer_task.is_some().then(|| peer_sender.clone()),
     });
-    front.recover(&left);
-    let swept = store.clone();
+    front.recover(&recovered);
+    let store_to_sweep = store.clone();
     tokio::task::spawn_local(async move {
         loop {
             tokio::time::sleep(duration(SWEEP_MS)).await;
-            swept.sweep();
+            store_to_sweep.sweep();
         }
     });
-    tokio::task::spawn_local(state.run(told));
-    if let Some(fellows) = fellows {
-        tokio::task::spawn_local(peers::run(fellows, asks));
+    tokio::task::spawn_local(core_task.run(events));
+    if let Some(parts) = peer_task {
+        tokio::task::spawn_local(peers::run(parts, peer_requests));
     }
     tokio::task::spawn_local(list::save(dir, lists));
-    tokio::task::spawn_local(list::follow(settings.clone(), engines, core.clone(), list_words, after));
+    tokio::task::spawn_local(list::follow(
+        settings.clone(),
+        engines,
+        core.clone(),
+        list_requests,
+        known_list,
+    ));
     if let Some(path) = settings.servers_file.clone() {
         tokio::task::spawn_local(files::watch_servers(path, core.clone()));
     }
@@ -190,8 +200,13 @@
     if let Some(listener) = admin {
         tokio::task::spawn_local(admin::listen(listener, front.clone()));
     }
-    info!(clients = %listening.clients, admin = ?listening.admin, number = settings.decisions.own_number, "ready");
-    ready(listening);
+    info!(
+        clients = %addresses.clients,
+        admin = ?addresses.admin,
+        number = settings.decisions.own_number,
+        "ready"
+    );
+    ready(addresses);
     let (closing, closed) = watch::channel(false);
     let accepting = tokio::task::spawn_local(front.clone().listen(clients, closed));
     while !*stop.borrow_and_update() {
@@ -200,10 +215,10 @@
         }
     }
     info!(open = admission.borrow().open(), "stopping");
-    // First of all: what comes while peers are told is refused too.
+    // Before anything else: requests that arrive while the peers are notified are rejected too.
     admission.borrow_mut().stop();
-    if let Some(fellows) = &front.fellows {
-        peers::announce_leave(fellows).await;
+    if let Some(peer_sender) = &front.peers {
+        peers::announce_leave(peer_sender).await;
     }
     closing.send_replace(true);
     let _ = accepting.await;
@@ -213,7 +228,11 @@
         tokio::time::sleep(duration(5.0)).await;
     }
     if admission.borrow().open() > 0 {
-        info!(open = admission.borrow().open(), connections = front.connections.get(), "last answers");
+        info!(
+            open = admission.borrow().open(),
+            connections = front.connections.get(),
+            "stop time is over; ending open answers"
+        );
         let _ = core.send(Told::Stop).await;
         let until = tokio::time::Instant::now() + duration(settings.front.slow_client_ms);
         while open() && tokio::time::Instant::now() < until {
@@ -225,9 +244,9 @@
     Ok(())
 }
 
-/// The published forms, and those of the settings, by path.
+/// API dialects by path: the published ones and those of the settings.
 fn dialects(settings: &RouterSettings) -> Vec<(String, Dialect)> {
-    let own = settings.dialects.iter().map(|row| {
+    let configured = settings.dialects.iter().map(|row| {
         let mut names = EventNames::default();
         for (event, other) in &row.events {
             if let Some(event) = EVENTS.iter().find(|known| *known == event) {
@@ -240,5 +259,5 @@
         ("/v1/messages".to_owned(), Dialect::published()),
         ("/v1/chat/completions".to_owned(), Dialect::Chat),
     ];
-    published.into_iter().chain(own).collect()
+    published.into_iter().chain(configured).collect()
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -1,5 +1,5 @@
-//! The sockets of a router's fellows: datagrams and calls on one port, timers, and the file that remembers its life. What
-//! is said and believed is decided in `paddleproxy-peers`.
+//! I/O between peer routers: datagrams and TCP calls on one port, timers, and the file that holds this
+//! router's generation. The protocol itself is in `paddleproxy-peers`.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -27,86 +27,87 @@
 use crate::steady_clock::SteadyClock;
 use crate::words::{ToCore, Told};
 
-/// Calls that may be open at once; further ones are closed, and their callers come again.
-const CALLS: usize = 8;
-/// Letters in one call, and the bytes of all of them.
-const LETTERS: usize = 256;
-const CALL_BYTES: usize = 4 << 20;
-/// Time in which a call has to be over, as probes, and the least, in ms.
-const CALL_PROBES: f64 = 10.0;
-const CALL_LEAST_MS: f64 = 500.0;
-/// Bad bytes are told of at most this often, in ms.
-const WRONG_EVERY_MS: f64 = 10_000.0;
-/// Weight of the newest count in what a router wants.
-const NEWEST: f64 = 0.3;
-const LIFE: &str = "life";
-
-/// Questions to the task that knows the fellows.
+/// Calls that may be open at once in each direction; further incoming ones are closed, and their callers
+/// retry.
+const MAX_CALLS: usize = 8;
+const MAX_CALL_PACKETS: usize = 256;
+const MAX_CALL_BYTES: usize = 4 << 20;
+/// A call times out after this many probe intervals, but not before `MIN_CALL_TIMEOUT_MS`.
+const CALL_TIMEOUT_PROBES: f64 = 10.0;
+const MIN_CALL_TIMEOUT_MS: f64 = 500.0;
+/// Rejected packets are logged at most this often.
+const REJECTED_LOG_INTERVAL_MS: f64 = 10_000.0;
+/// Weight of the newest measurement in the moving average of this router's demand.
+const NEWEST_WEIGHT: f64 = 0.3;
+const GENERATION_FILE: &str = "life";
+
+/// Requests to the peer task.
 pub enum PeerRequest {
+    /// The document of `/peers`.
     View(oneshot::Sender<Value>),
-    /// Say goodbye; answered once that is sent.
+    /// Announce that this router leaves; answered once that is sent.
     Leave(oneshot::Sender<()>),
-    /// All of failover; none where settings have none.
+    /// The document of `/failover`; `None` if the settings have no `failover`.
     Failover(oneshot::Sender<Option<Value>>),
-    /// An operator's word on a zone, or why it is none.
-    Word(CommandRequest, oneshot::Sender<Result<Value, String>>),
+    /// An operator's zone command; answered with its result or an error message.
+    Command(CommandRequest, oneshot::Sender<Result<Value, String>>),
 }
 
 pub type PeerSender = mpsc::Sender<PeerRequest>;
 
-enum Inside {
-    Called { letters: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>> },
-    Answered { to: SocketAddr, letters: Option<Vec<Vec<u8>>> },
+enum CallEvent {
+    Received { packets: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>> },
+    Answered { to: SocketAddr, packets: Option<Vec<Vec<u8>>> },
 }
 
-/// Sockets of a router's fellows, bound but not yet used.
+/// Sockets for the peers, bound but not yet used.
 pub struct PeerSockets {
     datagrams: UdpSocket,
     calls: TcpListener,
     pub address: SocketAddr,
 }
 
-/// Binds datagrams and calls to one port.
+/// Binds a UDP and a TCP socket to the same port.
 ///
 /// # Errors
-/// An address that is taken; with port 0, sixteen tries without a port that is free for both.
+/// The address is in use; with port 0, sixteen attempts found no port that is free for both.
 pub async fn bind(settings: &PeerSettings) -> Result<PeerSockets> {
     let mut tries = 0;
     loop {
         tries += 1;
         let calls = listen_on(settings.listen);
-        let calls = calls.await.with_context(|| format!("fellows' calls on {}", settings.listen))?;
+        let calls = calls.await.with_context(|| format!("peer calls on {}", settings.listen))?;
         let address = calls.local_addr()?;
         match UdpSocket::bind(address).await {
             Ok(datagrams) => return Ok(PeerSockets { datagrams, calls, address }),
             Err(_) if settings.listen.port() == 0 && tries < 16 => {}
-            Err(cause) => return Err(cause).with_context(|| format!("fellows' datagrams on {address}")),
+            Err(cause) => return Err(cause).with_context(|| format!("peer datagrams on {address}")),
         }
     }
 }
 
-/// What is shared out before any fellow was heard.
+/// The rules of the protocol, and what this router may use before any peer was heard.
 pub fn initial_grant(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
-    let places = decisions.routers;
-    let things = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::MAX_RESOURCES - 1);
+    let router_count = decisions.routers;
+    let resources = 1 + decisions.customers.len().min(paddleproxy_peers::allocation::MAX_RESOURCES - 1);
     let rules = Rules {
         deployment: peers.deployment.clone(),
-        router_count: places,
+        router_count,
         own: RouterIndex(decisions.own_number as u16),
         probe_ms: peers.probe_ms,
         lease_ms: peers.lease_ms,
         floor: peers.floor,
         remember_ms: peers.remember_ms,
-        resources: things,
-        slow_start_permits: paddleproxy::control::slow_start_router_limit(decisions, places),
+        resources,
+        slow_start_permits: paddleproxy::control::slow_start_router_limit(decisions, router_count),
     };
-    let about = about(settings, peers, peers.listen);
-    let alone = Peers::new(0.0, rules.clone(), about, Vec::new(), Generation(1), 0);
+    let info = router_info(settings, peers, peers.listen);
+    let alone = Peers::new(0.0, rules.clone(), info, Vec::new(), Generation(1), 0);
     (rules, alone.floor())
 }
 
-fn about(settings: &RouterSettings, peers: &PeerSettings, address: SocketAddr) -> RouterInfo {
+fn router_info(settings: &RouterSettings, peers: &PeerSettings, address: SocketAddr) -> RouterInfo {
     RouterInfo {
         name: peers.name.clone(),
         address: peers.advertise.unwrap_or(address),
@@ -116,7 +117,8 @@
     }
 }
 
-/// The decisions' settings as fellows agreed: how many reckon, the own place among them, the part of fresh servers.
+/// The decisions' settings with the grant applied: number of active routers, own rank among them, and share
+/// of workers in slow start.
 pub fn settings_with_grant(base: &Settings, granted: &Granted) -> Settings {
     Settings {
         routers: granted.routers.max(1),
@@ -126,121 +128,135 @@
     }
 }
 
-/// All that the task needs.
+/// Everything that the peer task is built from.
 pub struct PeerTaskParts {
-    pub bound: PeerSockets,
+    pub sockets: PeerSockets,
     pub rules: Rules,
     pub settings: Rc<RouterSettings>,
     pub peers: PeerSettings,
     pub seed: u64,
     pub clock: Clock,
-    pub steady: SteadyClock,
+    pub steady_clock: SteadyClock,
     pub core: ToCore,
     pub admission: Rc<RefCell<Admission>>,
-    pub desk: Option<SharedController>,
+    pub controller: Option<SharedController>,
 }
 
 struct Task {
     peers: Peers,
     datagrams: Rc<UdpSocket>,
-    own_ip: SocketAddr,
-    call_ms: f64,
+    own_address: SocketAddr,
+    call_timeout_ms: f64,
     clock: Clock,
     core: ToCore,
     admission: Rc<RefCell<Admission>>,
-    inside: mpsc::Sender<Inside>,
-    life_file: PathBuf,
+    call_events: mpsc::Sender<CallEvent>,
+    generation_file: PathBuf,
     zones: Vec<String>,
-    said: Option<Granted>,
-    wrong_ms: f64,
-    wrong_told: u64,
-    asked: (f64, Vec<u64>),
-    needs: Vec<f64>,
-    outgoing: Rc<std::cell::Cell<usize>>,
-    desk: Option<SharedController>,
-    words: failover::CommandStore,
+    last_granted: Option<Granted>,
+    rejected_logged_ms: f64,
+    rejected_logged: u64,
+    request_counts: (f64, Vec<u64>),
+    demand: Vec<f64>,
+    outgoing_calls: Rc<std::cell::Cell<usize>>,
+    controller: Option<SharedController>,
+    commands: failover::CommandStore,
 }
 
-/// Runs as long as the router does.
-pub async fn run(fellows: PeerTaskParts, mut asks: mpsc::Receiver<PeerRequest>) {
-    let PeerTaskParts { bound, rules, settings, peers, seed, clock, steady, core, admission, desk } = fellows;
-    let life_file = settings.state_dir.join(LIFE);
-    let life = next_life(&life_file);
-    let about = about(&settings, &peers, bound.address);
-    info!(name = about.name, address = %about.address, life = life.0, "looking for fellows");
-    let (inside, mut within) = mpsc::channel(4 * CALLS);
-    let datagrams = Rc::new(bound.datagrams);
-    let need_ms = rules.lease_ms / 3.0;
+/// The peer task; runs as long as the router does.
+pub async fn run(parts: PeerTaskParts, mut requests: mpsc::Receiver<PeerRequest>) {
+    let PeerTaskParts {
+        sockets,
+        rules,
+        settings,
+        peers,
+        seed,
+        clock,
+        steady_clock,
+        core,
+        admission,
+        controller,
+    } = parts;
+    let generation_file = settings.state_dir.join(GENERATION_FILE);
+    let generation = next_generation(&generation_file);
+    let info = router_info(&settings, &peers, sockets.address);
+    info!(name = info.name, address = %info.address, life = generation.0, "starting peer protocol");
+    let (call_events, mut incoming_events) = mpsc::channel(4 * MAX_CALLS);
+    let datagrams = Rc::new(sockets.datagrams);
+    let demand_interval_ms = rules.lease_ms / 3.0;
     let mut task = Task {
-        call_ms: (CALL_PROBES * rules.probe_ms).max(CALL_LEAST_MS),
-        peers: Peers::new(clock.now_ms(), rules, about, peers.seeds.clone(), life, seed),
+        call_timeout_ms: (CALL_TIMEOUT_PROBES * rules.probe_ms).max(MIN_CALL_TIMEOUT_MS),
+        peers: Peers::new(clock.now_ms(), rules, info, peers.seeds.clone(), generation, seed),
         datagrams: datagrams.clone(),
-        own_ip: bound.address,
+        own_address: sockets.address,
         clock,
         core,
         admission,
-        inside: inside.clone(),
-        life_file,
+        call_events: call_events.clone(),
+        generation_file,
         zones: settings.names.zones.clone(),
-        said: None,
-        wrong_ms: f64::NEG_INFINITY,
-        wrong_told: 0,
-        asked: (clock.now_ms(), Vec::new()),
-        needs: Vec::new(),
-        outgoing: Rc::default(),
-        words: failover::CommandStore::new(&settings, steady),
-        desk,
+        last_granted: None,
+        rejected_logged_ms: f64::NEG_INFINITY,
+        rejected_logged: 0,
+        request_counts: (clock.now_ms(), Vec::new()),
+        demand: Vec::new(),
+        outgoing_calls: Rc::default(),
+        commands: failover::CommandStore::new(&settings, steady_clock),
+        controller,
     };
-    if let Some(desk) = &task.desk {
-        task.words.recover(&mut desk.borrow_mut(), clock.now_ms());
+    if let Some(controller) = &task.controller {
+        task.commands.recover(&mut controller.borrow_mut(), clock.now_ms());
     }
-    let open = Rc::new(std::cell::Cell::new(0usize));
-    let mut need = tokio::time::interval(duration(need_ms));
-    need.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let open_calls = Rc::new(std::cell::Cell::new(0usize));
+    let mut demand_timer = tokio::time::interval(duration(demand_interval_ms));
+    demand_timer.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut bytes = vec![0; 2048];
     loop {
         let next_ms = task.peers.next_ms();
         let due = task.clock.at(next_ms.min(task.clock.now_ms() + 60_000.0));
         tokio::select! {
             biased;
-            _ = sleep_until(due) => task.tell(Event::Tick).await,
-            asked = asks.recv() => match asked {
+            _ = sleep_until(due) => task.handle(Event::Tick).await,
+            request = requests.recv() => match request {
                 Some(PeerRequest::View(answer)) => drop(answer.send(task.view())),
                 Some(PeerRequest::Leave(done)) => {
-                    task.tell(Event::Leave).await;
+                    task.handle(Event::Leave).await;
                     let _ = done.send(());
                 }
-                Some(PeerRequest::Failover(answer)) => drop(answer.send(task.failover())),
-                Some(PeerRequest::Word(word, answer)) => drop(answer.send(task.word(&word))),
+                Some(PeerRequest::Failover(answer)) => drop(answer.send(task.failover_view())),
+                Some(PeerRequest::Command(command, answer)) => {
+                    drop(answer.send(task.execute_command(&command)))
+                }
                 None => return,
             },
-            _ = need.tick() => {
-                let needs = task.measured();
-                task.carry().await;
-                task.tell(Event::Need(needs)).await;
+            _ = demand_timer.tick() => {
+                let demand = task.measure_demand();
+                task.exchange().await;
+                task.handle(Event::Need(demand)).await;
             }
-            Some(inside) = within.recv() => match inside {
-                Inside::Called { letters, reply } => task.called(letters, reply).await,
-                Inside::Answered { to, letters: Some(letters) } => {
-                    task.tell(Event::CallAnswered { to, packets: &letters }).await;
+            Some(event) = incoming_events.recv() => match event {
+                CallEvent::Received { packets, reply } => task.receive_call(packets, reply).await,
+                CallEvent::Answered { to, packets: Some(packets) } => {
+                    task.handle(Event::CallAnswered { to, packets: &packets }).await;
                 }
-                Inside::Answered { to, letters: None } => task.tell(Event::CallFailed { to }).await,
+                CallEvent::Answered { to, packets: None } => task.handle(Event::CallFailed { to }).await,
             },
-            got = datagrams.recv_from(&mut bytes) => match got {
+            datagram = datagrams.recv_from(&mut bytes) => match datagram {
                 Ok((count, from)) => {
                     let bytes = bytes[..count].to_vec();
-                    task.tell(Event::Datagram { from, bytes: &bytes }).await;
+                    task.handle(Event::Datagram { from, bytes: &bytes }).await;
                 }
-                // A fellow's closed port is told as an error of this socket; it is no end of it.
+                // An ICMP error of a peer's closed port is reported on this socket, which stays usable.
                 Err(_) => tokio::task::yield_now().await,
             },
-            taken = bound.calls.accept() => match taken {
-                Ok((stream, _)) if open.get() < CALLS => {
-                    open.set(open.get() + 1);
-                    let (open, inside, within) = (open.clone(), inside.clone(), duration(task.call_ms));
+            accepted = sockets.calls.accept() => match accepted {
+                Ok((stream, _)) if open_calls.get() < MAX_CALLS => {
+                    open_calls.set(open_calls.get() + 1);
+                    let (open_calls, call_events, call_timeout) =
+                        (open_calls.clone(), call_events.clone(), duration(task.call_timeout_ms));
                     tokio::task::spawn_local(async move {
-                        let _ = timeout(within, answer(stream.into(), inside)).await;
-                        open.set(open.get() - 1);
+                        let _ = timeout(call_timeout, serve_call(stream.into(), call_events)).await;
+                        open_calls.set(open_calls.get() - 1);
                     });
                 }
                 Ok(_) => {}
@@ -251,82 +267,90 @@
 }
 
 impl Task {
-    async fn tell(&mut self, event: Event<'_>) {
+    async fn handle(&mut self, event: Event<'_>) {
         let actions = self.peers.handle(self.clock.now_ms(), event);
-        self.act(actions).await;
+        self.perform(actions).await;
     }
 
-    async fn called(&mut self, letters: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>>) {
-        let mut actions = self.peers.handle(self.clock.now_ms(), Event::CallReceived { packets: &letters });
-        let row = actions.iter().position(|action| matches!(action, Action::Reply { .. }));
-        if let Some(Action::Reply { packets: letters }) = row.map(|row| actions.remove(row)) {
-            let _ = reply.send(letters);
+    async fn receive_call(&mut self, packets: Vec<Vec<u8>>, reply: oneshot::Sender<Vec<Vec<u8>>>) {
+        let mut actions = self.peers.handle(self.clock.now_ms(), Event::CallReceived { packets: &packets });
+        let index = actions.iter().position(|action| matches!(action, Action::Reply { .. }));
+        if let Some(Action::Reply { packets }) = index.map(|index| actions.remove(index)) {
+            let _ = reply.send(packets);
         }
-        self.act(actions).await;
+        self.perform(actions).await;
     }
 
-    async fn act(&mut self, actions: Vec<Action>) {
+    async fn perform(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                // A datagram that finds no room is lost, as it may be anywhere on its way.
+                // With a full send buffer the datagram is lost, which the protocol tolerates anyway.
                 Action::Send { to, bytes } => drop(self.datagrams.try_send_to(&bytes, to)),
-                Action::Call { to, packets: letters } => self.call(to, letters),
-                Action::Changed { router: place, change } => {
+                Action::Call { to, packets } => self.call(to, packets),
+                Action::Changed { router, change } => {
                     let (from, to) = (change.from.map(|state| state.name()), change.to.name());
                     info!(
-                        place = place.0,
+                        place = router.0,
                         life = change.generation.0,
                         from,
                         to,
                         by = change.reporter.0,
-                        "fellow"
+                        "peer state changed"
                     );
                 }
-                Action::GenerationRaised { generation: life } => {
-                    info!(life = life.0, "a higher life than fellows remember");
-                    keep_life(&self.life_file, life);
+                Action::GenerationRaised { generation } => {
+                    info!(life = generation.0, "generation raised: peers remember a higher one");
+                    save_generation(&self.generation_file, generation);
                 }
                 Action::Displaced { by } => {
-                    tracing::error!(%by, "another process runs under this router's place; this one has no part in \
-                        the common view any more and uses nothing that is shared out");
+                    tracing::error!(
+                        %by,
+                        "another process runs with this router's number; this one has left the cluster \
+                        and uses no shared resources"
+                    );
                 }
-                Action::AllocationAdopted { number } => info!(number, "page"),
+                Action::AllocationAdopted { number } => info!(number, "allocation adopted"),
                 Action::Reply { .. } => {}
             }
         }
-        self.share().await;
-        let wrong: u64 = self.peers.counts.rejected.values().sum();
+        self.apply_grant().await;
+        let rejected: u64 = self.peers.counts.rejected.values().sum();
         let now_ms = self.clock.now_ms();
-        if wrong > self.wrong_told && now_ms >= self.wrong_ms + WRONG_EVERY_MS {
-            (self.wrong_told, self.wrong_ms) = (wrong, now_ms);
-            warn!(wrong, kinds = ?self.peers.counts.rejected, "bytes that are no letters of fellows were dropped");
+        if rejected > self.rejected_logged && now_ms >= self.rejected_logged_ms + REJECTED_LOG_INTERVAL_MS {
+            (self.rejected_logged, self.rejected_logged_ms) = (rejected, now_ms);
+            warn!(
+                wrong = rejected,
+                kinds = ?self.peers.counts.rejected,
+                "dropped packets that are invalid or not from peers"
+            );
         }
     }
 
-    /// What failover has to say goes with the own row, and onto the page that may be next.
-    async fn carry(&mut self) {
-        let Some(desk) = &self.desk else { return };
+    /// Passes failover's data to the protocol: observations for this router's state, a plan for the next
+    /// allocation.
+    async fn exchange(&mut self) {
+        let Some(controller) = &self.controller else { return };
         let now_ms = self.clock.now_ms();
-        let carried = {
-            let desk = &mut *desk.borrow_mut();
-            let carried = failover::exchange(desk, &self.peers, now_ms);
-            if carried.news {
-                self.words.keep(desk, now_ms);
+        let data = {
+            let controller = &mut *controller.borrow_mut();
+            let data = failover::exchange(controller, &self.peers, now_ms);
+            if data.new_commands {
+                self.commands.save(controller, now_ms);
             }
-            carried
+            data
         };
-        if !carried.asks.is_empty() {
-            // A core with that many words waiting has no time for mere questions.
-            let _ = self.core.try_send(Told::Look { workers: carried.asks });
+        if !data.probes.is_empty() {
+            // If the core's queue is full, these probes can be skipped.
+            let _ = self.core.try_send(Told::Look { workers: data.probes });
         }
-        let event = Event::SetExtra { row: carried.row, allocation: carried.page, after: carried.after };
-        self.tell(event).await;
+        let event = Event::SetExtra { row: data.row, allocation: data.allocation, after: data.after };
+        self.handle(event).await;
     }
 
-    fn failover(&self) -> Option<Value> {
-        let desk = self.desk.as_ref()?.borrow();
+    fn failover_view(&self) -> Option<Value> {
+        let controller = self.controller.as_ref()?.borrow();
         Some(failover::view(
-            &desk,
+            &controller,
             &self.zones,
             self.peers.info(),
             self.peers.cluster_report(),
@@ -334,73 +358,76 @@
         ))
     }
 
-    fn word(&mut self, word: &CommandRequest) -> Result<Value, String> {
-        let desk = self.desk.as_ref().ok_or("this router has no 'failover' in its settings")?;
-        self.words.say(&mut desk.borrow_mut(), &self.zones, word, self.clock.now_ms())
+    fn execute_command(&mut self, command: &CommandRequest) -> Result<Value, String> {
+        let controller = self.controller.as_ref().ok_or("this router has no 'failover' in its settings")?;
+        self.commands.execute(&mut controller.borrow_mut(), &self.zones, command, self.clock.now_ms())
     }
 
-    /// Tells the core and the gates what may be used, where that changed.
-    async fn share(&mut self) {
-        if let Some(desk) = self.desk.as_ref().filter(|desk| !desk.borrow().rules().alone) {
-            let page = self.peers.agreed_extra(self.clock.now_ms());
-            let mut desk = desk.borrow_mut();
-            if desk.force(page) {
-                let plan = desk.agreed().map(|agreed| &agreed.plan);
-                info!(page = page.map(|(number, _)| number), number = plan.map(|plan| plan.number),
+    /// Passes a changed grant to the core and to admission, and a newly agreed plan to the failover
+    /// controller.
+    async fn apply_grant(&mut self) {
+        if let Some(controller) =
+            self.controller.as_ref().filter(|controller| !controller.borrow().rules().alone)
+        {
+            let agreed = self.peers.agreed_extra(self.clock.now_ms());
+            let mut controller = controller.borrow_mut();
+            if controller.force(agreed) {
+                let plan = controller.agreed().map(|agreed| &agreed.plan);
+                info!(page = agreed.map(|(number, _)| number), number = plan.map(|plan| plan.number),
                     moves = ?plan.map(|plan| &plan.moves), "plan in force");
             }
         }
         let granted = self.peers.granted(self.clock.now_ms());
-        if self.said.as_ref() == Some(&granted) {
+        if self.last_granted.as_ref() == Some(&granted) {
             return;
         }
         let floor = self.peers.floor();
         let until_ms = granted.until_ms;
         self.admission.borrow_mut().set_shares(&granted.shares[1..], &floor.shares[1..], until_ms);
-        let told = Told::Shared { granted: granted.clone(), floor };
-        if self.core.send(told).await.is_ok() {
-            self.said = Some(granted);
+        let event = Told::Shared { granted: granted.clone(), floor };
+        if self.core.send(event).await.is_ok() {
+            self.last_granted = Some(granted);
         }
     }
 
-    /// What this router wants: completions a second in all, and of each customer.
-    fn measured(&mut self) -> Vec<f64> {
+    /// Measures this router's demand: completions per second in total and per customer, as a moving average.
+    fn measure_demand(&mut self) -> Vec<f64> {
         let now_ms = self.clock.now_ms();
         let counts = self.admission.borrow().request_counts();
-        let (before_ms, before) = std::mem::replace(&mut self.asked, (now_ms, counts.clone()));
+        let (before_ms, before) = std::mem::replace(&mut self.request_counts, (now_ms, counts.clone()));
         let over_s = ((now_ms - before_ms) / 1e3).max(1e-3);
         let new =
             |row: usize| counts[row].saturating_sub(before.get(row).copied().unwrap_or(0)) as f64 / over_s;
-        let things = self.peers.rules().resources;
-        let customers = (0..things - 1).map(|row| if row + 1 < counts.len() { new(row + 1) } else { 0.0 });
+        let resources = self.peers.rules().resources;
+        let customers = (0..resources - 1).map(|row| if row + 1 < counts.len() { new(row + 1) } else { 0.0 });
         let now: Vec<f64> = std::iter::once((0..counts.len()).map(new).sum()).chain(customers).collect();
-        self.needs.resize(things, 0.0);
-        // Rounded, so that what hardly changed is not told anew.
-        let blend = |(old, new): (&f64, f64)| ((old + NEWEST * (new - old)) * 16.0).round() / 16.0;
-        self.needs = self.needs.iter().zip(now).map(blend).collect();
-        self.needs.clone()
+        self.demand.resize(resources, 0.0);
+        // Rounded, so that tiny changes cause no update.
+        let blend = |(old, new): (&f64, f64)| ((old + NEWEST_WEIGHT * (new - old)) * 16.0).round() / 16.0;
+        self.demand = self.demand.iter().zip(now).map(blend).collect();
+        self.demand.clone()
     }
 
-    fn call(&mut self, to: SocketAddr, letters: Vec<Vec<u8>>) {
-        let inside = self.inside.clone();
-        if self.outgoing.get() >= CALLS {
+    fn call(&mut self, to: SocketAddr, packets: Vec<Vec<u8>>) {
+        let call_events = self.call_events.clone();
+        if self.outgoing_calls.get() >= MAX_CALLS {
             return;
         }
-        let (own, within) = (SocketAddr::new(self.own_ip.ip(), 0), duration(self.call_ms));
-        let outgoing = self.outgoing.clone();
-        outgoing.set(outgoing.get() + 1);
+        let (own, call_timeout) = (SocketAddr::new(self.own_address.ip(), 0), duration(self.call_timeout_ms));
+        let outgoing_calls = self.outgoing_calls.clone();
+        outgoing_calls.set(outgoing_calls.get() + 1);
         tokio::task::spawn_local(async move {
-            let letters = timeout(within, call(own, to, &letters)).await.ok().and_then(Result::ok);
-            outgoing.set(outgoing.get() - 1);
-            let _ = inside.send(Inside::Answered { to, letters }).await;
+            let packets = timeout(call_timeout, call(own, to, &packets)).await.ok().and_then(Result::ok);
+            outgoing_calls.set(outgoing_calls.get() - 1);
+            let _ = call_events.send(CallEvent::Answered { to, packets }).await;
         });
     }
 
-    /// All that operators may ask for.
+    /// The document of `/peers`.
     fn view(&self) -> Value {
         let (peers, now_ms) = (&self.peers, self.clock.now_ms());
-        let stand = peers.cluster_report();
-        let places = |list: &[RouterIndex]| list.iter().map(|place| place.0).collect::<Vec<_>>();
+        let report = peers.cluster_report();
+        let indices = |list: &[RouterIndex]| list.iter().map(|router| router.0).collect::<Vec<_>>();
         let digest = peers.digest();
         let zone = |zone: u8| self.zones.get(usize::from(zone)).cloned().unwrap_or_default();
         let rows: Vec<Value> = peers
@@ -418,16 +445,25 @@
                     "address": m.info.address, "format": m.info.format, "for_ms": now_ms - m.since_ms,
                     "heard_ms": m.last_heard_ms.map(|at| now_ms - at), "same_view": m.digest == digest,
                     "page": m.allocation, "places": m.router_count,
-                    "deaf_to": stand.not_hearing.contains(&m.router), "unheard_by": stand.not_heard_by.contains(&m.router),
-                    "doubted_by": m.suspicion.iter().flat_map(|doubt| &doubt.reporters).map(|place| place.0).collect::<Vec<_>>(),
+                    "deaf_to": report.not_hearing.contains(&m.router),
+                    "unheard_by": report.not_heard_by.contains(&m.router),
+                    "doubted_by": m
+                        .suspicion
+                        .iter()
+                        .flat_map(|suspicion| &suspicion.reporters)
+                        .map(|router| router.0)
+                        .collect::<Vec<_>>(),
                     "history": history.collect::<Vec<_>>(),
                 })
             })
             .collect();
         let granted = peers.granted(now_ms);
-        let keeping = peers.consensus();
-        let seats = keeping.allocation().map(|page| {
-            let rows = page.entries.iter().map(|seat| json!([seat.router.0, seat.generation.0, seat.parts]));
+        let consensus = peers.consensus();
+        let entries = consensus.allocation().map(|allocation| {
+            let rows = allocation
+                .entries
+                .iter()
+                .map(|entry| json!([entry.router.0, entry.generation.0, entry.parts]));
             rows.collect::<Vec<_>>()
         });
         let counts = &peers.counts;
@@ -436,13 +472,14 @@
             "place": peers.rules().own.0, "name": peers.info().name, "life": peers.generation().0,
             "incarnation": peers.incarnation(), "zone": zone(peers.info().zone), "region": peers.info().region,
             "address": peers.info().address, "places": peers.rules().router_count, "clock_ms": now_ms,
-            "mind": stand.status.name(), "why": stand.reason, "roster": stand.roster, "hears": stand.heard,
-            "same": stand.same_view, "of": stand.compared, "differ": places(&stand.differing),
-            "deaf_to": places(&stand.not_hearing), "unheard_by": places(&stand.not_heard_by),
+            "mind": report.status.name(), "why": report.reason, "roster": report.roster, "hears": report.heard,
+            "same": report.same_view, "of": report.compared, "differ": indices(&report.differing),
+            "deaf_to": indices(&report.not_hearing), "unheard_by": indices(&report.not_heard_by),
             "digest": digest, "health": peers.health(), "rumours": peers.queued_gossip(),
             "page": {
-                "number": keeping.number(), "seats": seats, "keeper": keeping.is_voter(), "kept": keeping.accepted_number(),
-                "silent_ms": (keeping.abstains_until_ms() - now_ms).max(0.0),
+                "number": consensus.number(), "seats": entries, "keeper": consensus.is_voter(),
+                "kept": consensus.accepted_number(),
+                "silent_ms": (consensus.abstains_until_ms() - now_ms).max(0.0),
             },
             "shares": {
                 "routers": granted.routers, "rank": granted.rank, "of": granted.shares,
@@ -460,61 +497,64 @@
     }
 }
 
-/// Which start this is: one more than the file says, which is written before anybody hears of it.
-fn next_life(file: &Path) -> Generation {
+/// This process's generation: one more than the file holds, saved before any peer learns of it.
+fn next_generation(file: &Path) -> Generation {
     let last = std::fs::read_to_string(file).ok().and_then(|text| text.trim().parse::<u64>().ok());
-    let life = Generation(last.unwrap_or(0).saturating_add(1));
-    keep_life(file, life);
-    life
+    let generation = Generation(last.unwrap_or(0).saturating_add(1));
+    save_generation(file, generation);
+    generation
 }
 
-fn keep_life(file: &Path, life: Generation) {
-    if let Err(cause) = write_atomic(file, format!("{}\n", life.0).as_bytes()) {
-        warn!(%cause, file = %file.display(), "the router's life is not kept; its fellows will tell it");
+fn save_generation(file: &Path, generation: Generation) {
+    if let Err(cause) = write_atomic(file, format!("{}\n", generation.0).as_bytes()) {
+        warn!(%cause, file = %file.display(), "could not save the generation; peers will send it");
     }
 }
 
-/// Takes a call: its letters to the machine, the answer back.
-async fn answer(mut stream: Stream, inside: mpsc::Sender<Inside>) -> Result<()> {
-    let letters = read(&mut stream).await?;
+/// Serves an incoming call: passes its packets to the protocol and writes the reply.
+async fn serve_call(mut stream: Stream, call_events: mpsc::Sender<CallEvent>) -> Result<()> {
+    let packets = read_packets(&mut stream).await?;
     let (reply, answer) = oneshot::channel();
-    inside.send(Inside::Called { letters, reply }).await.ok().context("the router stops")?;
-    write(&mut stream, &answer.await?).await
+    call_events.send(CallEvent::Received { packets, reply }).await.ok().context("the router stops")?;
+    write_packets(&mut stream, &answer.await?).await
 }
 
-async fn call(own: SocketAddr, to: SocketAddr, letters: &[Vec<u8>]) -> Result<Vec<Vec<u8>>> {
+async fn call(own: SocketAddr, to: SocketAddr, packets: &[Vec<u8>]) -> Result<Vec<Vec<u8>>> {
     let socket = TcpSocket::new_v4()?;
-    // From the address that fellows know, so that who watches a link knows whose it is.
+    // From the address that peers know, so that whoever observes the link can tell which router this is.
     socket.bind(own)?;
     let mut stream = Stream::from(socket.connect(to).await?);
-    write(&mut stream, letters).await?;
-    read(&mut stream).await
+    write_packets(&mut stream, packets).await?;
+    read_packets(&mut stream).await
 }
 
-/// Letters on a stream: each after its length in four bytes, least first; a length of 0 ends them.
-async fn read(stream: &mut Stream) -> Result<Vec<Vec<u8>>> {
-    let (mut letters, mut left) = (Vec::new(), CALL_BYTES);
+/// Reads packets from a stream: each is preceded by its length (4 bytes, little-endian); length 0 ends the
+/// sequence.
+async fn read_packets(stream: &mut Stream) -> Result<Vec<Vec<u8>>> {
+    let (mut packets, mut left) = (Vec::new(), MAX_CALL_BYTES);
     loop {
         let length = stream.read_u32_le().await? as usize;
         if length == 0 {
-            return Ok(letters);
+            return Ok(packets);
         }
         anyhow::ensure!(
-            length <= left && length <= 4 * wire::MAX_EXCHANGE_PACKET_BYTES && letters.len() < LETTERS,
-            "a call too long"
+            length <= left
+                && length <= 4 * wire::MAX_EXCHANGE_PACKET_BYTES
+                && packets.len() < MAX_CALL_PACKETS,
+            "call exceeds the limits on packets or bytes"
         );
         left -= length;
-        let mut letter = vec![0; length];
-        stream.read_exact(&mut letter).await?;
-        letters.push(letter);
+        let mut packet = vec![0; length];
+        stream.read_exact(&mut packet).await?;
+        packets.push(packet);
     }
 }
 
-async fn write(stream: &mut Stream, letters: &[Vec<u8>]) -> Result<()> {
+async fn write_packets(stream: &mut Stream, packets: &[Vec<u8>]) -> Result<()> {
     let mut bytes = Vec::new();
-    for letter in letters {
-        bytes.extend((letter.len() as u32).to_le_bytes());
-        bytes.extend(letter);
+    for packet in packets {
+        bytes.extend((packet.len() as u32).to_le_bytes());
+        bytes.extend(packet);
     }
     bytes.extend([0; 4]);
     stream.write_all(&bytes).await?;
@@ -522,15 +562,15 @@
     Ok(())
 }
 
-/// Tells the fellows that this router goes, and waits until that is on its way; not for long.
-pub async fn announce_leave(fellows: &PeerSender) {
-    let (done, said) = oneshot::channel();
-    if fellows.send(PeerRequest::Leave(done)).await.is_ok() {
-        let _ = timeout(Duration::from_millis(200), said).await;
+/// Announces to the peers that this router leaves, and waits until that is sent, at most 200 ms.
+pub async fn announce_leave(peer_sender: &PeerSender) {
+    let (done, sent) = oneshot::channel();
+    if peer_sender.send(PeerRequest::Leave(done)).await.is_ok() {
+        let _ = timeout(Duration::from_millis(200), sent).await;
     }
 }
 
-/// When what is granted lapses on the router's own clock; none where it does not.
+/// When a grant expires on this router's clock; `None` if it does not.
 pub fn expires_at(clock: Clock, granted: &Granted) -> Option<Instant> {
     granted.until_ms.is_finite().then(|| clock.at(granted.until_ms))
 }
--- a/crates/router/src/state.rs
+++ b/crates/router/src/state.rs
@@ -1,4 +1,5 @@
-//! What this router keeps on its disk for the next start, by a thread that owns the store.
+//! What this router stores on disk for its next start: cache entries of the workers and idempotency keys. A
+//! thread of its own owns the store.
 
 use std::cell::{Cell, RefCell};
 use std::path::Path;
@@ -15,53 +16,59 @@
 
 use crate::steady_clock::SteadyClock;
 
-/// A client does not wait longer than this for the disk; then its request is turned away.
-const DISK_WITHIN: Duration = Duration::from_millis(1000);
+/// A request whose key is not on disk within this time is rejected.
+const DISK_TIMEOUT: Duration = Duration::from_millis(1000);
 const DIR: &str = "store";
 
-/// Lives as long as the router.
+/// Handle to the store. Without an open store nothing is written, and keys can't be stored.
 pub struct State {
     handle: RefCell<Option<(Handle, JoinHandle<()>)>>,
-    /// By which times are kept.
+    /// The clock of all stored times.
     pub steady_clock: SteadyClock,
-    /// Writes that found no room in the queue, and durable ones that failed.
-    pub skipped: Cell<u64>,
-    pub failed: Cell<u64>,
+    /// Writes skipped because the queue was full.
+    pub writes_skipped: Cell<u64>,
+    /// Durable writes that failed or took too long.
+    pub writes_failed: Cell<u64>,
 }
 
-/// What an earlier run left.
+/// What an earlier run stored.
 #[derive(Default)]
 pub struct RecoveredState {
-    kept: Vec<(Vec<u8>, Vec<u8>)>,
-    /// Customer, key, what was asked for, and how long it still matters, in ms.
-    pub tokened: Vec<(String, String, u64, f64)>,
+    cache_rows: Vec<(Vec<u8>, Vec<u8>)>,
+    /// Customer, idempotency key, fingerprint of the request, and the remaining time to remember it, in ms.
+    pub keys: Vec<(String, String, u64, f64)>,
 }
 
 impl RecoveredState {
-    /// What of it may be believed, given the processes that run now.
+    /// Cache entries that are still usable: recent, and of a server process that still runs (`starts` by
+    /// server name).
     pub fn usable_cache_entries(
         &self,
         now_ms: f64,
         starts: &std::collections::BTreeMap<String, u64>,
     ) -> Vec<CacheEntry> {
-        let entries = self.kept.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
+        let entries = self.cache_rows.iter().map(|(key, value)| (key.as_slice(), value.as_slice()));
         let rows = retention::believe(now_ms, &retention::TRUST, starts, retention::stored(entries));
         rows.into_iter().map(CacheEntry::from).collect()
     }
 }
 
 impl State {
-    /// Opens the store under the state directory. One that can't be opened is said loudly and done without, but for
-    /// one that another process holds or that is another router's: that is a mistake to be mended first.
+    /// Opens the store under the state directory. If that fails, the error is logged and the router runs
+    /// without one.
     ///
     /// # Errors
-    /// Such a mistake.
-    pub fn open(dir: &Path, router: usize, steady: SteadyClock) -> anyhow::Result<(State, RecoveredState)> {
-        let none = || State {
+    /// The store is locked by another process or belongs to another router: a configuration mistake.
+    pub fn open(
+        dir: &Path,
+        router: usize,
+        steady_clock: SteadyClock,
+    ) -> anyhow::Result<(State, RecoveredState)> {
+        let without_store = || State {
             handle: RefCell::new(None),
-            steady_clock: steady,
-            skipped: Cell::new(0),
-            failed: Cell::new(0),
+            steady_clock,
+            writes_skipped: Cell::new(0),
+            writes_failed: Cell::new(0),
         };
         let dir = dir.join(DIR);
         let disk = match Disk::open(&dir) {
@@ -74,7 +81,7 @@
             }
             Err(cause) => {
                 error!(%cause, dir = %dir.display(), "NOTHING IS KEPT: the store can't be opened");
-                return Ok((none(), RecoveredState::default()));
+                return Ok((without_store(), RecoveredState::default()));
             }
         };
         let options = Options { router: router as u32, ..Options::default() };
@@ -83,42 +90,48 @@
             Err(cause @ paddleproxy_store::Error::OtherRouter { .. }) => return Err(cause.into()),
             Err(cause) => {
                 error!(%cause, dir = %dir.display(), "NOTHING IS KEPT: the store can't be opened");
-                return Ok((none(), RecoveredState::default()));
+                return Ok((without_store(), RecoveredState::default()));
             }
         };
         for finding in &store.findings {
             let (segment, offset, what) = (&finding.segment, finding.offset, &finding.what);
             match finding.torn {
-                true => info!(segment, offset, what, "the end of the store was cut off"),
-                false => error!(segment, offset, what, "THE STORE IS DAMAGED; what is broken is kept aside"),
+                true => {
+                    info!(segment, offset, what, "truncated an incomplete record at the end of the store")
+                }
+                false => {
+                    error!(segment, offset, what, "THE STORE IS DAMAGED; the damaged part is kept aside")
+                }
             }
         }
-        let now_ms = steady.now_ms();
-        let owned = |(key, value): (&[u8], &[u8])| (key.to_vec(), value.to_vec());
-        let kept = store.of(Kind::Kept).map(owned).collect();
-        let tokened = retention::tokened(now_ms, store.of(Kind::Tokened));
-        let tokened =
-            tokened.into_iter().map(|(customer, key, wish, left)| (customer.into(), key.into(), wish, left));
-        let left = RecoveredState { kept, tokened: tokened.collect() };
+        let now_ms = steady_clock.now_ms();
+        let to_owned = |(key, value): (&[u8], &[u8])| (key.to_vec(), value.to_vec());
+        let cache_rows = store.of(Kind::Kept).map(to_owned).collect();
+        let keys = retention::tokened(now_ms, store.of(Kind::Tokened));
+        let keys = keys.into_iter().map(|(customer, key, fingerprint, remaining_ms)| {
+            (customer.into(), key.into(), fingerprint, remaining_ms)
+        });
+        let recovered = RecoveredState { cache_rows, keys: keys.collect() };
         match Handle::start(store) {
             Ok((handle, thread)) => {
                 handle.sweep(now_ms);
-                Ok((State { handle: RefCell::new(Some((handle, thread))), ..none() }, left))
+                Ok((State { handle: RefCell::new(Some((handle, thread))), ..without_store() }, recovered))
             }
             Err(cause) => {
-                error!(%cause, "NOTHING IS KEPT: no thread for the store");
-                Ok((none(), left))
+                error!(%cause, "NOTHING IS KEPT: the store's thread can't be started");
+                Ok((without_store(), recovered))
             }
         }
     }
 
-    fn behind(&self, ops: Vec<Op>) {
+    /// Queues a write without waiting for it.
+    fn write_in_background(&self, ops: Vec<Op>) {
         if self.handle.borrow().as_ref().is_some_and(|(handle, _)| !handle.behind(ops)) {
-            self.skipped.set(self.skipped.get() + 1);
+            self.writes_skipped.set(self.writes_skipped.get() + 1);
         }
     }
 
-    /// A server keeps a text; written when there is time.
+    /// Records that a server has cached the text of a session or prefix; written in the background.
     pub fn record_cached(
         &self,
         worker: &WorkerId,
@@ -132,41 +145,42 @@
             let value = serde_json::to_vec(&retention::Kept { tokens, at_ms, start }).unwrap_or_default();
             Op::Put { key: retention::kept_key(text, &worker.0), value }
         };
-        self.behind(retention::texts(session, tokens, prefix).map(op).collect());
+        self.write_in_background(retention::texts(session, tokens, prefix).map(op).collect());
     }
 
-    /// Work with a key is about to be sent; on the disk when this returns true.
-    pub async fn remember(&self, customer: &str, key: &str, wish: u64, window_ms: f64) -> bool {
-        let work = retention::Tokened { wish, until_ms: self.steady_clock.now_ms() + window_ms };
-        let value = serde_json::to_vec(&work).unwrap_or_default();
+    /// Stores the idempotency key of a request before it is sent; on disk if this returns true.
+    pub async fn store_key(&self, customer: &str, key: &str, fingerprint: u64, window_ms: f64) -> bool {
+        let entry =
+            retention::Tokened { wish: fingerprint, until_ms: self.steady_clock.now_ms() + window_ms };
+        let value = serde_json::to_vec(&entry).unwrap_or_default();
         let op = Op::Put { key: retention::tokened_key(customer, key), value };
         let done = self.handle.borrow().as_ref().and_then(|(handle, _)| handle.durable(vec![op]).ok());
-        let kept = match done {
-            Some(done) => matches!(timeout(DISK_WITHIN, done).await, Ok(Ok(Ok(())))),
+        let stored = match done {
+            Some(done) => matches!(timeout(DISK_TIMEOUT, done).await, Ok(Ok(Ok(())))),
             None => false,
         };
-        if !kept {
-            self.failed.set(self.failed.get() + 1);
-            warn!("work with a key could not be kept and is turned away");
+        if !stored {
+            self.writes_failed.set(self.writes_failed.get() + 1);
+            warn!("idempotency key could not be stored; request rejected");
         }
-        kept
+        stored
     }
 
-    /// It never ran: its key is as new.
-    pub fn forget(&self, customer: &str, key: &str) {
-        self.behind(vec![Op::Delete { key: retention::tokened_key(customer, key) }]);
+    /// Deletes a key whose request never ran, so that it can be used again.
+    pub fn delete_key(&self, customer: &str, key: &str) {
+        self.write_in_background(vec![Op::Delete { key: retention::tokened_key(customer, key) }]);
     }
 
-    /// Lets go of what is outdated.
+    /// Deletes outdated entries.
     pub fn sweep(&self) {
         self.handle.borrow().iter().for_each(|(handle, _)| handle.sweep(self.steady_clock.now_ms()));
     }
 
-    /// Writes what waits and lets go of the directory.
+    /// Writes what is queued and releases the directory.
     pub async fn close(&self) {
         let Some((handle, thread)) = self.handle.take() else { return };
         drop(handle);
         // A disk that hangs must not keep a router from ending.
-        let _ = timeout(DISK_WITHIN, tokio::task::spawn_blocking(move || thread.join())).await;
+        let _ = timeout(DISK_TIMEOUT, tokio::task::spawn_blocking(move || thread.join())).await;
     }
 }
