--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Hard cases at the clients' side, on loopback; final answers are counted for each request.
+//! Edge cases of client connections, over loopback: every request must get exactly one final answer.
 
 mod common;
 
@@ -11,9 +11,9 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-fn post(body: &str, more: &str) -> String {
+fn post(body: &str, headers: &str) -> String {
     let length = body.len();
-    format!("POST /v1/messages HTTP/1.1\r\nhost: x\r\nx-api-key: app-key\r\n{more}content-length: {length}\r\n\r\n{body}")
+    format!("POST /v1/messages HTTP/1.1\r\nhost: x\r\nx-api-key: app-key\r\n{headers}content-length: {length}\r\n\r\n{body}")
 }
 
 fn body(text: &str, tokens: u32, stream: bool) -> String {
@@ -35,8 +35,9 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Nothing is open or held at the router or the stand-ins any more.
-async fn calm(bench: &Bench) {
+/// Waits until nothing is open at the router and checks that no answer was dropped and no stand-in holds a
+/// state.
+async fn assert_idle(bench: &Bench) {
     for line in ["completions_open 0\n", "places_open 0\n"] {
         bench.until("/metrics", line).await;
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// Work that took its effect, by key.
+/// How many times the effect of a key was carried out; duplicates that servers dropped don't count.
 fn effects(bench: &Bench, key: &str) -> usize {
     let of = |what: &What| matches!(what, What::Effect { key: of, repeat: false, .. } if of.ends_with(key));
     bench.record.lines().iter().filter(|line| of(&line.what)).count()
@@ -57,98 +58,99 @@
     local(async {
         let bench = start(&[]).await;
         let mut stream = TcpStream::connect(bench.clients).await.unwrap();
-        // Pipelined: all three leave before the first is answered.
+        // Pipelined: all three are sent before the first is answered.
         let close = post(&body("c", 2, false), "connection: close\r\n");
         let all = post(&body("a", 2, true), "") + &post("{", "") + &close;
         stream.write_all(all.as_bytes()).await.unwrap();
         let answer = read_until(&mut stream, "\u{0}").await;
-        let places: Vec<_> =
+        let positions: Vec<_> =
             ["event: message_stop", "HTTP/1.1 400", "\"stop_reason\":\"end_turn\",\"stop_sequence\""]
                 .iter()
                 .map(|text| answer.rfind(text).unwrap_or_else(|| panic!("no {text} in {answer}")))
                 .collect();
-        assert!(places.is_sorted(), "{answer}");
-        calm(&bench).await;
+        assert!(positions.is_sorted(), "{answer}");
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_connection_whose_first_request_was_cut_serves_the_next_elsewhere() {
+fn a_connection_with_an_incomplete_request_is_closed_and_new_ones_work() {
     local(async {
         let bench = start(&[("body-time \"5s\"", "body-time \"100ms\"")]).await;
         let mut stream = TcpStream::connect(bench.clients).await.unwrap();
-        let cut = post(&body("a", 2, false), "");
-        stream.write_all(&cut.as_bytes()[..cut.len() - 10]).await.unwrap();
+        let incomplete = post(&body("a", 2, false), "");
+        stream.write_all(&incomplete.as_bytes()[..incomplete.len() - 10]).await.unwrap();
         let answer = read_until(&mut stream, "timeout_error").await;
         assert!(answer.starts_with("HTTP/1.1 504 "), "{answer}");
-        // What comes on it now can't be told from the body that is missing: it must not be taken for a request.
+        // Further bytes could belong to the missing body: they must not be parsed as a request.
         let _ = stream.write_all(post(&body("b", 2, false), "").as_bytes()).await;
         let rest = read_until(&mut stream, "end_turn").await;
         assert!(!rest.contains("end_turn"), "{rest}");
         assert_eq!(finals(&bench.ask(&asking("c", "chat-large", 5, true)).await), ["finished"]);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn the_same_key_at_once_runs_once() {
+fn concurrent_requests_with_one_key_run_once() {
     local(async {
         let bench = start(&[]).await;
-        let asked = asking("k", "chat-large", 5, true);
-        let (first, second) = tokio::join!(bench.ask(&asked), bench.ask(&asked));
+        let request = asking("k", "chat-large", 5, true);
+        let (first, second) = tokio::join!(bench.ask(&request), bench.ask(&request));
         let mut both = [finals(&first), finals(&second)];
         both.sort();
         assert_eq!(both, [["aborted"], ["finished"]]);
-        let third = bench.ask(&asked).await;
+        let third = bench.ask(&request).await;
         assert_eq!(finals(&third), ["finished"]);
         assert_eq!((effects(&bench, "k"), bench.metric("answers_again_total").await), (1, 1));
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_key_whose_first_try_was_left_has_one_effect() {
+fn a_retry_after_a_client_disconnect_has_one_effect() {
     local(async {
         let bench = start(&[]).await;
-        let mut asked = asking("k", "chat-large", 5, true);
-        asked.body = asked.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
-        assert!(tokio::time::timeout(Duration::from_millis(250), bench.ask(&asked)).await.is_err());
+        let mut request = asking("k", "chat-large", 5, true);
+        request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
+        assert!(tokio::time::timeout(Duration::from_millis(250), bench.ask(&request)).await.is_err());
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(finals(&bench.ask(&asked).await), ["finished"]);
+        assert_eq!(finals(&bench.ask(&request).await), ["finished"]);
         assert_eq!(effects(&bench, "k"), 1);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_non_idempotent_key_in_doubt_is_refused_and_not_run() {
+fn a_non_idempotent_key_of_unknown_outcome_is_refused_and_not_run() {
     local(async {
         let bench = start(&[]).await;
-        let mut asked = asking("k", "notice", 5, true);
-        asked.body = asked.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
-        bench.ask_and_leave(&asked).await;
+        let mut request = asking("k", "notice", 5, true);
+        request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
+        bench.ask_and_leave(&request).await;
         bench.until("/metrics", "completions_left_total 1").await;
-        let again = bench.ask(&asked).await;
-        assert_eq!(again[0], Seen::Head { status: 409, retry_after_ms: 0.0 });
+        let retry = bench.ask(&request).await;
+        assert_eq!(retry[0], Seen::Head { status: 409, retry_after_ms: 0.0 });
         assert_eq!(effects(&bench, "k"), 1);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_client_who_takes_nothing_is_cut_and_its_work_ends() {
+fn a_client_that_reads_nothing_is_disconnected_and_its_completion_cancelled() {
     local(async {
         let slow = [
             ("slow-client \"5s\"", "slow-client \"300ms\""),
             ("answer-bytes 1000000", "answer-bytes 100000000"),
         ];
         let bench = start(&slow).await;
-        // A stand-in that writes without a pause, an answer larger than all buffers between.
-        let roomy = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_owned()
+        // A stand-in whose answer is larger than all buffers between it and the client, written without
+        // pauses.
+        let large_answer = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_owned()
             + &format!("data: {{\"choices\":[{{\"text\":\"{}\"}}]}}\n\n", "w".repeat(30_000)).repeat(600);
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        tokio::task::spawn_local(paddleproxy_fleet::http::listen_raw(listener, roomy.into_bytes()));
+        tokio::task::spawn_local(paddleproxy_fleet::http::listen_raw(listener, large_answer.into_bytes()));
         bench.fleet.server("n-mixed1").unwrap().address.set(address);
         bench.fleet.server("n-mixed1").unwrap().list("ready");
         bench.until("/metrics", "list_version 4").await;
@@ -158,12 +160,12 @@
         slow.write_all(post(&body("a", 2000, true), "").as_bytes()).await.unwrap();
         bench.until("/metrics", "completions_left_total 1").await;
         bench.until("/metrics", "connections_open 0\n").await;
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_slow_reader_slows_nobody_else() {
+fn slow_readers_do_not_delay_other_clients() {
     local(async {
         let bench = start(&[]).await;
         let mut slow = Vec::new();
@@ -178,12 +180,12 @@
             assert_eq!(finals(&seen), ["finished"]);
         }
         drop(slow);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn two_thousand_connections_that_trickle_their_heads_harm_nobody() {
+fn two_thousand_incomplete_request_heads_do_not_block_other_clients() {
     local(async {
         let bench = start(&[("header-time \"5s\"", "header-time \"600ms\"")]).await;
         let mut trickling = Vec::new();
@@ -197,54 +199,55 @@
         }
         bench.until("/metrics", "connections_open 0\n").await;
         drop(trickling);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn a_burst_of_one_customer_is_limited_and_the_others_served() {
+fn a_burst_of_one_customer_is_limited_and_others_are_served() {
     local(async {
         let limits = "requests-per-s 2000\n        open 20 //";
         let bench = start(&[("requests-per-s 2000", limits), ("open 3000", "")]).await;
         let burst = async {
-            let asks: Vec<_> =
+            let requests: Vec<_> =
                 (0..200).map(|number| asking(&format!("b{number}"), "chat-large", 5, true)).collect();
-            let seen = futures_util::future::join_all(asks.iter().map(|asked| bench.ask(asked))).await;
+            let seen =
+                futures_util::future::join_all(requests.iter().map(|request| bench.ask(request))).await;
             seen.iter().map(|seen| finals(seen)).collect::<Vec<_>>()
         };
-        let desk = async {
+        let other_customer = async {
             sleep(Duration::from_millis(5)).await;
-            let mut asked = asking("d", "chat-large", 5, true);
-            asked.key = "desk-key".into();
-            finals(&bench.ask(&asked).await)
+            let mut request = asking("d", "chat-large", 5, true);
+            request.key = "desk-key".into();
+            finals(&bench.ask(&request).await)
         };
-        let (burst, desk) = tokio::join!(burst, desk);
-        assert_eq!(desk, ["finished"]);
+        let (burst, other) = tokio::join!(burst, other_customer);
+        assert_eq!(other, ["finished"]);
         let count = |how| burst.iter().filter(|finals| finals.as_slice() == [how]).count();
         assert_eq!(count("finished") + count("rate-limited"), 200);
         assert!(count("finished") >= 20 && count("rate-limited") >= 100, "{}", count("finished"));
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn time_allowed_runs_out_before_at_and_after_the_first_token() {
+fn deadlines_before_at_and_after_the_first_token_give_one_answer() {
     local(async {
         let bench = start(&[]).await;
-        // The first token comes after some 20 ms; an answer that has begun has no deadline.
+        // The first token takes about 20 ms; once an answer has begun it has no deadline.
         for timeout_ms in [1.0, 5.0, 10.0, 15.0, 20.0, 22.0, 25.0, 30.0, 50.0, 100.0] {
-            let mut asked = asking(&format!("t{timeout_ms}"), "chat-large", 5, true);
-            asked.timeout_ms = timeout_ms;
-            let seen = bench.ask(&asked).await;
+            let mut request = asking(&format!("t{timeout_ms}"), "chat-large", 5, true);
+            request.timeout_ms = timeout_ms;
+            let seen = bench.ask(&request).await;
             assert_eq!(finals(&seen).len(), 1, "{timeout_ms}: {seen:?}");
         }
         assert_eq!(bench.metric("answers_overdue_total").await, 0);
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
 
 #[test]
-fn forms_and_dialects_say_the_same() {
+fn all_dialects_are_served() {
     local(async {
         let bench = start(&[]).await;
         let ask = |path: &str, text: &str| {
@@ -268,6 +271,6 @@
         )
         .await;
         assert!(count.contains("{\"input_tokens\":10}"), "{count}");
-        calm(&bench).await;
+        assert_idle(&bench).await;
     });
 }
