--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -433,8 +433,8 @@
             guard.stored = Some((self.state.clone(), name));
             return Ok(guard);
         }
-        // Without a stored key a retry after a restart could run the effect twice. Cost: a full or slow disk
-        // rejects these requests, and only these.
+        // Rule 2 (no effect twice): without a stored key a retry after a restart could run the effect twice.
+        // Cost: a full or slow disk rejects these requests, and only these.
         guard.never_ran();
         Err(ApiError::new(ErrorKind::Overloaded, "this work can't be remembered now; come again"))
     }
@@ -458,12 +458,17 @@
     fn check_key(
         &self,
         key: Key,
-        body: &[u8],
+        fingerprint_text: &[u8],
         rule: KeyRule,
     ) -> Result<Result<IdempotencyGuard, Rc<paddleproxy_messages::Answer>>, ApiError> {
         let now_ms = self.clock.now_ms();
-        let decision =
-            self.idempotency_keys.borrow_mut().begin(now_ms, &key, body, rule.window_ms, rule.may_repeat);
+        let decision = self.idempotency_keys.borrow_mut().begin(
+            now_ms,
+            &key,
+            fingerprint_text,
+            rule.window_ms,
+            rule.may_repeat,
+        );
         let conflict = |message| {
             self.requests_refused_by_key.set(self.requests_refused_by_key.get() + 1);
             Err(ApiError::new(ErrorKind::Conflict, message))
