--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -11,12 +11,12 @@
 use paddleproxy::Control;
 
 use paddleproxy_platform::report;
-use paddleproxy_platform::settings::{self, Provision};
+use paddleproxy_platform::settings::{self, PlatformSettings};
 
 /// One router: its decisions and the wire's names for rows of its settings. None once it has failed.
 struct Instance {
     control: Control,
-    names: Provision,
+    names: PlatformSettings,
 }
 
 /// Lists of workers as sent, by number; names of zones and kinds differ by instance only in their rows.
@@ -390,7 +390,7 @@
     }
 }
 
-fn house_rows(rows: &Rows, names: &Provision) -> Result<Arc<[Listing]>> {
+fn house_rows(rows: &Rows, names: &PlatformSettings) -> Result<Arc<[Listing]>> {
     let find = |known: &[String], name: &str, field: &str| {
         known
             .iter()
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -6,9 +6,9 @@
 use std::rc::Rc;
 
 use paddleproxy::interface::LoadReport;
-use paddleproxy_platform::head::{AnswerHead, Framing};
+use paddleproxy_platform::head::{Framing, ResponseHead};
 use paddleproxy_platform::request::refusal;
-use paddleproxy_platform::{Chunks, Events, BODY_BYTES};
+use paddleproxy_platform::{Chunks, Events, MAX_BODY_BYTES};
 use paddleproxy_router::clock::{duration, Clock};
 use paddleproxy_routing::{Pace, Sending, SocketEnd, Stage, Withdrawal, WriteCheck};
 use tokio::sync::mpsc;
@@ -101,7 +101,7 @@
         };
         self.load = head.load;
         if let Some(end) = refusal(head.status, head.declined) {
-            let unread = head.stays().then_some((connection, head.framing));
+            let unread = head.connection_reusable().then_some((connection, head.framing));
             return Ok((end, unread));
         }
         match (head.status, self.sending.stage) {
@@ -129,7 +129,7 @@
     async fn finish_read(
         &mut self,
         mut connection: Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         deadline: Instant,
     ) -> Result<(SocketEnd, UnreadBody), SocketEnd> {
         let body = tokio::select! {
@@ -138,8 +138,8 @@
             body = connection.body(head.framing) => body?,
             () = sleep_until(deadline) => return Err(SocketEnd::TimedOut),
         };
-        self.cached_tokens = paddleproxy_platform::events::read_kept(&body).unwrap_or(0.0);
-        if head.stays() {
+        self.cached_tokens = paddleproxy_platform::events::parse_cached_tokens(&body).unwrap_or(0.0);
+        if head.connection_reusable() {
             self.pool.put_back(connection);
         }
         Ok((SocketEnd::ReadDone, None))
@@ -149,21 +149,21 @@
     async fn forward_answer(
         &mut self,
         mut connection: Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         deadline: Instant,
         started: Instant,
     ) -> Result<(SocketEnd, UnreadBody), SocketEnd> {
         if head.framing != Framing::Chunked {
             return Err(SocketEnd::Nonsense("the stream is not chunked".into()));
         }
-        let (mut chunks, mut events) = (Chunks::new(BODY_BYTES), Events::default());
+        let (mut chunks, mut events) = (Chunks::new(MAX_BODY_BYTES), Events::default());
         let mut stream: Option<(mpsc::Sender<StreamPart>, Pace)> = None;
         loop {
             let done = chunks
                 .take(&mut connection.bytes, events.buffer())
                 .map_err(|why| SocketEnd::Nonsense(why.to_string()))?;
             let complete_events = events.take().map_err(|why| SocketEnd::Nonsense(why.0.into()))?;
-            (self.cached_tokens, self.load) = (events.kept_tokens, events.load.or(self.load));
+            (self.cached_tokens, self.load) = (events.cached_tokens, events.load.or(self.load));
             if done && !events.complete() {
                 return Err(SocketEnd::Nonsense("the stream ends in the middle of an event".into()));
             }
@@ -189,7 +189,7 @@
                 if let Some((parts, _)) = stream {
                     let _ = parts.send(StreamPart::End).await;
                 }
-                if head.stays() {
+                if head.connection_reusable() {
                     self.pool.put_back(connection);
                 }
                 return Ok((SocketEnd::AnswerDone, None));
--- a/crates/gateway/src/attempt/tests.rs
+++ b/crates/gateway/src/attempt/tests.rs
@@ -33,7 +33,7 @@
         weight: 1.0,
         started_ms: None,
     };
-    List { version: 1, whole: true, rows: vec![Row { listing, dial: Some(address) }], unknown: 0 }
+    List { version: 1, whole: true, rows: vec![Row { listing, address: Some(address) }], unknown: 0 }
 }
 
 impl Fixture {
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -6,8 +6,8 @@
 use bytes::{Buf, Bytes, BytesMut};
 use paddleproxy::interface::CompletionId;
 use paddleproxy::shutdown::retry_after_ms;
-use paddleproxy_platform::head::{self, Fault, Framing, RequestHead};
-use paddleproxy_platform::{request, Chunks, BODY_BYTES};
+use paddleproxy_platform::head::{self, Framing, RequestError, RequestHead};
+use paddleproxy_platform::{request, Chunks, MAX_BODY_BYTES};
 use paddleproxy_router::clock::duration;
 use paddleproxy_router::duty::Duty;
 use paddleproxy_sockets::Stream;
@@ -63,12 +63,12 @@
 /// Interval in ms at which a connection is checked for its close while unread bytes are pending on it.
 const CLOSE_POLL_MS: f64 = 50.0;
 
-const OVERLOADED: Fault = Fault::new(503, "more bytes are open than memory allows; come again");
+const OVERLOADED: RequestError = RequestError::new(503, "more bytes are open than memory allows; come again");
 
 /// Sent for an incomplete request too: the rest of it may already be in transit and needs an answer.
-const EVICTED: Fault = Fault::new(503, "the connection is wanted elsewhere; come again");
+const EVICTED: RequestError = RequestError::new(503, "the connection is wanted elsewhere; come again");
 
-const SHUTTING_DOWN: Fault = Fault::new(503, "the router stops");
+const SHUTTING_DOWN: RequestError = RequestError::new(503, "the router stops");
 
 /// Serves one connection until it closes.
 pub async fn serve(slot: ConnectionSlot, mut stream: Stream) {
@@ -115,7 +115,7 @@
             received = self.read_request(stream, inbound) => received?,
             // Completed later, it might still be unanswered when the process is killed.
             () = stage_reached(&mut lifecycle, Lifecycle::Refusing) => Err(SHUTTING_DOWN),
-            () = sleep_until(deadline) => Err(Fault::new(408, "the request did not come whole in time")),
+            () = sleep_until(deadline) => Err(RequestError::new(408, "the request did not come whole in time")),
             () = self.eviction.notified() => Err(EVICTED),
         };
         let received = match received {
@@ -154,7 +154,7 @@
         let close = received.head.close;
         let answered = match (received.head.method.as_str(), path(&received.head.target)) {
             ("GET", "/_health") => match self.frontend.lifecycle() {
-                Lifecycle::Starting => Err(Fault::new(503, "not ready yet")),
+                Lifecycle::Starting => Err(RequestError::new(503, "not ready yet")),
                 _ => {
                     let close = close || self.closes(stream, inbound);
                     self.answer(stream, 200, "OK", "", "{\"ready\":true}", close).await?;
@@ -164,8 +164,8 @@
             ("POST", "/v1/chat/completions") => {
                 self.answer_completion(stream, inbound, request, received).await?
             }
-            (_, "/_health" | "/v1/chat/completions") => Err(Fault::new(405, "not with this method")),
-            _ => Err(Fault::new(404, "nothing is served here")),
+            (_, "/_health" | "/v1/chat/completions") => Err(RequestError::new(405, "not with this method")),
+            _ => Err(RequestError::new(404, "nothing is served here")),
         };
         match answered {
             Ok(end) => Ok(end),
@@ -211,7 +211,7 @@
         if !inbound.is_empty() {
             return Ok(());
         }
-        let idle_ms = self.frontend.provision.borrow().idle_ms * CLIENT_IDLE_FACTOR;
+        let idle_ms = self.frontend.provision.borrow().server_idle_timeout_ms * CLIENT_IDLE_FACTOR;
         let until = connected
             .map_or(Instant::now() + duration(idle_ms), |since| since + duration(REQUEST_READ_TIMEOUT_MS));
         let mut lifecycle = self.frontend.lifecycle.clone();
@@ -239,9 +239,9 @@
         &self,
         stream: &mut Stream,
         inbound: &mut Inbound,
-    ) -> Result<Result<ReceivedRequest, Fault>, ConnectionClose> {
+    ) -> Result<Result<ReceivedRequest, RequestError>, ConnectionClose> {
         let head = loop {
-            match head::request(inbound) {
+            match head::parse_request(inbound) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
                 Err(fault) => return Ok(Err(fault)),
@@ -253,17 +253,17 @@
         inbound.advance(head.bytes);
         let reserved_bytes = match head.framing {
             Framing::Length(length) => length,
-            _ => BODY_BYTES,
+            _ => MAX_BODY_BYTES,
         };
         let Some(mut body_quota) =
             BodyBytes::take(&self.frontend.body_bytes, reserved_bytes, self.frontend.shares.get().body_bytes)
         else {
             return Ok(Err(OVERLOADED));
         };
-        if head.expects {
+        if head.expects_continue {
             self.write(stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
         }
-        let (mut body, mut chunks) = (BytesMut::new(), Chunks::new(BODY_BYTES));
+        let (mut body, mut chunks) = (BytesMut::new(), Chunks::new(MAX_BODY_BYTES));
         loop {
             match head.framing {
                 Framing::Length(length) if inbound.len() >= length => {
@@ -279,8 +279,8 @@
                 }
                 Framing::Length(_) => {}
                 _ => match chunks.take(inbound, &mut body) {
-                    Ok(_) if body.len() > BODY_BYTES => {
-                        return Ok(Err(Fault::new(413, "the body is too long")))
+                    Ok(_) if body.len() > MAX_BODY_BYTES => {
+                        return Ok(Err(RequestError::new(413, "the body is too long")))
                     }
                     Ok(true) => {
                         body_quota.shrink(body.len());
@@ -289,7 +289,7 @@
                         return Ok(Ok(ReceivedRequest { head, body, body_quota, received_ms }));
                     }
                     Ok(false) => {}
-                    Err(_) => return Ok(Err(Fault::new(400, "the body's chunks can't be read"))),
+                    Err(_) => return Ok(Err(RequestError::new(400, "the body's chunks can't be read"))),
                 },
             }
             if !inbound.read(stream).await.is_ok_and(|read| read > 0) {
@@ -305,7 +305,7 @@
         inbound: &mut Inbound,
         open: &OpenRequest,
         received: ReceivedRequest,
-    ) -> Result<Result<RequestEnd, Fault>, ConnectionClose> {
+    ) -> Result<Result<RequestEnd, RequestError>, ConnectionClose> {
         let frontend = &self.frontend;
         if !frontend.accepts_requests() {
             return Ok(Err(SHUTTING_DOWN));
@@ -323,7 +323,7 @@
             Err(fault) => return Ok(Err(fault)),
         };
         let Some(_open) = frontend.open_id(&id) else {
-            return Ok(Err(Fault::new(400, "Req-Id is that of a request that is open")));
+            return Ok(Err(RequestError::new(400, "Req-Id is that of a request that is open")));
         };
         frontend.next_completion.set(completion.0.wrapping_add(1));
         let (duty, mut reply) = Duty::new(frontend.dropped.clone());
@@ -422,7 +422,12 @@
         }
     }
 
-    async fn reject(&self, stream: &mut Stream, fault: Fault, close: bool) -> Result<(), ConnectionClose> {
+    async fn reject(
+        &self,
+        stream: &mut Stream,
+        fault: RequestError,
+        close: bool,
+    ) -> Result<(), ConnectionClose> {
         let retry_after = if fault == SHUTTING_DOWN { self.retry_after_field() } else { String::new() };
         self.answer(stream, fault.status, "Refused", &retry_after, &error_body(fault.why), close).await
     }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -9,7 +9,7 @@
 
 use paddleproxy::interface::*;
 use paddleproxy_engine::StateReference;
-use paddleproxy_platform::{report, List, Provision};
+use paddleproxy_platform::{report, List, PlatformSettings};
 use paddleproxy_router::book::Book;
 use paddleproxy_router::clock::Clock;
 use paddleproxy_router::duty::Duty;
@@ -27,7 +27,7 @@
 /// Lives as long as the router.
 pub struct Core {
     ledger: Book,
-    provision: Rc<Provision>,
+    provision: Rc<PlatformSettings>,
     pool: Rc<Pool>,
     /// Answers that clients wait for. Each is consumed by giving it.
     pending_answers: BTreeMap<CompletionId, Duty<Reply>>,
@@ -47,7 +47,7 @@
 
 impl Core {
     pub fn new(
-        provision: Rc<Provision>,
+        provision: Rc<PlatformSettings>,
         clock: Clock,
         seed: u64,
         pool: Rc<Pool>,
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use bytes::BytesMut;
-use paddleproxy_platform::{List, Provision, StartTimes};
+use paddleproxy_platform::{List, PlatformSettings, StartTimes};
 use paddleproxy_router::clock::{duration, Clock};
 use paddleproxy_routing::SocketEnd;
 use paddleproxy_sockets::{connect, Stream};
@@ -28,7 +28,7 @@
 #[derive(Clone)]
 pub struct Source {
     pub address: SocketAddr,
-    pub provision: Rc<Provision>,
+    pub provision: Rc<PlatformSettings>,
     /// The maximum size of a list, in bytes.
     pub list_bytes: usize,
 }
@@ -77,7 +77,7 @@
         SocketEnd::Nonsense(why) => format!("{why}; a list may have {max_bytes} bytes"),
         end => describe(end),
     })?;
-    Ok((head.status, body, head.stays() && bytes.is_empty()))
+    Ok((head.status, body, head.connection_reusable() && bytes.is_empty()))
 }
 
 /// Pause between an answer without changes and the next watch, in ms: well below the time within which a
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use paddleproxy::shutdown::Shutdown;
-use paddleproxy_platform::Provision;
+use paddleproxy_platform::PlatformSettings;
 use paddleproxy_router::clock::{duration, Clock};
 use paddleproxy_router::duty::Dropped;
 use paddleproxy_sockets::{close_listener, Shortage};
@@ -96,7 +96,7 @@
 pub struct Frontend {
     pub clock: Clock,
     pub core: CoreSender,
-    pub provision: RefCell<Rc<Provision>>,
+    pub provision: RefCell<Rc<PlatformSettings>>,
     /// The current division of descriptors and memory; a reload replaces it.
     pub shares: Cell<Shares>,
     pub lifecycle: watch::Receiver<Lifecycle>,
@@ -184,7 +184,7 @@
     pub fn new(
         clock: Clock,
         core: CoreSender,
-        provision: Rc<Provision>,
+        provision: Rc<PlatformSettings>,
         shares: Shares,
         lifecycle: watch::Receiver<Lifecycle>,
     ) -> Self {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -3,7 +3,7 @@
 
 use paddleproxy::shutdown::GracePeriod;
 use paddleproxy_platform::config::Limits;
-use paddleproxy_platform::BODY_BYTES;
+use paddleproxy_platform::MAX_BODY_BYTES;
 
 /// Descriptors for other uses than connections of clients and to workers: the runtime, standard streams, a
 /// file being read, the listener, the discovery connection and its replacement.
@@ -101,7 +101,7 @@
             clients: clients.max(1),
             workers: (available as usize).saturating_sub(clients).max(1),
             // Two requests of the largest size always fit.
-            body_bytes: body_bytes.max(2 * BODY_BYTES),
+            body_bytes: body_bytes.max(2 * MAX_BODY_BYTES),
             list_bytes: ((limits.memory_mb * LIST_MEMORY_SHARE * 1048576.0) as usize)
                 .max(MIN_LISTED_WORKERS * MAX_LISTED_WORKER_BYTES),
         }
--- a/crates/gateway/src/limits/tests.rs
+++ b/crates/gateway/src/limits/tests.rs
@@ -28,7 +28,7 @@
                 "{sockets}: {shares:?}"
             );
             assert!(3 * (shares.clients + 1) >= sockets - RESERVED_DESCRIPTORS, "{sockets}: {shares:?}");
-            assert!(shares.body_bytes >= 2 * BODY_BYTES);
+            assert!(shares.body_bytes >= 2 * MAX_BODY_BYTES);
         }
     }
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use paddleproxy::interface::*;
-use paddleproxy_platform::{List, Provision};
+use paddleproxy_platform::{List, PlatformSettings};
 use paddleproxy_router::duty::{Answers, Duty};
 use paddleproxy_routing::SocketEnd;
 use tokio::sync::{mpsc, oneshot, Notify};
@@ -34,7 +34,7 @@
     /// A list from discovery.
     Listed(List),
     /// Reloaded settings.
-    Settings(Rc<Provision>),
+    Settings(Rc<PlatformSettings>),
     /// The router shuts down: every request without an answer gets its final one now; running streams
     /// continue.
     LastAnswers,
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 
 use bytes::BytesMut;
-use paddleproxy_platform::head::{self, AnswerHead, Framing};
-use paddleproxy_platform::{Chunks, BODY_BYTES};
+use paddleproxy_platform::head::{self, Framing, ResponseHead};
+use paddleproxy_platform::{Chunks, MAX_BODY_BYTES};
 use paddleproxy_router::clock::duration;
 use paddleproxy_routing::SocketEnd;
 use paddleproxy_sockets::{Shortage, Stream};
@@ -88,7 +88,7 @@
         self.stream.read_some(&mut self.bytes).await.map(|read| read > 0).map_err(|_| ())
     }
 
-    async fn head(&mut self) -> Result<AnswerHead, SocketEnd> {
+    async fn head(&mut self) -> Result<ResponseHead, SocketEnd> {
         read_head(&self.stream, &mut self.bytes).await
     }
 
@@ -97,7 +97,7 @@
     /// # Errors
     /// How the socket ended.
     pub async fn body(&mut self, framing: Framing) -> Result<BytesMut, SocketEnd> {
-        read_body(&self.stream, &mut self.bytes, framing, BODY_BYTES).await
+        read_body(&self.stream, &mut self.bytes, framing, MAX_BODY_BYTES).await
     }
 }
 
@@ -105,9 +105,9 @@
 ///
 /// # Errors
 /// How the socket ended.
-pub async fn read_head(stream: &Stream, bytes: &mut BytesMut) -> Result<AnswerHead, SocketEnd> {
+pub async fn read_head(stream: &Stream, bytes: &mut BytesMut) -> Result<ResponseHead, SocketEnd> {
     loop {
-        match head::answer(bytes) {
+        match head::parse_response(bytes) {
             Ok(Some(head)) => return Ok(head),
             Ok(None) => {}
             Err(why) => return Err(SocketEnd::Nonsense(why.into())),
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// How the socket ended.
-    pub async fn head(&self, connection: &mut Connection) -> Result<AnswerHead, SocketEnd> {
+    pub async fn head(&self, connection: &mut Connection) -> Result<ResponseHead, SocketEnd> {
         let head = connection.head().await;
         if let (Err(SocketEnd::BrokeBeforeAnswer), Some(idle_before_ms)) = (&head, connection.idle_before_ms)
         {
@@ -333,7 +333,7 @@
         method: &str,
         path: &str,
         timeout_ms: f64,
-    ) -> Result<(AnswerHead, BytesMut), SocketEnd> {
+    ) -> Result<(ResponseHead, BytesMut), SocketEnd> {
         let request = format!("{method} {path} HTTP/1.1\r\nHost: backend.local\r\nContent-Length: 0\r\n\r\n");
         let exchange = async {
             let mut connection = self.acquire(address).await?;
@@ -343,7 +343,7 @@
             }
             let head = self.head(&mut connection).await?;
             let body = connection.body(head.framing).await?;
-            if head.stays() {
+            if head.connection_reusable() {
                 self.put_back(connection);
             }
             Ok((head, body))
--- a/crates/gateway/src/progress/tests.rs
+++ b/crates/gateway/src/progress/tests.rs
@@ -15,7 +15,7 @@
         weight: 1.0,
         started_ms: None,
     };
-    List { version, whole, rows: vec![Row { listing, dial: None }; rows], unknown: 0 }
+    List { version, whole, rows: vec![Row { listing, address: None }; rows], unknown: 0 }
 }
 
 /// How discovery responds to one call.
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -48,16 +48,20 @@
         clock: Clock,
         starts: SharedStartTimes,
     ) -> Running {
-        let Config { name, discovery, seed, limits, known, provision, .. } = config;
+        let Config { name, discovery, seed, limits, known, settings: provision, .. } = config;
         let shares = Shares::of(&limits);
         info!(name, %listen, %discovery, ?limits, ?shares, known = known.rows.len(), "starting");
 
-        let pool = Rc::new(Pool::new(shares.workers, provision.connect_ms, provision.idle_ms));
+        let pool = Rc::new(Pool::new(
+            shares.workers,
+            provision.connect_timeout_ms,
+            provision.server_idle_timeout_ms,
+        ));
         let (core, events) = mpsc::channel(CORE_QUEUE_EVENTS);
         let (lists, refetches) = mpsc::channel(2);
         let provision = Rc::new(provision);
         let mut core_task = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
-        let connect_ms = provision.connect_ms;
+        let connect_ms = provision.connect_timeout_ms;
         core_task.apply_list(known, ListKind::Saved);
         tokio::task::spawn_local(core_task.run(events));
         let list_bytes = shares.list_bytes;
@@ -110,8 +114,12 @@
         info!(discovery = %config.discovery, "configuration reloaded");
         let shares = Shares::of(&config.limits);
         self.frontend.shares.set(shares);
-        self.pool.reconfigure(shares.workers, config.provision.connect_ms, config.provision.idle_ms);
-        let provision = Rc::new(config.provision);
+        self.pool.reconfigure(
+            shares.workers,
+            config.settings.connect_timeout_ms,
+            config.settings.server_idle_timeout_ms,
+        );
+        let provision = Rc::new(config.settings);
         *self.frontend.provision.borrow_mut() = provision.clone();
         let _ = self.core.send(CoreEvent::Settings(provision.clone())).await;
         let list_bytes = shares.list_bytes;
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -49,7 +49,7 @@
             if row.listing.readiness == Readiness::Gone {
                 self.addresses.remove(&worker);
             } else {
-                self.addresses.insert(worker, row.dial);
+                self.addresses.insert(worker, row.address);
             }
         }
         let rows: Arc<[Listing]> = list.rows.into_iter().map(|row| row.listing).collect();
--- a/crates/platform/src/chunks.rs
+++ b/crates/platform/src/chunks.rs
@@ -18,7 +18,7 @@
 
 /// What is no body in chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Broken {
+pub enum ChunkError {
     #[error("the size of a chunk can't be read")]
     Size,
     #[error("a chunk is larger than allowed")]
@@ -50,25 +50,25 @@
     /// Takes what can be read from `from` and appends the data to `into`; true once the body has ended.
     ///
     /// # Errors
-    /// See [`Broken`].
-    pub fn take(&mut self, from: &mut BytesMut, into: &mut BytesMut) -> Result<bool, Broken> {
+    /// See [`ChunkError`].
+    pub fn take(&mut self, from: &mut BytesMut, into: &mut BytesMut) -> Result<bool, ChunkError> {
         loop {
             match self.at {
                 At::Done => return Ok(true),
                 // A line without a digit would be read as size 0.
                 At::Size if from.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) => {
-                    return Err(Broken::Size);
+                    return Err(ChunkError::Size);
                 }
                 At::Size => match httparse::parse_chunk_size(from) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         if size > self.largest as u64 {
-                            return Err(Broken::Large);
+                            return Err(ChunkError::Large);
                         }
                         from.advance(line);
                         self.at = if size == 0 { At::Trailers } else { At::Data(size as usize) };
                     }
                     Ok(httparse::Status::Partial) if from.len() <= LINE_BYTES => return Ok(false),
-                    _ => return Err(Broken::Size),
+                    _ => return Err(ChunkError::Size),
                 },
                 At::Data(left) => {
                     let part = left.min(from.len());
@@ -82,7 +82,7 @@
                 At::DataEnd => {
                     let end = &from[..from.len().min(2)];
                     if !b"\r\n".starts_with(end) {
-                        return Err(Broken::End);
+                        return Err(ChunkError::End);
                     }
                     if end.len() < 2 {
                         return Ok(false);
@@ -93,11 +93,11 @@
                 At::Trailers => {
                     let Some(line) = from.iter().position(|byte| *byte == b'\n') else {
                         let long = self.trailers + from.len() > TRAILER_BYTES;
-                        return if long { Err(Broken::Trailers) } else { Ok(false) };
+                        return if long { Err(ChunkError::Trailers) } else { Ok(false) };
                     };
                     self.trailers += line + 1;
                     if self.trailers > TRAILER_BYTES {
-                        return Err(Broken::Trailers);
+                        return Err(ChunkError::Trailers);
                     }
                     let empty = matches!(&from[..line], b"" | b"\r");
                     from.advance(line + 1);
--- a/crates/platform/src/chunks/tests.rs
+++ b/crates/platform/src/chunks/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use proptest::prelude::*;
 
-fn read(text: &[u8], step: usize) -> Result<(bool, Vec<u8>, usize), Broken> {
+fn read(text: &[u8], step: usize) -> Result<(bool, Vec<u8>, usize), ChunkError> {
     let (mut chunks, mut from, mut into) = (Chunks::new(64), BytesMut::new(), BytesMut::new());
     let mut done = false;
     for part in text.chunks(step.max(1)) {
@@ -26,20 +26,20 @@
 #[test]
 fn what_does_not_fit_is_named() {
     for (text, why) in [
-        (&b"xyz\r\n"[..], Broken::Size),
-        (b"\r\nabc", Broken::Size),
-        (b"-3\r\nabc", Broken::Size),
-        (b"ffffffffffffffffff\r\n", Broken::Size),
-        (b"b2d05e00\r\nabc", Broken::Large),
-        (b"41\r\n", Broken::Large),
-        (b"3\r\nabcd\r\n", Broken::End),
-        (b"3\r\nabc\n0\r\n", Broken::End),
+        (&b"xyz\r\n"[..], ChunkError::Size),
+        (b"\r\nabc", ChunkError::Size),
+        (b"-3\r\nabc", ChunkError::Size),
+        (b"ffffffffffffffffff\r\n", ChunkError::Size),
+        (b"b2d05e00\r\nabc", ChunkError::Large),
+        (b"41\r\n", ChunkError::Large),
+        (b"3\r\nabcd\r\n", ChunkError::End),
+        (b"3\r\nabc\n0\r\n", ChunkError::End),
     ] {
         assert_eq!(read(text, 64).unwrap_err(), why, "{:?}", String::from_utf8_lossy(text));
     }
-    assert_eq!(read(&[b'0'; 400], 400).unwrap_err(), Broken::Size);
+    assert_eq!(read(&[b'0'; 400], 400).unwrap_err(), ChunkError::Size);
     let endless = [b"0\r\n".as_slice(), &[b'a'; 5000]].concat();
-    assert_eq!(read(&endless, 100).unwrap_err(), Broken::Trailers);
+    assert_eq!(read(&endless, 100).unwrap_err(), ChunkError::Trailers);
 }
 
 proptest! {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,8 +5,8 @@
 use serde::Deserialize;
 
 use crate::list::{Hosts, List};
-use crate::settings::{provision, Conf, Provision};
-use crate::starts::StartTimes;
+use crate::settings::{provision, Conf, PlatformSettings};
+use crate::start_times::StartTimes;
 
 /// What a router may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
@@ -42,7 +42,7 @@
     pub limits: Limits,
     /// The workers as this router last had them; maybe old.
     pub known: List,
-    pub provision: Provision,
+    pub settings: PlatformSettings,
 }
 
 impl Config {
@@ -68,7 +68,7 @@
         let provision = provision(wire.settings).map_err(|cause| format!("configuration: {cause}"))?;
         let known = wire.known.unwrap_or_default().list(&provision, starts, now_ms);
         let (name, listen, discovery, limits) = (wire.name, wire.listen, wire.discovery, wire.limits);
-        Ok(Config { name, listen, discovery, seed, limits, known, provision })
+        Ok(Config { name, listen, discovery, seed, limits, known, settings: provision })
     }
 }
 
--- a/crates/platform/src/events.rs
+++ b/crates/platform/src/events.rs
@@ -32,7 +32,7 @@
 }
 
 /// Tokens of the prompt that a read found kept; None where its answer says nothing that can be read.
-pub fn read_kept(body: &[u8]) -> Option<f64> {
+pub fn parse_cached_tokens(body: &[u8]) -> Option<f64> {
     let details: Details = serde_json::from_slice(body).ok()?;
     details.cached_tokens.filter(|kept| kept.is_finite() && *kept >= 0.0)
 }
@@ -40,7 +40,7 @@
 /// A body that is no stream of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Spoilt(pub &'static str);
+pub struct InvalidStream(pub &'static str);
 
 /// Lives for one stream.
 #[derive(Debug, Default)]
@@ -55,7 +55,7 @@
     /// Events seen to their end.
     pub events: usize,
     /// Tokens of the prompt that were found kept.
-    pub kept_tokens: f64,
+    pub cached_tokens: f64,
     pub load: Option<LoadReport>,
 }
 
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// A line that belongs to no event, data that is no JSON, and an event past the bound.
-    pub fn take(&mut self) -> Result<Bytes, Spoilt> {
+    pub fn take(&mut self) -> Result<Bytes, InvalidStream> {
         while let Some(end) = self.bytes[self.seen..].iter().position(|byte| *byte == b'\n') {
             let line = &self.bytes[self.seen..self.seen + end];
             let line = line.strip_suffix(b"\r").unwrap_or(line);
@@ -80,19 +80,19 @@
             } else if let Some(data) = line.strip_prefix(b"data:") {
                 let data = data.trim_ascii();
                 if self.done {
-                    return Err(Spoilt("data after the end of the stream"));
+                    return Err(InvalidStream("data after the end of the stream"));
                 } else if data == b"[DONE]" {
                     self.done = true;
                 } else {
                     let event: Event = serde_json::from_slice(data)
-                        .map_err(|_| Spoilt("the data of an event is no JSON"))?;
+                        .map_err(|_| InvalidStream("the data of an event is no JSON"))?;
                     let kept = event.usage.and_then(|usage| usage.prompt_tokens_details);
                     let kept = kept.and_then(|details| details.cached_tokens);
-                    self.kept_tokens = kept.filter(|kept| *kept >= 0.0).unwrap_or(self.kept_tokens);
+                    self.cached_tokens = kept.filter(|kept| *kept >= 0.0).unwrap_or(self.cached_tokens);
                 }
                 self.data = true;
             } else if !ends && !comment && !known(line) {
-                return Err(Spoilt("a line that belongs to no event"));
+                return Err(InvalidStream("a line that belongs to no event"));
             }
             self.seen += end + 1;
             if ends || comment && !self.data {
@@ -102,7 +102,7 @@
             }
         }
         if self.bytes.len() - self.whole > EVENT_BYTES {
-            return Err(Spoilt("an event is too long"));
+            return Err(InvalidStream("an event is too long"));
         }
         let taken = self.bytes.split_to(self.whole).freeze();
         self.seen -= self.whole;
--- a/crates/platform/src/events/tests.rs
+++ b/crates/platform/src/events/tests.rs
@@ -20,7 +20,7 @@
         }
         assert_eq!(String::from_utf8(out).unwrap(), STREAM);
         assert!(events.complete());
-        assert_eq!((events.events, events.kept_tokens), (3, 4096.0));
+        assert_eq!((events.events, events.cached_tokens), (3, 4096.0));
         assert_eq!(events.load.unwrap().queue, Some(3.0));
     }
 }
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -1,19 +1,19 @@
 //! Heads of requests and answers. Read strictly: what two parties could read in two ways is refused.
 
-use crate::{report, BODY_BYTES, HEAD_BYTES, HEAD_FIELDS};
+use crate::{report, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEAD_FIELDS};
 use paddleproxy::interface::LoadReport;
 
 /// What is wrong with a request, as the status that says so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{status}: {why}")]
-pub struct Fault {
+pub struct RequestError {
     pub status: u16,
     pub why: &'static str,
 }
 
-impl Fault {
+impl RequestError {
     pub const fn new(status: u16, why: &'static str) -> Self {
-        Fault { status, why }
+        RequestError { status, why }
     }
 }
 
@@ -50,7 +50,7 @@
     /// The client closes after the answer.
     pub close: bool,
     /// The client waits to be told to send its body.
-    pub expects: bool,
+    pub expects_continue: bool,
     pub fields: Fields,
     /// Length of the head itself, in bytes.
     pub bytes: usize,
@@ -63,14 +63,14 @@
     chunked: bool,
 }
 
-const BOTH: Fault = Fault::new(400, "both Content-Length and Transfer-Encoding");
-const LENGTH: Fault = Fault::new(400, "Content-Length is no length");
-const CODING: Fault = Fault::new(400, "Transfer-Encoding is not chunked");
-const TWICE: Fault = Fault::new(400, "a field is there twice");
-const NO_HEAD: Fault = Fault::new(400, "not the head of an HTTP/1.1 request");
+const BOTH: RequestError = RequestError::new(400, "both Content-Length and Transfer-Encoding");
+const LENGTH: RequestError = RequestError::new(400, "Content-Length is no length");
+const CODING: RequestError = RequestError::new(400, "Transfer-Encoding is not chunked");
+const TWICE: RequestError = RequestError::new(400, "a field is there twice");
+const NO_HEAD: RequestError = RequestError::new(400, "not the head of an HTTP/1.1 request");
 
 impl Lengths {
-    fn take(&mut self, name: &str, value: &[u8]) -> Result<(), Fault> {
+    fn take(&mut self, name: &str, value: &[u8]) -> Result<(), RequestError> {
         if name.eq_ignore_ascii_case("content-length") {
             let text = std::str::from_utf8(value).map_err(|_| LENGTH)?.trim();
             if text.is_empty() || !text.bytes().all(|digit| digit.is_ascii_digit()) {
@@ -103,25 +103,27 @@
 ///
 /// # Errors
 /// What can't be read, or could be read in two ways, and what is past a bound.
-pub fn request(bytes: &[u8]) -> Result<Option<RequestHead>, Fault> {
-    let mut fields = [httparse::EMPTY_HEADER; HEAD_FIELDS];
+pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestHead>, RequestError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEAD_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
-    let length = match head.parse(&bytes[..bytes.len().min(HEAD_BYTES)]) {
+    let length = match head.parse(&bytes[..bytes.len().min(MAX_HEAD_BYTES)]) {
         Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if bytes.len() < HEAD_BYTES => return Ok(None),
-        Ok(httparse::Status::Partial) => return Err(Fault::new(431, "the head is too long")),
-        Err(httparse::Error::TooManyHeaders) => return Err(Fault::new(431, "the head has too many fields")),
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(httparse::Status::Partial) => return Err(RequestError::new(431, "the head is too long")),
+        Err(httparse::Error::TooManyHeaders) => {
+            return Err(RequestError::new(431, "the head has too many fields"))
+        }
         Err(_) => return Err(NO_HEAD),
     };
     if head.version != Some(1) {
-        return Err(Fault::new(505, "HTTP/1.1 is spoken here"));
+        return Err(RequestError::new(505, "HTTP/1.1 is spoken here"));
     }
-    let (mut lengths, mut close, mut expects, mut own) =
+    let (mut lengths, mut close, mut expects_continue, mut own) =
         (Lengths::default(), false, false, Fields::default());
     for field in head.headers.iter() {
         lengths.take(field.name, field.value)?;
         close |= closes(field.name, field.value);
-        expects |= field.name.eq_ignore_ascii_case("expect");
+        expects_continue |= field.name.eq_ignore_ascii_case("expect");
         let slot = match field.name.to_ascii_lowercase().as_str() {
             "req-id" => &mut own.id,
             "req-kind" => &mut own.kind,
@@ -143,22 +145,22 @@
         Lengths { chunked: true, .. } => Framing::Chunked,
         Lengths { length, .. } => Framing::Length(length.unwrap_or(0)),
     };
-    if matches!(framing, Framing::Length(length) if length > BODY_BYTES) {
-        return Err(Fault::new(413, "the body is too long"));
+    if matches!(framing, Framing::Length(length) if length > MAX_BODY_BYTES) {
+        return Err(RequestError::new(413, "the body is too long"));
     }
     Ok(Some(RequestHead {
         method: head.method.unwrap_or_default().to_owned(),
         target: head.path.unwrap_or_default().to_owned(),
         framing,
         close,
-        expects,
+        expects_continue,
         fields: own,
         bytes: length,
     }))
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     pub status: u16,
     pub framing: Framing,
     pub close: bool,
@@ -167,9 +169,9 @@
     pub load: Option<LoadReport>,
 }
 
-impl AnswerHead {
+impl ResponseHead {
     /// Whether its connection can serve again once the body has been read.
-    pub fn stays(&self) -> bool {
+    pub fn connection_reusable(&self) -> bool {
         !self.close && self.framing != Framing::Close
     }
 }
@@ -178,19 +180,19 @@
 /// all come.
 ///
 /// # Errors
-/// What is no head, or longer than [`HEAD_BYTES`], interim answers included.
-pub fn answer(bytes: &mut bytes::BytesMut) -> Result<Option<AnswerHead>, &'static str> {
+/// What is no head, or longer than [`MAX_HEAD_BYTES`], interim answers included.
+pub fn parse_response(bytes: &mut bytes::BytesMut) -> Result<Option<ResponseHead>, &'static str> {
     let mut from = 0;
     // A line that can't be read, a report with noise in it for one, spoils no answer whose status and framing can be.
     let mut lenient = httparse::ParserConfig::default();
     lenient.ignore_invalid_headers_in_responses(true);
     loop {
-        let mut fields = [httparse::EMPTY_HEADER; HEAD_FIELDS];
+        let mut fields = [httparse::EMPTY_HEADER; MAX_HEAD_FIELDS];
         let mut head = httparse::Response::new(&mut fields);
-        let text = &bytes[from..bytes.len().min(HEAD_BYTES)];
+        let text = &bytes[from..bytes.len().min(MAX_HEAD_BYTES)];
         let length = match lenient.parse_response(&mut head, text) {
             Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if bytes.len() < HEAD_BYTES => return Ok(None),
+            Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) => return Err("the head of the answer does not end"),
             Err(_) => return Err("the head of the answer can't be read"),
         };
@@ -215,7 +217,7 @@
             Lengths { length: None, .. } => Framing::Close,
         };
         bytes::Buf::advance(bytes, from);
-        return Ok(Some(AnswerHead { status, framing, close, declined, load }));
+        return Ok(Some(ResponseHead { status, framing, close, declined, load }));
     }
 }
 
--- a/crates/platform/src/head/tests.rs
+++ b/crates/platform/src/head/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 fn status(text: &str) -> u16 {
-    request(text.as_bytes()).unwrap_err().status
+    parse_request(text.as_bytes()).unwrap_err().status
 }
 
 #[test]
@@ -12,13 +12,13 @@
     let text =
         "POST /v1/chat/completions?a=1 HTTP/1.1\r\nHost: backend.local\r\nreq-id: 9b1f\r\nReq-Kind: chat\r\n\
                 Req-Deadline: 4.800\r\nContent-Length: 2\r\nConnection: keep-alive, Close\r\n\r\n{}";
-    let head = request(text.as_bytes()).unwrap().unwrap();
+    let head = parse_request(text.as_bytes()).unwrap().unwrap();
     assert_eq!((head.method.as_str(), head.target.as_str()), ("POST", "/v1/chat/completions?a=1"));
     assert_eq!((head.framing, head.close, head.bytes), (Framing::Length(2), true, text.len() - 2));
     assert_eq!(head.fields.id.as_deref(), Some("9b1f"));
     assert_eq!(head.fields.deadline.as_deref(), Some("4.800"));
     for cut in 0..text.len() - 2 {
-        assert_eq!(request(&text.as_bytes()[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(parse_request(&text.as_bytes()[..cut]), Ok(None), "cut at {cut}");
     }
 }
 
@@ -47,7 +47,7 @@
     assert_eq!(status("\u{1}\u{2}noise\r\n\r\n"), 400);
     assert_eq!(status("GET / HTTP/1.0\r\n\r\n"), 505);
     assert_eq!(status(&with(&"X: y\r\n".repeat(80))), 431);
-    assert_eq!(status(&format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(HEAD_BYTES))), 431);
+    assert_eq!(status(&format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(MAX_HEAD_BYTES))), 431);
 }
 
 #[test]
@@ -56,28 +56,32 @@
         &b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 503 No\r\nSrv-Declined: 1\r\n\
            Srv-Load: TEXT queue=2\r\nContent-Length: 0\r\n\r\nrest"[..],
     );
-    let head = answer(&mut bytes).unwrap().unwrap();
+    let head = parse_response(&mut bytes).unwrap().unwrap();
     assert_eq!((head.status, head.declined, head.framing), (503, true, Framing::Length(0)));
     assert_eq!(head.load.unwrap().queue, Some(2.0));
     assert_eq!(&bytes[..], b"rest");
     let mut bad = bytes::BytesMut::from(&b"HTTP/1.1 200 OK\r\nSrv-Load: \x80 \x01\x7f what\r\n\r\n"[..]);
-    assert_eq!(answer(&mut bad).unwrap().unwrap().load, None, "a report that can't be read spoils nothing");
+    assert_eq!(
+        parse_response(&mut bad).unwrap().unwrap().load,
+        None,
+        "a report that can't be read spoils nothing"
+    );
 }
 
 #[test]
 fn heads_that_never_end_are_given_up() {
     let mut bytes = bytes::BytesMut::from(&b"HTTP/1.1 100 Continue\r\n\r\n".repeat(1000)[..]);
-    assert!(answer(&mut bytes).is_err());
-    assert!(answer(&mut bytes::BytesMut::from(&[7u8; 40][..])).is_err());
+    assert!(parse_response(&mut bytes).is_err());
+    assert!(parse_response(&mut bytes::BytesMut::from(&[7u8; 40][..])).is_err());
 }
 
 proptest! {
     #[test]
     fn no_head_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let _ = request(&bytes);
-        let _ = answer(&mut bytes::BytesMut::from(&bytes[..]));
+        let _ = parse_request(&bytes);
+        let _ = parse_response(&mut bytes::BytesMut::from(&bytes[..]));
         let mut long = b"POST / HTTP/1.1\r\n".to_vec();
         long.extend(&bytes);
-        let _ = request(&long);
+        let _ = parse_request(&long);
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -10,22 +10,22 @@
 pub mod report;
 pub mod request;
 pub mod settings;
-pub mod starts;
+pub mod start_times;
 
 pub use chunks::Chunks;
 pub use config::Config;
 pub use events::Events;
-pub use head::{AnswerHead, Fault, Fields, Framing, RequestHead};
+pub use head::{Fields, Framing, RequestError, RequestHead, ResponseHead};
 pub use list::List;
-pub use settings::Provision;
-pub use starts::StartTimes;
+pub use settings::PlatformSettings;
+pub use start_times::StartTimes;
 
 /// The most bytes of a body, of the platform's protocol.
-pub const BODY_BYTES: usize = 256 * 1024;
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 /// The most bytes of a head that is read to its end.
-pub const HEAD_BYTES: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The most fields of a head.
-pub const HEAD_FIELDS: usize = 64;
+pub const MAX_HEAD_FIELDS: usize = 64;
 
 /// Reads one JSON text whole; an error names the path to the field.
 fn json<T: serde::de::DeserializeOwned>(what: &str, text: &[u8]) -> Result<T, String> {
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -5,8 +5,8 @@
 use paddleproxy::interface::{CellId, KindId, Listing, Readiness, WorkerId, ZoneId};
 use serde::Deserialize;
 
-use crate::settings::Provision;
-use crate::starts::StartTimes;
+use crate::settings::PlatformSettings;
+use crate::start_times::StartTimes;
 
 #[derive(Default, Deserialize)]
 pub(crate) struct Hosts {
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     pub listing: Listing,
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -61,7 +61,7 @@
     /// What is no list, with the path to the field.
     pub fn parse(
         text: &[u8],
-        provision: &Provision,
+        provision: &PlatformSettings,
         starts: &mut StartTimes,
         now_ms: f64,
     ) -> Result<List, String> {
@@ -71,7 +71,7 @@
 }
 
 impl Hosts {
-    pub(crate) fn list(self, provision: &Provision, starts: &mut StartTimes, now_ms: f64) -> List {
+    pub(crate) fn list(self, provision: &PlatformSettings, starts: &mut StartTimes, now_ms: f64) -> List {
         let mut list = List { version: self.seq, whole: self.whole, ..List::default() };
         for host in self.hosts {
             let born_ms = host.born_ms;
@@ -93,7 +93,7 @@
 }
 
 /// What a host is, but for its start.
-fn row(host: Host, provision: &Provision) -> Option<Row> {
+fn row(host: Host, provision: &PlatformSettings) -> Option<Row> {
     let readiness = match host.health.as_str() {
         "ready" => Readiness::Ready,
         "draining" => Readiness::Draining,
@@ -115,5 +115,5 @@
         weight: host.share,
         started_ms: None,
     };
-    sound.then(|| Row { listing, dial: host.dial.parse().ok() })
+    sound.then(|| Row { listing, address: host.dial.parse().ok() })
 }
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -5,8 +5,8 @@
 use paddleproxy_routing::SocketEnd;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::head::{Fault, Fields};
-use crate::settings::Provision;
+use crate::head::{Fields, RequestError};
+use crate::settings::PlatformSettings;
 
 /// Characters of a prompt for each of its tokens, of the platform's protocol.
 const TOKEN_BYTES: f64 = 4.0;
@@ -22,17 +22,17 @@
 ///
 /// # Errors
 /// 400 where there is none or it can't be read.
-pub fn id(fields: &Fields) -> Result<&str, Fault> {
-    let id = fields.id.as_deref().ok_or(Fault::new(400, "Req-Id is missing"))?;
+pub fn id(fields: &Fields) -> Result<&str, RequestError> {
+    let id = fields.id.as_deref().ok_or(RequestError::new(400, "Req-Id is missing"))?;
     let named = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     if id.is_empty() || id.len() > ID_BYTES || !id.bytes().all(named) || id.starts_with('.') {
-        return Err(Fault::new(400, "Req-Id can't be read"));
+        return Err(RequestError::new(400, "Req-Id can't be read"));
     }
     Ok(id)
 }
 
-fn amount(text: &str, why: &'static str) -> Result<f64, Fault> {
-    let fault = Fault::new(400, why);
+fn amount(text: &str, why: &'static str) -> Result<f64, RequestError> {
+    let fault = RequestError::new(400, why);
     let value: f64 = text.trim().parse().map_err(|_| fault)?;
     if value.is_finite() && value >= 0.0 {
         Ok(value)
@@ -46,32 +46,32 @@
 /// # Errors
 /// 400 for an unknown workload or customer, and for a time or a length that is none.
 pub fn arrival(
-    provision: &Provision,
+    provision: &PlatformSettings,
     fields: &Fields,
     body: &[u8],
     completion: CompletionId,
     now_ms: f64,
-) -> Result<Arrival, Fault> {
+) -> Result<Arrival, RequestError> {
     let row = |known: &[String], name: &str| known.iter().position(|entry| entry == name);
-    let kind = fields.kind.as_deref().ok_or(Fault::new(400, "Req-Kind is missing"))?;
-    let workload = row(&provision.workloads, kind).ok_or(Fault::new(400, "Req-Kind is not known"))?;
+    let kind = fields.kind.as_deref().ok_or(RequestError::new(400, "Req-Kind is missing"))?;
+    let workload = row(&provision.workloads, kind).ok_or(RequestError::new(400, "Req-Kind is not known"))?;
     let customer = match fields.owner.as_deref() {
         None => None,
         Some(owner) => {
-            Some(row(&provision.customers, owner).ok_or(Fault::new(400, "Req-Owner is not known"))?)
+            Some(row(&provision.customers, owner).ok_or(RequestError::new(400, "Req-Owner is not known"))?)
         }
     };
-    let deadline = fields.deadline.as_deref().ok_or(Fault::new(400, "Req-Deadline is missing"))?;
+    let deadline = fields.deadline.as_deref().ok_or(RequestError::new(400, "Req-Deadline is missing"))?;
     let wait_ms = amount(deadline, "Req-Deadline is no time")? * 1e3;
     if wait_ms <= 0.0 {
-        return Err(Fault::new(400, "Req-Deadline is no time"));
+        return Err(RequestError::new(400, "Req-Deadline is no time"));
     }
     if serde_json::from_slice::<serde::de::IgnoredAny>(body).is_err() {
-        return Err(Fault::new(400, "the body is no JSON"));
+        return Err(RequestError::new(400, "the body is no JSON"));
     }
     let (mut prefix, mut prompt_tokens, mut prefix_tokens, mut max_tokens) = (None, None, 0.0, 0.0);
     for pair in fields.extra.as_deref().unwrap_or("").split(',').filter(|pair| !pair.trim().is_empty()) {
-        let unreadable = Fault::new(400, "Req-Extra can't be read");
+        let unreadable = RequestError::new(400, "Req-Extra can't be read");
         let (name, value) = pair.split_once('=').ok_or(unreadable)?;
         let length = || amount(value, "a length in Req-Extra is none");
         match name.trim() {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -6,7 +6,7 @@
 
 /// The module's settings, the names that the platform uses for their rows, and what sockets need to know beside.
 #[derive(Clone, Debug)]
-pub struct Provision {
+pub struct PlatformSettings {
     pub settings: house::Settings,
     pub workloads: Vec<String>,
     pub customers: Vec<String>,
@@ -17,9 +17,9 @@
     /// Time past the client timeout in which a final answer still counts.
     pub answer_slack_ms: f64,
     /// A connection not made by then counts as none.
-    pub connect_ms: f64,
+    pub connect_timeout_ms: f64,
     /// Idle connections are closed by workers after this.
-    pub idle_ms: f64,
+    pub server_idle_timeout_ms: f64,
     /// Whether workers tell their load.
     pub reports: bool,
 }
@@ -124,12 +124,12 @@
 ///
 /// # Errors
 /// The path to the field that is missing or wrong, and what is wrong with it.
-pub fn parse(text: &str) -> Result<Provision, String> {
+pub fn parse(text: &str) -> Result<PlatformSettings, String> {
     let conf: Conf = crate::json("settings", text.as_bytes())?;
     provision(conf)
 }
 
-pub(crate) fn provision(conf: Conf) -> Result<Provision, String> {
+pub(crate) fn provision(conf: Conf) -> Result<PlatformSettings, String> {
     let mut workloads = Vec::new();
     for (row, service) in conf.services.iter().enumerate() {
         workloads.push(house::WorkloadSettings {
@@ -209,7 +209,7 @@
         fresh_part: None,
         far: Vec::new(),
     };
-    Ok(Provision {
+    Ok(PlatformSettings {
         settings,
         client_timeouts_ms: conf
             .services
@@ -217,8 +217,8 @@
             .map(|service| service.deadline_s.map_or(f64::INFINITY, |seconds| seconds * 1e3))
             .collect(),
         answer_slack_ms: conf.invariants.answer_slack_s * 1e3,
-        connect_ms: conf.caps.connect_timeout_s * 1e3,
-        idle_ms: conf.caps.conn_idle_s * 1e3,
+        connect_timeout_ms: conf.caps.connect_timeout_s * 1e3,
+        server_idle_timeout_ms: conf.caps.conn_idle_s * 1e3,
         reports: !matches!(conf.report.how.as_str(), "" | "none"),
         workloads: conf.services.into_iter().map(|service| service.name).collect(),
         customers: conf.tenants.into_iter().map(|tenant| tenant.name).collect(),
