--- a/crates/messages/src/chat.rs
+++ b/crates/messages/src/chat.rs
@@ -5,7 +5,7 @@
 
 use crate::error::ApiError;
 use crate::request::{flat, json, most_tokens, stops, Content, Request, Role, Turn};
-use crate::{Answer, Piece, Stop, Usage};
+use crate::{Answer, Stop, StreamItem, Usage};
 
 #[derive(Deserialize)]
 struct Raw {
@@ -123,7 +123,7 @@
     pub model: &'a str,
     /// Seconds since 1970.
     pub created: u64,
-    pub tells_usage: bool,
+    pub include_usage: bool,
 }
 
 pub(crate) fn whole(head: &Head, answer: &Answer) -> Value {
@@ -147,7 +147,7 @@
         "model": head.model,
         "choices": choices,
     });
-    if head.tells_usage {
+    if head.include_usage {
         chunk["usage"] = usage.map_or(Value::Null, usage_of);
     }
     format!("data: {chunk}\n\n")
@@ -157,20 +157,20 @@
     chunk(head, json!([{ "index": 0, "delta": delta, "logprobs": null, "finish_reason": finish }]), None)
 }
 
-pub(crate) fn piece(head: &Head, piece: &Piece) -> String {
+pub(crate) fn piece(head: &Head, piece: &StreamItem) -> String {
     match piece {
-        Piece::Start(_) => delta(head, json!({ "role": "assistant", "content": "" }), None),
-        Piece::Text(text) => delta(head, json!({ "content": text }), None),
+        StreamItem::Start(_) => delta(head, json!({ "role": "assistant", "content": "" }), None),
+        StreamItem::Text(text) => delta(head, json!({ "content": text }), None),
         // A remark keeps the connection alive; this form has no event for it.
-        Piece::Ping => ": ping\n\n".to_owned(),
-        Piece::End(stop, usage) => {
+        StreamItem::Ping => ": ping\n\n".to_owned(),
+        StreamItem::End(stop, usage) => {
             let mut text = delta(head, json!({}), Some(finish_reason(stop)));
-            if head.tells_usage {
+            if head.include_usage {
                 text.push_str(&chunk(head, json!([]), Some(*usage)));
             }
             text + "data: [DONE]\n\n"
         }
         // Without the end that the form has for whole answers: this one is not.
-        Piece::Error(error) => format!("data: {}\n\n", json!({ "error": error.chat_detail() })),
+        StreamItem::Error(error) => format!("data: {}\n\n", json!({ "error": error.chat_detail() })),
     }
 }
--- a/crates/messages/src/dialect.rs
+++ b/crates/messages/src/dialect.rs
@@ -7,7 +7,7 @@
 
 use crate::error::{ApiError, ErrorKind};
 use crate::request::Request;
-use crate::{chat, messages, request, Answer, Piece};
+use crate::{chat, messages, request, Answer, StreamItem};
 
 /// The events of the published messages API, in the order in which they come.
 pub const EVENTS: [&str; 8] = [
@@ -25,12 +25,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventNames {
     /// None where the event is left out.
-    pub others: BTreeMap<&'static str, Option<String>>,
+    pub overrides: BTreeMap<&'static str, Option<String>>,
 }
 
 impl EventNames {
-    pub(crate) fn of<'a>(&'a self, event: &'static str) -> Option<&'a str> {
-        match self.others.get(event) {
+    pub(crate) fn name_of<'a>(&'a self, event: &'static str) -> Option<&'a str> {
+        match self.overrides.get(event) {
             None => Some(event),
             Some(other) => other.as_deref(),
         }
@@ -95,16 +95,21 @@
     pub model: Rc<str>,
     /// Seconds since 1970.
     pub created: u64,
-    pub tells_usage: bool,
+    pub include_usage: bool,
 }
 
 impl Encoder {
     fn head(&self) -> chat::Head<'_> {
-        chat::Head { id: &self.id, model: &self.model, created: self.created, tells_usage: self.tells_usage }
+        chat::Head {
+            id: &self.id,
+            model: &self.model,
+            created: self.created,
+            include_usage: self.include_usage,
+        }
     }
 
     /// The body of a whole answer.
-    pub fn whole(&self, answer: &Answer) -> String {
+    pub fn encode_answer(&self, answer: &Answer) -> String {
         match &self.dialect {
             Dialect::Messages(_) => messages::whole(&self.id, &self.model, answer).to_string(),
             Dialect::Chat => chat::whole(&self.head(), answer).to_string(),
@@ -112,7 +117,7 @@
     }
 
     /// The events of one piece of a stream.
-    pub fn piece(&self, piece: &Piece) -> String {
+    pub fn encode_item(&self, piece: &StreamItem) -> String {
         match &self.dialect {
             Dialect::Messages(names) => messages::piece(names, &self.id, &self.model, piece),
             Dialect::Chat => chat::piece(&self.head(), piece),
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,7 +1,7 @@
 //! What clients speak, for text: the published messages API, the published chat completions form beside it, and
 //! dialects that name the events of the former otherwise. Encoding and decoding only; no I/O, no decision.
 //!
-//! A request of any form becomes a [`Request`]; an answer is a run of [`Piece`]s, which an [`Encoder`] turns into the
+//! A request of any form becomes a [`Request`]; an answer is a run of [`StreamItem`]s, which an [`Encoder`] turns into the
 //! bytes of its form.
 
 mod chat;
@@ -33,7 +33,7 @@
 
 /// One piece of a streamed answer: a start, texts and pings, and one end.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece<'a> {
+pub enum StreamItem<'a> {
     Start(Usage),
     Text(&'a str),
     Ping,
--- a/crates/messages/src/messages.rs
+++ b/crates/messages/src/messages.rs
@@ -3,7 +3,7 @@
 use serde_json::{json, Value};
 
 use crate::dialect::EventNames;
-use crate::{Answer, Piece, Stop, Usage};
+use crate::{Answer, Stop, StreamItem, Usage};
 
 fn usage_of(usage: Usage) -> Value {
     json!({
@@ -43,31 +43,31 @@
 
 /// One event under the name that the dialect gives it; nothing where it leaves the event out.
 fn event(names: &EventNames, name: &'static str, mut data: Value) -> String {
-    let Some(name) = names.of(name) else { return String::new() };
+    let Some(name) = names.name_of(name) else { return String::new() };
     data["type"] = Value::from(name);
     format!("event: {name}\ndata: {data}\n\n")
 }
 
-pub(crate) fn piece(names: &EventNames, id: &str, model: &str, piece: &Piece) -> String {
+pub(crate) fn piece(names: &EventNames, id: &str, model: &str, piece: &StreamItem) -> String {
     match piece {
-        Piece::Start(usage) => {
+        StreamItem::Start(usage) => {
             let message = message(id, model, json!([]), None, *usage);
             let block = json!({ "index": 0, "content_block": { "type": "text", "text": "" } });
             event(names, "message_start", json!({ "message": message }))
                 + &event(names, "content_block_start", block)
         }
-        Piece::Text(text) => {
+        StreamItem::Text(text) => {
             let delta = json!({ "type": "text_delta", "text": text });
             event(names, "content_block_delta", json!({ "index": 0, "delta": delta }))
         }
-        Piece::Ping => event(names, "ping", json!({})),
-        Piece::End(stop, usage) => {
+        StreamItem::Ping => event(names, "ping", json!({})),
+        StreamItem::End(stop, usage) => {
             let (reason, sequence) = reason(stop);
             let delta = json!({ "stop_reason": reason, "stop_sequence": sequence });
             event(names, "content_block_stop", json!({ "index": 0 }))
                 + &event(names, "message_delta", json!({ "delta": delta, "usage": usage_of(*usage) }))
                 + &event(names, "message_stop", json!({}))
         }
-        Piece::Error(error) => event(names, "error", json!({ "error": error.detail() })),
+        StreamItem::Error(error) => event(names, "error", json!({ "error": error.detail() })),
     }
 }
--- a/crates/messages/tests/forms.rs
+++ b/crates/messages/tests/forms.rs
@@ -2,17 +2,19 @@
 
 use std::rc::Rc;
 
-use paddleproxy_messages::{Answer, ApiError, Dialect, Encoder, ErrorKind, EventNames, Piece, Stop, Usage};
+use paddleproxy_messages::{
+    Answer, ApiError, Dialect, Encoder, ErrorKind, EventNames, Stop, StreamItem, Usage,
+};
 use proptest::prelude::*;
 
-fn encoder(dialect: Dialect, tells_usage: bool) -> Encoder {
-    Encoder { dialect, id: Rc::from("0.1.2"), model: Rc::from("m"), created: 1_700_000_000, tells_usage }
+fn encoder(dialect: Dialect, include_usage: bool) -> Encoder {
+    Encoder { dialect, id: Rc::from("0.1.2"), model: Rc::from("m"), created: 1_700_000_000, include_usage }
 }
 
 fn desk() -> Dialect {
     let mut names = EventNames::default();
-    names.others.insert("content_block_delta", Some("answer.text".into()));
-    names.others.insert("ping", None);
+    names.overrides.insert("content_block_delta", Some("answer.text".into()));
+    names.overrides.insert("ping", None);
     Dialect::Messages(Rc::new(names))
 }
 
@@ -23,15 +25,15 @@
     let stop = Stop::Sequence("\n".into());
     let broke = ApiError::new(ErrorKind::Api, "the model server broke off");
     let pieces = [
-        Piece::Start(Usage { output_tokens: 0, ..USAGE }),
-        Piece::Text("He\"llo\n"),
-        Piece::Ping,
-        Piece::End(&stop, USAGE),
-        Piece::Error(&broke),
+        StreamItem::Start(Usage { output_tokens: 0, ..USAGE }),
+        StreamItem::Text("He\"llo\n"),
+        StreamItem::Ping,
+        StreamItem::End(&stop, USAGE),
+        StreamItem::Error(&broke),
     ];
-    let mut text: String = pieces.iter().map(|piece| encoder.piece(piece)).collect();
+    let mut text: String = pieces.iter().map(|piece| encoder.encode_item(piece)).collect();
     let answer = Answer { text: "Hello".into(), stop: Stop::MaxTokens, usage: USAGE };
-    text.push_str(&encoder.whole(&answer));
+    text.push_str(&encoder.encode_answer(&answer));
     for kind in ErrorKind::ALL {
         let error = ApiError::new(kind, "why");
         text.push_str(&format!(
@@ -135,7 +137,7 @@
     #[test]
     fn every_text_comes_back_from_its_event(text in ".*") {
         for dialect in [Dialect::published(), Dialect::Chat, desk()] {
-            let events = encoder(dialect, true).piece(&Piece::Text(&text));
+            let events = encoder(dialect, true).encode_item(&StreamItem::Text(&text));
             let data = events.split("data: ").nth(1).unwrap();
             prop_assert!(events.ends_with("\n\n") && data.trim_end().lines().count() == 1);
             let json: serde_json::Value = serde_json::from_str(data).unwrap();
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use paddleproxy_messages::{Answer, ApiError, Encoder, ErrorKind, Piece, Stop, Usage};
+use paddleproxy_messages::{Answer, ApiError, Encoder, ErrorKind, Stop, StreamItem, Usage};
 use paddleproxy_routing::{Key, Repeats};
 use tokio::sync::mpsc;
 
@@ -173,7 +173,7 @@
     }
 
     pub async fn start(&mut self, usage: Usage) -> Result<(), Left> {
-        let events = self.encoder.piece(&Piece::Start(usage));
+        let events = self.encoder.encode_item(&StreamItem::Start(usage));
         self.push(events).await
     }
 
@@ -181,12 +181,13 @@
         if self.keyed.is_some() {
             self.said.extend(texts.iter().map(String::as_str));
         }
-        let events: String = texts.iter().map(|text| self.encoder.piece(&Piece::Text(text))).collect();
+        let events: String =
+            texts.iter().map(|text| self.encoder.encode_item(&StreamItem::Text(text))).collect();
         self.push(events).await
     }
 
     pub async fn ping(&mut self) -> Result<(), Left> {
-        let events = self.encoder.piece(&Piece::Ping);
+        let events = self.encoder.encode_item(&StreamItem::Ping);
         self.push(events).await
     }
 
@@ -195,12 +196,12 @@
             let text = std::mem::take(&mut self.said);
             keyed.answered(Answer { text, stop: stop.clone(), usage });
         }
-        let events = self.encoder.piece(&Piece::End(&stop, usage));
+        let events = self.encoder.encode_item(&StreamItem::End(&stop, usage));
         self.end(events).await
     }
 
     pub async fn broken(mut self, message: &str) {
-        let events = self.encoder.piece(&Piece::Error(&ApiError::new(ErrorKind::Api, message)));
+        let events = self.encoder.encode_item(&StreamItem::Error(&ApiError::new(ErrorKind::Api, message)));
         let _ = self.end(events).await;
     }
 
@@ -221,7 +222,7 @@
         }
         self.dropped.set(self.dropped.get() + 1);
         let error = ApiError::new(ErrorKind::Api, "the answer was lost inside the router");
-        let event = Bytes::from(self.encoder.piece(&Piece::Error(&error)));
+        let event = Bytes::from(self.encoder.encode_item(&StreamItem::Error(&error)));
         self.ended.set(sender.try_send(event).is_ok());
     }
 }
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -158,7 +158,7 @@
     }
     let (duty, client) = crate::duty::Duty::new(Rc::default());
     let (dialect, id, model) = (paddleproxy_messages::Dialect::published(), "i".into(), "m".into());
-    let encoder = paddleproxy_messages::Encoder { dialect, id, model, created: 0, tells_usage: true };
+    let encoder = paddleproxy_messages::Encoder { dialect, id, model, created: 0, include_usage: true };
     let mut owed = Some(Owed::new(duty, None, encoder, 64, Rc::default()));
     let client = tokio::task::spawn_local(async move {
         if let Ok(crate::answer::Reply::Stream(mut pieces)) = client.await {
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -336,7 +336,7 @@
             id,
             model: Rc::from(asked.model.as_str()),
             created: (wall_ms() / 1e3) as u64,
-            tells_usage: asked.stream_usage,
+            include_usage: asked.stream_usage,
         };
         let prompt = asked.prompt();
         let mut keyed = None;
@@ -386,7 +386,7 @@
             other => {
                 leave.core = None;
                 match other {
-                    Ok(Reply::Whole(answer)) => Ok(json(encoder.whole(&answer))),
+                    Ok(Reply::Whole(answer)) => Ok(json(encoder.encode_answer(&answer))),
                     Ok(Reply::Error(refused)) => Err(refused),
                     _ => Err(ApiError::new(ErrorKind::Api, "the router stops")),
                 }
@@ -492,12 +492,15 @@
 
 /// An answer that was given before, in the form now asked for.
 fn again(encoder: &Encoder, answer: &paddleproxy_messages::Answer, streamed: bool) -> Response<ReplyBody> {
-    use paddleproxy_messages::Piece;
+    use paddleproxy_messages::StreamItem;
     if !streamed {
-        return json(encoder.whole(answer));
+        return json(encoder.encode_answer(answer));
     }
-    let pieces =
-        [Piece::Start(answer.usage), Piece::Text(&answer.text), Piece::End(&answer.stop, answer.usage)];
-    let events: String = pieces.iter().map(|piece| encoder.piece(piece)).collect();
+    let pieces = [
+        StreamItem::Start(answer.usage),
+        StreamItem::Text(&answer.text),
+        StreamItem::End(&answer.stop, answer.usage),
+    ];
+    let events: String = pieces.iter().map(|piece| encoder.encode_item(piece)).collect();
     answer_of(200, "text/event-stream", events)
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -228,7 +228,7 @@
         let mut names = EventNames::default();
         for (event, other) in &row.events {
             if let Some(event) = EVENTS.iter().find(|known| *known == event) {
-                names.others.insert(event, other.clone());
+                names.overrides.insert(event, other.clone());
             }
         }
         (row.path.clone(), Dialect::Messages(Rc::new(names)))
--- a/fuzz/fuzz_targets/client_request.rs
+++ b/fuzz/fuzz_targets/client_request.rs
@@ -17,11 +17,11 @@
                     id: Rc::from("0.1.2"),
                     model: request.model.clone().into(),
                     created: 0,
-                    tells_usage: true,
+                    include_usage: true,
                 };
                 let usage = Usage { input_tokens: 1, cached_tokens: 0, output_tokens: 1 };
                 let answer = Answer { text: prompt, stop: Stop::MaxTokens, usage };
-                let whole = encoder.whole(&answer);
+                let whole = encoder.encode_answer(&answer);
                 assert!(serde_json::from_str::<serde_json::Value>(&whole).is_ok());
             }
             Err(error) => {
