--- a/crates/day/src/client.rs
+++ b/crates/day/src/client.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use paddleproxy_engine::{Data, SseReader};
+use paddleproxy_engine::{SseData, SseReader};
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
 
@@ -118,9 +118,9 @@
                 see(Seen::More);
             }
             let event: serde_json::Value = match data {
-                Data::Json(json) => serde_json::from_str(&json)?,
+                SseData::Json(json) => serde_json::from_str(&json)?,
                 // The end of the chat completions form.
-                Data::Done => serde_json::json!({ "type": "message_stop" }),
+                SseData::Done => serde_json::json!({ "type": "message_stop" }),
             };
             let chat = event["choices"][0]["delta"]["content"].as_str().filter(|text| !text.is_empty());
             if let Some(text) = chat {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -7,5 +7,5 @@
 mod wire;
 
 pub use load::*;
-pub use sse::{Data, SseReader};
+pub use sse::{SseData, SseReader};
 pub use wire::*;
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -17,8 +17,8 @@
 }
 
 /// Names of the metrics that a report may carry.
-pub const IN_HAND: &str = "num_requests_running";
-pub const QUEUE: &str = "num_requests_waiting";
+pub const RUNNING_REQUESTS: &str = "num_requests_running";
+pub const WAITING_REQUESTS: &str = "num_requests_waiting";
 pub const WAITING_TOKENS: &str = "num_tokens_waiting";
 
 impl Load {
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -3,7 +3,7 @@
 
 /// One `data:` of a stream of server-sent events.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Data {
+pub enum SseData {
     Json(String),
     /// The published end of a stream.
     Done,
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     /// A line or an event beyond the bound, or text that is not UTF-8.
-    pub fn next_event(&mut self) -> Result<Option<Data>, String> {
+    pub fn next_event(&mut self) -> Result<Option<SseData>, String> {
         loop {
             let line = self.lines.decode(&mut self.buffer).map_err(|cause| match cause {
                 LinesCodecError::MaxLineLengthExceeded => format!("a line longer than {} bytes", self.bound),
@@ -45,7 +45,7 @@
             if line.is_empty() {
                 if !self.data.is_empty() {
                     let data = std::mem::take(&mut self.data);
-                    return Ok(Some(if data == "[DONE]" { Data::Done } else { Data::Json(data) }));
+                    return Ok(Some(if data == "[DONE]" { SseData::Done } else { SseData::Json(data) }));
                 }
             } else if let Some(data) = line.strip_prefix("data:") {
                 if self.data.len() + data.len() > self.bound {
--- a/crates/engine/src/sse/tests.rs
+++ b/crates/engine/src/sse/tests.rs
@@ -14,7 +14,7 @@
                 seen.push(data);
             }
         }
-        assert_eq!(seen, [Data::Json("{\"a\":1}".into()), Data::Done], "cut at {cut}");
+        assert_eq!(seen, [SseData::Json("{\"a\":1}".into()), SseData::Done], "cut at {cut}");
     }
 }
 
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -10,8 +10,8 @@
 
 /// Headers. `x-request-id` names the dispatch; the client's own id and key are handed on as they came.
 pub const REQUEST_ID: &str = "x-request-id";
-pub const CLIENT_ID: &str = "x-client-request-id";
-pub const EFFECT_KEY: &str = "idempotency-key";
+pub const CLIENT_REQUEST_ID: &str = "x-client-request-id";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
@@ -52,7 +52,7 @@
 }
 
 impl StateReference {
-    pub fn ask() -> Self {
+    pub fn request_remote_decode() -> Self {
         StateReference { do_remote_decode: true, ..StateReference::default() }
     }
 
--- a/crates/engine/tests/streams.rs
+++ b/crates/engine/tests/streams.rs
@@ -1,9 +1,9 @@
 //! The engine's stream parser: the same events however the bytes are cut, and no bytes make it panic or grow.
 
-use paddleproxy_engine::{Completion, Data, Load, Refusal, SseReader};
+use paddleproxy_engine::{Completion, Load, Refusal, SseData, SseReader};
 use proptest::prelude::*;
 
-fn read(bytes: &[u8], cuts: &[usize], bound: usize) -> Result<Vec<Data>, String> {
+fn read(bytes: &[u8], cuts: &[usize], bound: usize) -> Result<Vec<SseData>, String> {
     let mut reader = SseReader::new(bound);
     let mut seen = Vec::new();
     let mut from = 0;
@@ -35,8 +35,8 @@
         let length = bytes.len() + 1;
         cuts.iter_mut().for_each(|cut| *cut %= length);
         cuts.sort_unstable();
-        let mut expected: Vec<_> = texts.iter().map(|text| Data::Json(serde_json::to_string(text).unwrap())).collect();
-        expected.push(Data::Done);
+        let mut expected: Vec<_> = texts.iter().map(|text| SseData::Json(serde_json::to_string(text).unwrap())).collect();
+        expected.push(SseData::Done);
         prop_assert_eq!(read(bytes.as_bytes(), &cuts, 4096).unwrap(), expected);
     }
 
@@ -45,7 +45,7 @@
         let mut cuts = cuts;
         cuts.sort_unstable();
         for data in read(&bytes, &cuts, 64).unwrap_or_default() {
-            if let Data::Json(json) = data {
+            if let SseData::Json(json) = data {
                 prop_assert!(json.len() <= 64);
                 let _ = serde_json::from_str::<Completion>(&json);
             }
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -124,7 +124,11 @@
             let Ok(asked) = serde_json::from_slice::<CompletionRequest>(&body) else {
                 return Ok(wrong(&server));
             };
-            let names = Names { request: text(REQUEST_ID), client: text(CLIENT_ID), key: text(EFFECT_KEY) };
+            let names = Names {
+                request: text(REQUEST_ID),
+                client: text(CLIENT_REQUEST_ID),
+                key: text(IDEMPOTENCY_KEY),
+            };
             return completion(server, tasks, asked, names).await;
         }
         PROBE => {
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -9,7 +9,7 @@
 
 use paddleproxy_emulator::repeats::{self, Seen};
 use paddleproxy_emulator::server::{Befalls, Did, Kind, Prompt, Server as Model, Work};
-use paddleproxy_engine::{Load, Refusal, ServerEntry, IN_HAND, QUEUE, WAITING_TOKENS};
+use paddleproxy_engine::{Load, Refusal, ServerEntry, RUNNING_REQUESTS, WAITING_REQUESTS, WAITING_TOKENS};
 use paddleproxy_settings::fleet::{FleetSettings, KindOfServer, ServerRow};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::sleep_until;
@@ -448,7 +448,11 @@
             true => figure * (1.0 + noise * (2.0 * self.shared.chance.borrow_mut().f64() - 1.0)),
             false => figure,
         };
-        let metrics = [(IN_HAND, load.in_hand), (QUEUE, load.queue), (WAITING_TOKENS, load.waiting_tokens)];
+        let metrics = [
+            (RUNNING_REQUESTS, load.in_hand),
+            (WAITING_REQUESTS, load.queue),
+            (WAITING_TOKENS, load.waiting_tokens),
+        ];
         Load {
             mem_utilization: Some(load.memory_share),
             application_utilization: Some(load.slots_share),
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -196,7 +196,8 @@
     /// announced, it is final.
     fn closes(&self, stream: &Stream, inbound: &Inbound) -> bool {
         let closable = self.frontend.lifecycle() >= Lifecycle::Draining || self.is_evicted();
-        let closes = self.close_announced.get() || closable && inbound.is_empty() && !stream.bytes_wait();
+        let closes =
+            self.close_announced.get() || closable && inbound.is_empty() && !stream.has_unread_bytes();
         self.close_announced.set(closes);
         closes
     }
@@ -228,7 +229,7 @@
             }
         };
         // A request that has just arrived is answered instead of meeting a closed connection.
-        if stream.bytes_wait() {
+        if stream.has_unread_bytes() {
             return Ok(());
         }
         Err(ended)
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -77,7 +77,7 @@
 
     /// Whether the kernel has received bytes that were not read yet. Asks the kernel, not the runtime.
     pub fn has_unread(&self) -> bool {
-        self.stream.bytes_wait()
+        self.stream.has_unread_bytes()
     }
 
     /// Reads more into `bytes`; false once the server has closed the connection.
@@ -199,7 +199,7 @@
                 continue;
             }
             let idle = pooled.remove(row);
-            if idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest) {
+            if idle.stream.is_idle() && oldest.is_none_or(|oldest| idle.since >= oldest) {
                 let Idle { stream, since, slot } = idle;
                 let idle_before_ms = Some(since.elapsed().as_secs_f64() * 1e3);
                 return Some(Connection { stream, address, idle_before_ms, bytes: BytesMut::new(), slot });
@@ -318,7 +318,7 @@
         self.reduced_idle.borrow_mut().retain(|_, (_, since)| since.elapsed() < expiry);
         let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE_FACTOR));
         self.idle.borrow_mut().retain(|_, pooled| {
-            pooled.retain(|idle| idle.stream.is_quiet() && oldest.is_none_or(|oldest| idle.since >= oldest));
+            pooled.retain(|idle| idle.stream.is_idle() && oldest.is_none_or(|oldest| idle.since >= oldest));
             !pooled.is_empty()
         });
     }
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -364,8 +364,8 @@
             return;
         }
         let load = LoadReport {
-            in_hand: load.metric(wire::IN_HAND),
-            queue: load.metric(wire::QUEUE),
+            in_hand: load.metric(wire::RUNNING_REQUESTS),
+            queue: load.metric(wire::WAITING_REQUESTS),
             slots_share: load.application_utilization,
             latency_ms: None,
             memory_share: load.mem_utilization,
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Response};
 use paddleproxy::interface::{CompletionId, Seq};
 use paddleproxy_engine as wire;
-use paddleproxy_engine::{Data, SseReader, StateReference};
+use paddleproxy_engine::{SseData, SseReader, StateReference};
 use paddleproxy_messages::{Answer, Stop, Usage};
 use paddleproxy_routing::{Pace, Sending, SocketEnd, Stage, WriteCheck};
 use tokio::sync::mpsc;
@@ -55,14 +55,14 @@
             stop: if reads { Vec::new() } else { self.ask.stop.clone() },
             stream_options: (!reads).then_some(wire::StreamOptions { include_usage: true }),
             kv_transfer_params: match &self.sending.state {
-                _ if reads => Some(StateReference::ask()),
+                _ if reads => Some(StateReference::request_remote_decode()),
                 state => state.as_deref().cloned(),
             },
         };
         let body = serde_json::to_vec(&asks).map_err(|_| SocketEnd::NeverWritten)?;
         let mut headers = vec![(wire::REQUEST_ID, self.request_id.as_str())];
-        headers.extend(self.ask.client_id.as_deref().map(|id| (wire::CLIENT_ID, id)));
-        headers.extend(self.ask.effect_key.as_deref().map(|key| (wire::EFFECT_KEY, key)));
+        headers.extend(self.ask.client_id.as_deref().map(|id| (wire::CLIENT_REQUEST_ID, id)));
+        headers.extend(self.ask.effect_key.as_deref().map(|key| (wire::IDEMPOTENCY_KEY, key)));
         let request = request(address, Method::POST, wire::COMPLETIONS, Bytes::from(body), &headers)?;
         drop(asks);
         let until = self.clock.at(self.sending.until_ms);
@@ -304,12 +304,12 @@
         let mut texts = Vec::new();
         while let Some(data) = reader.next_event()? {
             let json = match data {
-                Data::Json(json) => json,
-                Data::Done if self.stopped => {
+                SseData::Json(json) => json,
+                SseData::Done if self.stopped => {
                     self.done = true;
                     break;
                 }
-                Data::Done => return Err("the stream ended without a reason".into()),
+                SseData::Done => return Err("the stream ended without a reason".into()),
             };
             let chunk: wire::Completion =
                 serde_json::from_str(&json).map_err(|cause| format!("an event of an answer: {cause}"))?;
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -317,9 +317,9 @@
         let mut taken = self.enter(customer)?;
         let bytes = self.body(body).await?;
         let asked = dialect.parse(&bytes)?;
-        let key = header(&head, wire::EFFECT_KEY)?.filter(|key| !key.is_empty());
+        let key = header(&head, wire::IDEMPOTENCY_KEY)?.filter(|key| !key.is_empty());
         if key.is_some_and(|key| key.len() > 256) {
-            return Err(ApiError::invalid(format!("{}: at most 256 bytes", wire::EFFECT_KEY)));
+            return Err(ApiError::invalid(format!("{}: at most 256 bytes", wire::IDEMPOTENCY_KEY)));
         }
         let facts = {
             let requests = self.requests.borrow();
--- a/crates/sockets/src/backlog.rs
+++ b/crates/sockets/src/backlog.rs
@@ -30,7 +30,7 @@
             Err(cause) if cause.kind() == ErrorKind::WouldBlock => return,
             Err(cause) => {
                 failed += 1;
-                if Shortage::of(&cause) != Some(Shortage::Nothing) {
+                if Shortage::of(&cause) != Some(Shortage::Transient) {
                     sleep(AGAIN).await;
                 }
             }
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -75,12 +75,12 @@
     }
 
     /// Whether bytes have come that nobody has read.
-    pub fn bytes_wait(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         matches!(self.peek_now(), Ok(waiting) if waiting > 0)
     }
 
     /// Whether nothing has come, neither bytes nor the end of the connection.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         would_block(&self.peek_now())
     }
 
--- a/crates/sockets/src/transient.rs
+++ b/crates/sockets/src/transient.rs
@@ -18,7 +18,7 @@
     /// The machine is short of descriptors, buffers, memory or local addresses: waiting helps.
     Machine,
     /// Nothing was short: the call was interrupted, or whoever knocked has gone. The next call may do.
-    Nothing,
+    Transient,
 }
 
 impl Shortage {
@@ -27,7 +27,7 @@
         match cause.raw_os_error()? {
             libc::EMFILE => Some(Shortage::OwnDescriptors),
             libc::ENFILE | libc::ENOBUFS | libc::ENOMEM | libc::EADDRNOTAVAIL => Some(Shortage::Machine),
-            libc::EINTR | libc::ECONNABORTED | libc::EPROTO => Some(Shortage::Nothing),
+            libc::EINTR | libc::ECONNABORTED | libc::EPROTO => Some(Shortage::Transient),
             _ => None,
         }
     }
@@ -75,7 +75,7 @@
     let began = Instant::now();
     let may_pass = |cause: &Error| {
         let no_way = matches!(cause.kind(), ErrorKind::NetworkUnreachable | ErrorKind::HostUnreachable);
-        let short = matches!(Shortage::of(cause), Some(Shortage::Machine | Shortage::Nothing));
+        let short = matches!(Shortage::of(cause), Some(Shortage::Machine | Shortage::Transient));
         short || no_way && began.elapsed() < WAY_WITHIN
     };
     let stream = again(SHORT_WITHIN, may_pass, || TcpStream::connect(address)).await?;
--- a/fuzz/fuzz_targets/engine_stream.rs
+++ b/fuzz/fuzz_targets/engine_stream.rs
@@ -2,9 +2,9 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use paddleproxy_engine::{Completion, Data, Load, Refusal, SseReader};
+use paddleproxy_engine::{Completion, Load, Refusal, SseData, SseReader};
 
-fn events(parts: &[&[u8]]) -> (Vec<Data>, Option<String>) {
+fn events(parts: &[&[u8]]) -> (Vec<SseData>, Option<String>) {
     let mut reader = SseReader::new(256);
     let mut seen = Vec::new();
     for part in parts {
@@ -30,7 +30,7 @@
     assert_eq!(whole, parts);
     assert_eq!(whole, singly);
     for data in whole.0 {
-        if let Data::Json(text) = data {
+        if let SseData::Json(text) = data {
             let _ = serde_json::from_str::<Completion>(&text).map(|said| said.usage.map(|usage| usage.cached()));
         }
     }
