--- a/crates/platform/src/chunks.rs
+++ b/crates/platform/src/chunks.rs
@@ -1,108 +1,110 @@
-//! Bodies in chunks, read strictly and with bounds: what can't be read ends the body at once.
+//! Decoder of the chunked transfer coding. It is strict and limits the size of lines, chunks and trailers;
+//! the first violation is an error.
 
 use bytes::{Buf, BytesMut};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum At {
+enum State {
     Size,
     Data(usize),
-    /// The line's end that follows the data of a chunk.
+    /// The CRLF that follows the data of a chunk.
     DataEnd,
     Trailers,
     Done,
 }
 
-/// Longest line that names a size, and all trailers together, in bytes.
-const LINE_BYTES: usize = 256;
-const TRAILER_BYTES: usize = 4096;
+/// Longest line that holds a chunk's size, and most bytes of all trailers together.
+const MAX_SIZE_LINE_BYTES: usize = 256;
+const MAX_TRAILER_BYTES: usize = 4096;
 
-/// What is no body in chunks.
+/// Why a body is not validly chunked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    #[error("the size of a chunk can't be read")]
+    #[error("invalid chunk size")]
     Size,
-    #[error("a chunk is larger than allowed")]
-    Large,
-    #[error("a chunk does not end where its size says")]
+    #[error("a chunk exceeds the allowed size")]
+    TooLarge,
+    #[error("no CRLF after the data of a chunk")]
     End,
-    #[error("trailers are too long")]
+    #[error("the trailers are too long")]
     Trailers,
 }
 
-/// Lives for one body.
+/// Decodes one chunked body.
 #[derive(Debug)]
 pub struct Chunks {
-    at: At,
-    largest: usize,
-    trailers: usize,
+    state: State,
+    max_chunk_bytes: usize,
+    trailer_bytes: usize,
 }
 
 impl Chunks {
-    /// No chunk may be larger than this, in bytes.
-    pub fn new(largest: usize) -> Self {
-        Chunks { at: At::Size, largest, trailers: 0 }
+    /// A chunk of more than `max_chunk_bytes` is an error.
+    pub fn new(max_chunk_bytes: usize) -> Self {
+        Chunks { state: State::Size, max_chunk_bytes, trailer_bytes: 0 }
     }
 
     pub fn done(&self) -> bool {
-        self.at == At::Done
+        self.state == State::Done
     }
 
-    /// Takes what can be read from `from` and appends the data to `into`; true once the body has ended.
+    /// Consumes what can be decoded from `input` and appends the data to `output`; true once the body has
+    /// ended.
     ///
     /// # Errors
     /// See [`ChunkError`].
-    pub fn take(&mut self, from: &mut BytesMut, into: &mut BytesMut) -> Result<bool, ChunkError> {
+    pub fn take(&mut self, input: &mut BytesMut, output: &mut BytesMut) -> Result<bool, ChunkError> {
         loop {
-            match self.at {
-                At::Done => return Ok(true),
-                // A line without a digit would be read as size 0.
-                At::Size if from.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) => {
+            match self.state {
+                State::Done => return Ok(true),
+                // The parser would read a line without a digit as size 0.
+                State::Size if input.first().is_some_and(|byte| !byte.is_ascii_hexdigit()) => {
                     return Err(ChunkError::Size);
                 }
-                At::Size => match httparse::parse_chunk_size(from) {
+                State::Size => match httparse::parse_chunk_size(input) {
                     Ok(httparse::Status::Complete((line, size))) => {
-                        if size > self.largest as u64 {
-                            return Err(ChunkError::Large);
+                        if size > self.max_chunk_bytes as u64 {
+                            return Err(ChunkError::TooLarge);
                         }
-                        from.advance(line);
-                        self.at = if size == 0 { At::Trailers } else { At::Data(size as usize) };
+                        input.advance(line);
+                        self.state = if size == 0 { State::Trailers } else { State::Data(size as usize) };
                     }
-                    Ok(httparse::Status::Partial) if from.len() <= LINE_BYTES => return Ok(false),
+                    Ok(httparse::Status::Partial) if input.len() <= MAX_SIZE_LINE_BYTES => return Ok(false),
                     _ => return Err(ChunkError::Size),
                 },
-                At::Data(left) => {
-                    let part = left.min(from.len());
+                State::Data(left) => {
+                    let part = left.min(input.len());
                     if part == 0 {
                         return Ok(false);
                     }
-                    into.extend_from_slice(&from[..part]);
-                    from.advance(part);
-                    self.at = if part == left { At::DataEnd } else { At::Data(left - part) };
+                    output.extend_from_slice(&input[..part]);
+                    input.advance(part);
+                    self.state = if part == left { State::DataEnd } else { State::Data(left - part) };
                 }
-                At::DataEnd => {
-                    let end = &from[..from.len().min(2)];
+                State::DataEnd => {
+                    let end = &input[..input.len().min(2)];
                     if !b"\r\n".starts_with(end) {
                         return Err(ChunkError::End);
                     }
                     if end.len() < 2 {
                         return Ok(false);
                     }
-                    from.advance(2);
-                    self.at = At::Size;
+                    input.advance(2);
+                    self.state = State::Size;
                 }
-                At::Trailers => {
-                    let Some(line) = from.iter().position(|byte| *byte == b'\n') else {
-                        let long = self.trailers + from.len() > TRAILER_BYTES;
+                State::Trailers => {
+                    let Some(line) = input.iter().position(|byte| *byte == b'\n') else {
+                        let long = self.trailer_bytes + input.len() > MAX_TRAILER_BYTES;
                         return if long { Err(ChunkError::Trailers) } else { Ok(false) };
                     };
-                    self.trailers += line + 1;
-                    if self.trailers > TRAILER_BYTES {
+                    self.trailer_bytes += line + 1;
+                    if self.trailer_bytes > MAX_TRAILER_BYTES {
                         return Err(ChunkError::Trailers);
                     }
-                    let empty = matches!(&from[..line], b"" | b"\r");
-                    from.advance(line + 1);
+                    let empty = matches!(&input[..line], b"" | b"\r");
+                    input.advance(line + 1);
                     if empty {
-                        self.at = At::Done;
+                        self.state = State::Done;
                     }
                 }
             }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,23 +1,23 @@
-//! What a router is told at its start and at each SIGHUP: one JSON object in a file.
+//! A router's configuration file: one JSON object, read at startup and at each SIGHUP.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 
 use crate::list::{Hosts, List};
-use crate::settings::{provision, Conf, PlatformSettings};
+use crate::settings::{convert, Conf, PlatformSettings};
 use crate::start_times::StartTimes;
 
-/// What a router may use.
+/// Resources that a router may use.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    #[serde(default = "one")]
+    #[serde(default = "default_cores")]
     pub cores: f64,
     pub memory_mb: f64,
     pub sockets: usize,
 }
 
-fn one() -> f64 {
+fn default_cores() -> f64 {
     1.0
 }
 
@@ -40,37 +40,37 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub limits: Limits,
-    /// The workers as this router last had them; maybe old.
+    /// The last list of servers that this router had; may be outdated.
     pub known: List,
     pub settings: PlatformSettings,
 }
 
 impl Config {
-    /// Reads a configuration, at `now_ms` on the router's clock.
+    /// Parses a configuration; `now_ms` is the current time on the router's clock.
     ///
     /// # Errors
-    /// The path to the field that is missing or wrong, and what is wrong with it.
-    pub fn parse(text: &[u8], starts: &mut StartTimes, now_ms: f64) -> Result<Config, String> {
-        let wire: Wire = crate::json("configuration", text)?;
-        let wrong = |field: &str, what: &str| Err(format!("configuration: {field}: {what}"));
+    /// The path to the field that is missing or invalid, and the reason.
+    pub fn parse(text: &[u8], start_times: &mut StartTimes, now_ms: f64) -> Result<Config, String> {
+        let wire: Wire = crate::parse_json("configuration", text)?;
+        let invalid = |field: &str, what: &str| Err(format!("configuration: {field}: {what}"));
         if !(wire.limits.memory_mb.is_finite() && wire.limits.memory_mb >= 1.0) {
-            return wrong("limits.memory_mb", "not a size in MB of 1 or more");
+            return invalid("limits.memory_mb", "must be a finite number of MB, at least 1");
         }
-        if wire.limits.sockets < LEAST_SOCKETS {
-            return wrong(
+        if wire.limits.sockets < MIN_SOCKETS {
+            return invalid(
                 "limits.sockets",
-                &format!("under {LEAST_SOCKETS} descriptors nothing can be served"),
+                &format!("at least {MIN_SOCKETS} descriptors are needed to serve clients"),
             );
         }
-        // A seed that is no hexadecimal number is still one: chance needs no more than a start.
+        // A seed that is not a hexadecimal number is hashed: any value can seed the random generator.
         let seed = u64::from_str_radix(&wire.seed, 16)
             .unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(wire.seed.as_bytes()));
-        let provision = provision(wire.settings).map_err(|cause| format!("configuration: {cause}"))?;
-        let known = wire.known.unwrap_or_default().list(&provision, starts, now_ms);
+        let settings = convert(wire.settings).map_err(|cause| format!("configuration: {cause}"))?;
+        let known = wire.known.unwrap_or_default().list(&settings, start_times, now_ms);
         let (name, listen, discovery, limits) = (wire.name, wire.listen, wire.discovery, wire.limits);
-        Ok(Config { name, listen, discovery, seed, limits, known, settings: provision })
+        Ok(Config { name, listen, discovery, seed, limits, known, settings })
     }
 }
 
-/// Fewer descriptors than this leave none for clients beside what the process itself holds.
-const LEAST_SOCKETS: usize = 48;
+/// With fewer descriptors than this, none are left for clients besides those that the process itself needs.
+const MIN_SOCKETS: usize = 48;
--- a/crates/platform/src/events/tests.rs
+++ b/crates/platform/src/events/tests.rs
@@ -9,14 +9,14 @@
     \"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n: Srv-Load: TEXT queue=3\n\ndata: [DONE]\n\n";
 
 #[test]
-fn events_go_out_as_they_came_however_they_are_cut() {
+fn events_are_forwarded_unchanged_at_any_split() {
     for step in 1..STREAM.len() {
         let (mut events, mut out) = (Events::default(), Vec::new());
         for part in STREAM.as_bytes().chunks(step) {
             events.buffer().extend_from_slice(part);
-            let whole = events.take().unwrap();
-            assert!(whole.is_empty() || whole.ends_with(b"\n"));
-            out.extend_from_slice(&whole);
+            let complete = events.take().unwrap();
+            assert!(complete.is_empty() || complete.ends_with(b"\n"));
+            out.extend_from_slice(&complete);
         }
         assert_eq!(String::from_utf8(out).unwrap(), STREAM);
         assert!(events.complete());
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn noise_is_spoilt() {
-    for noise in [
+fn invalid_streams_are_rejected() {
+    for invalid in [
         "\u{1}\u{2}noise\n",
         "data: {\"choices\":[\n\n",
         "1a\n",
@@ -35,22 +35,24 @@
         "data: 7\n\n",
     ] {
         let mut events = Events::default();
-        events.buffer().extend_from_slice(noise.as_bytes());
-        assert!(events.take().is_err(), "{noise:?}");
+        events.buffer().extend_from_slice(invalid.as_bytes());
+        assert!(events.take().is_err(), "{invalid:?}");
     }
     let mut events = Events::default();
-    events.buffer().extend_from_slice(&vec![b'a'; EVENT_BYTES + 1]);
+    events.buffer().extend_from_slice(&vec![b'a'; MAX_EVENT_BYTES + 1]);
     assert!(events.take().is_err());
     let mut events = Events::default();
     events.buffer().extend_from_slice(b": Srv-Load: TEXT queue=\x80\n\ndata: {}\n\ndata: {\"ch");
     assert_eq!(&events.take().unwrap()[..], b": Srv-Load: TEXT queue=\x80\n\ndata: {}\n\n");
     assert_eq!(events.load, None);
-    assert!(!events.complete(), "half an event is left over");
+    assert!(!events.complete(), "an incomplete event is left over");
 }
 
 proptest! {
     #[test]
-    fn no_body_panics(parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..80), 0..8)) {
+    fn no_stream_panics(
+        parts in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..80), 0..8),
+    ) {
         let mut events = Events::default();
         for part in parts {
             events.buffer().extend_from_slice(&part);
--- a/crates/platform/src/head.rs
+++ b/crates/platform/src/head.rs
@@ -1,9 +1,10 @@
-//! Heads of requests and answers. Read strictly: what two parties could read in two ways is refused.
+//! Parsers of request and response heads. They are strict: a head whose framing two parties could interpret
+//! differently is rejected, which prevents request smuggling.
 
 use crate::{report, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEAD_FIELDS};
 use paddleproxy::interface::LoadReport;
 
-/// What is wrong with a request, as the status that says so.
+/// Why a request is rejected, with the HTTP status of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{status}: {why}")]
 pub struct RequestError {
@@ -17,16 +18,16 @@
     }
 }
 
-/// Where a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     Length(usize),
     Chunked,
-    /// Only an answer: with its connection.
+    /// The body ends with its connection; only in responses.
     Close,
 }
 
-/// The platform's own fields and the key for repeats, as they were sent.
+/// The platform's own header fields and the idempotency key, unparsed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Fields {
     pub id: Option<String>,
@@ -37,7 +38,7 @@
     pub extra: Option<String>,
     pub retry: Option<String>,
     pub cost: Option<String>,
-    /// By which servers drop repeats of a keyed class.
+    /// Servers use it to discard repeated requests of a workload that is idempotent by key.
     pub idempotency_key: Option<String>,
 }
 
@@ -47,62 +48,62 @@
     /// Path and query.
     pub target: String,
     pub framing: Framing,
-    /// The client closes after the answer.
+    /// The client closes the connection after the response.
     pub close: bool,
-    /// The client waits to be told to send its body.
+    /// The client waits for `100 Continue` before it sends its body.
     pub expects_continue: bool,
     pub fields: Fields,
-    /// Length of the head itself, in bytes.
+    /// Length of the head.
     pub bytes: usize,
 }
 
-/// Fields that say where a body ends, gathered over a head.
+/// The fields of a head that determine its body's framing.
 #[derive(Default)]
-struct Lengths {
+struct FramingFields {
     length: Option<usize>,
     chunked: bool,
 }
 
-const BOTH: RequestError = RequestError::new(400, "both Content-Length and Transfer-Encoding");
-const LENGTH: RequestError = RequestError::new(400, "Content-Length is no length");
-const CODING: RequestError = RequestError::new(400, "Transfer-Encoding is not chunked");
-const TWICE: RequestError = RequestError::new(400, "a field is there twice");
-const NO_HEAD: RequestError = RequestError::new(400, "not the head of an HTTP/1.1 request");
+const BOTH_FRAMINGS: RequestError = RequestError::new(400, "both Content-Length and Transfer-Encoding");
+const INVALID_LENGTH: RequestError = RequestError::new(400, "Content-Length is no length");
+const UNSUPPORTED_CODING: RequestError = RequestError::new(400, "Transfer-Encoding is not chunked");
+const DUPLICATE_FIELD: RequestError = RequestError::new(400, "a field is there twice");
+const INVALID_HEAD: RequestError = RequestError::new(400, "not the head of an HTTP/1.1 request");
 
-impl Lengths {
+impl FramingFields {
     fn take(&mut self, name: &str, value: &[u8]) -> Result<(), RequestError> {
         if name.eq_ignore_ascii_case("content-length") {
-            let text = std::str::from_utf8(value).map_err(|_| LENGTH)?.trim();
+            let text = std::str::from_utf8(value).map_err(|_| INVALID_LENGTH)?.trim();
             if text.is_empty() || !text.bytes().all(|digit| digit.is_ascii_digit()) {
-                return Err(LENGTH);
+                return Err(INVALID_LENGTH);
             }
-            // A number beyond any size is only too large.
+            // A number that overflows counts as the largest length, so that it is rejected as too long.
             let length = text.parse().unwrap_or(usize::MAX);
             if self.length.replace(length).is_some() {
-                return Err(LENGTH);
+                return Err(INVALID_LENGTH);
             }
         } else if name.eq_ignore_ascii_case("transfer-encoding") {
             if self.chunked || !value.eq_ignore_ascii_case(b"chunked") {
-                return Err(CODING);
+                return Err(UNSUPPORTED_CODING);
             }
             self.chunked = true;
         }
         if self.chunked && self.length.is_some() {
-            return Err(BOTH);
+            return Err(BOTH_FRAMINGS);
         }
         Ok(())
     }
 }
 
-fn closes(name: &str, value: &[u8]) -> bool {
-    let close = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(b"close");
-    name.eq_ignore_ascii_case("connection") && value.split(|byte| *byte == b',').any(close)
+fn closes_connection(name: &str, value: &[u8]) -> bool {
+    let is_close = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(b"close");
+    name.eq_ignore_ascii_case("connection") && value.split(|byte| *byte == b',').any(is_close)
 }
 
-/// Reads the head of a request; None while it has not all come.
+/// Parses the head of a request; None while it is incomplete.
 ///
 /// # Errors
-/// What can't be read, or could be read in two ways, and what is past a bound.
+/// A head that is invalid or ambiguous, and one that exceeds a limit.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestHead>, RequestError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEAD_FIELDS];
     let mut head = httparse::Request::new(&mut fields);
@@ -113,37 +114,37 @@
         Err(httparse::Error::TooManyHeaders) => {
             return Err(RequestError::new(431, "the head has too many fields"))
         }
-        Err(_) => return Err(NO_HEAD),
+        Err(_) => return Err(INVALID_HEAD),
     };
     if head.version != Some(1) {
         return Err(RequestError::new(505, "HTTP/1.1 is spoken here"));
     }
-    let (mut lengths, mut close, mut expects_continue, mut own) =
-        (Lengths::default(), false, false, Fields::default());
+    let (mut framing_fields, mut close, mut expects_continue, mut platform_fields) =
+        (FramingFields::default(), false, false, Fields::default());
     for field in head.headers.iter() {
-        lengths.take(field.name, field.value)?;
-        close |= closes(field.name, field.value);
+        framing_fields.take(field.name, field.value)?;
+        close |= closes_connection(field.name, field.value);
         expects_continue |= field.name.eq_ignore_ascii_case("expect");
-        let slot = match field.name.to_ascii_lowercase().as_str() {
-            "req-id" => &mut own.id,
-            "req-kind" => &mut own.kind,
-            "req-owner" => &mut own.owner,
-            "req-key" => &mut own.key,
-            "req-deadline" => &mut own.deadline,
-            "req-extra" => &mut own.extra,
-            "req-retry" => &mut own.retry,
-            "req-cost" => &mut own.cost,
-            "idempotency-key" => &mut own.idempotency_key,
+        let value = match field.name.to_ascii_lowercase().as_str() {
+            "req-id" => &mut platform_fields.id,
+            "req-kind" => &mut platform_fields.kind,
+            "req-owner" => &mut platform_fields.owner,
+            "req-key" => &mut platform_fields.key,
+            "req-deadline" => &mut platform_fields.deadline,
+            "req-extra" => &mut platform_fields.extra,
+            "req-retry" => &mut platform_fields.retry,
+            "req-cost" => &mut platform_fields.cost,
+            "idempotency-key" => &mut platform_fields.idempotency_key,
             _ => continue,
         };
-        let text = std::str::from_utf8(field.value).map_err(|_| NO_HEAD)?;
-        if slot.replace(text.trim().to_owned()).is_some() {
-            return Err(TWICE);
+        let text = std::str::from_utf8(field.value).map_err(|_| INVALID_HEAD)?;
+        if value.replace(text.trim().to_owned()).is_some() {
+            return Err(DUPLICATE_FIELD);
         }
     }
-    let framing = match lengths {
-        Lengths { chunked: true, .. } => Framing::Chunked,
-        Lengths { length, .. } => Framing::Length(length.unwrap_or(0)),
+    let framing = match framing_fields {
+        FramingFields { chunked: true, .. } => Framing::Chunked,
+        FramingFields { length, .. } => Framing::Length(length.unwrap_or(0)),
     };
     if matches!(framing, Framing::Length(length) if length > MAX_BODY_BYTES) {
         return Err(RequestError::new(413, "the body is too long"));
@@ -154,7 +155,7 @@
         framing,
         close,
         expects_continue,
-        fields: own,
+        fields: platform_fields,
         bytes: length,
     }))
 }
@@ -164,59 +165,61 @@
     pub status: u16,
     pub framing: Framing,
     pub close: bool,
-    /// The worker says that it turned the request away: it never ran.
+    /// The server states that it rejected the request without running it.
     pub declined: bool,
     pub load: Option<LoadReport>,
 }
 
 impl ResponseHead {
-    /// Whether its connection can serve again once the body has been read.
+    /// Whether its connection can carry another request once the body has been read.
     pub fn connection_reusable(&self) -> bool {
         !self.close && self.framing != Framing::Close
     }
 }
 
-/// Takes the head of an answer off the front of `bytes`, with any interim answers before it; None while it has not
-/// all come.
+/// Removes the head of a response from the front of `bytes`, with any interim responses before it; None while
+/// it is incomplete.
 ///
 /// # Errors
-/// What is no head, or longer than [`MAX_HEAD_BYTES`], interim answers included.
+/// An invalid head, or one longer than [`MAX_HEAD_BYTES`] together with the interim responses.
 pub fn parse_response(bytes: &mut bytes::BytesMut) -> Result<Option<ResponseHead>, &'static str> {
-    let mut from = 0;
-    // A line that can't be read, a report with noise in it for one, spoils no answer whose status and framing can be.
+    let mut head_end = 0;
+    // Invalid header lines, such as a load report with control characters, are skipped: the response is
+    // usable as long as its status and framing are valid.
     let mut lenient = httparse::ParserConfig::default();
     lenient.ignore_invalid_headers_in_responses(true);
     loop {
         let mut fields = [httparse::EMPTY_HEADER; MAX_HEAD_FIELDS];
         let mut head = httparse::Response::new(&mut fields);
-        let text = &bytes[from..bytes.len().min(MAX_HEAD_BYTES)];
+        let text = &bytes[head_end..bytes.len().min(MAX_HEAD_BYTES)];
         let length = match lenient.parse_response(&mut head, text) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
-            Ok(httparse::Status::Partial) => return Err("the head of the answer does not end"),
-            Err(_) => return Err("the head of the answer can't be read"),
+            Ok(httparse::Status::Partial) => return Err("the head of the response is too long"),
+            Err(_) => return Err("the head of the response is invalid"),
         };
-        from += length;
+        head_end += length;
         let status = head.code.unwrap_or_default();
         if (100..200).contains(&status) && status != 101 {
             continue;
         }
-        let (mut lengths, mut close, mut declined, mut load) = (Lengths::default(), false, false, None);
+        let (mut framing_fields, mut close, mut declined, mut load) =
+            (FramingFields::default(), false, false, None);
         for field in head.headers.iter() {
-            lengths.take(field.name, field.value).map_err(|fault| fault.why)?;
-            close |= closes(field.name, field.value);
+            framing_fields.take(field.name, field.value).map_err(|error| error.why)?;
+            close |= closes_connection(field.name, field.value);
             declined |= field.name.eq_ignore_ascii_case("srv-declined") && field.value == b"1";
             if field.name.eq_ignore_ascii_case("srv-load") {
                 load = std::str::from_utf8(field.value).ok().and_then(report::parse);
             }
         }
-        let framing = match lengths {
+        let framing = match framing_fields {
             _ if matches!(status, 204 | 304) => Framing::Length(0),
-            Lengths { chunked: true, .. } => Framing::Chunked,
-            Lengths { length: Some(length), .. } => Framing::Length(length),
-            Lengths { length: None, .. } => Framing::Close,
+            FramingFields { chunked: true, .. } => Framing::Chunked,
+            FramingFields { length: Some(length), .. } => Framing::Length(length),
+            FramingFields { length: None, .. } => Framing::Close,
         };
-        bytes::Buf::advance(bytes, from);
+        bytes::Buf::advance(bytes, head_end);
         return Ok(Some(ResponseHead { status, framing, close, declined, load }));
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,4 +1,4 @@
-//! Lists of discovery: the whole or the changes since a version.
+//! Lists of servers from discovery: the whole list, or the changes since a version.
 
 use std::net::SocketAddr;
 
@@ -28,84 +28,87 @@
     #[serde(default)]
     block: u32,
     health: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_share")]
     share: f64,
     #[serde(default)]
     born_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_share() -> f64 {
     1.0
 }
 
-/// A worker as discovery tells it, and where this router reaches it.
+/// One listed server.
 #[derive(Clone, Debug)]
 pub struct Row {
     pub listing: Listing,
+    /// The address at which this router reaches the server; None if the list holds no valid one.
     pub address: Option<SocketAddr>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct List {
     pub version: u64,
+    /// Whether this is the whole list rather than the changes since a version.
     pub whole: bool,
     pub rows: Vec<Row>,
-    /// Entries that name what the settings don't know; they are left out.
+    /// Number of entries left out of `rows`: a zone, kind or health that this router doesn't know, or an
+    /// invalid value.
     pub unknown: usize,
 }
 
 impl List {
-    /// Reads an answer of discovery that came at `now_ms` on the router's clock.
+    /// Parses a response of discovery that was received at `now_ms` on the router's clock.
     ///
     /// # Errors
-    /// What is no list, with the path to the field.
+    /// A body that is not a list, with the path to the invalid field.
     pub fn parse(
         text: &[u8],
-        provision: &PlatformSettings,
-        starts: &mut StartTimes,
+        settings: &PlatformSettings,
+        start_times: &mut StartTimes,
         now_ms: f64,
     ) -> Result<List, String> {
-        let hosts: Hosts = crate::json("list", text)?;
-        Ok(hosts.list(provision, starts, now_ms))
+        let hosts: Hosts = crate::parse_json("list", text)?;
+        Ok(hosts.list(settings, start_times, now_ms))
     }
 }
 
 impl Hosts {
-    pub(crate) fn list(self, provision: &PlatformSettings, starts: &mut StartTimes, now_ms: f64) -> List {
+    pub(crate) fn list(self, settings: &PlatformSettings, start_times: &mut StartTimes, now_ms: f64) -> List {
         let mut list = List { version: self.seq, whole: self.whole, ..List::default() };
         for host in self.hosts {
             let born_ms = host.born_ms;
-            let Some(mut row) = row(host, provision) else {
+            let Some(mut row) = parse_row(host, settings) else {
                 list.unknown += 1;
                 continue;
             };
             match row.listing.readiness {
-                Readiness::Gone => starts.forget(&row.listing.worker),
-                _ => row.listing.started_ms = starts.started_ms(&row.listing.worker, born_ms, now_ms),
+                Readiness::Gone => start_times.forget(&row.listing.worker),
+                _ => row.listing.started_ms = start_times.started_ms(&row.listing.worker, born_ms, now_ms),
             }
             list.rows.push(row);
         }
         if list.whole {
-            starts.keep_only(&list.rows.iter().map(|row| &row.listing.worker).collect());
+            start_times.keep_only(&list.rows.iter().map(|row| &row.listing.worker).collect());
         }
         list
     }
 }
 
-/// What a host is, but for its start.
-fn row(host: Host, provision: &PlatformSettings) -> Option<Row> {
+/// Converts an entry of the list, except for its start time; None for an unknown or invalid entry.
+fn parse_row(host: Host, settings: &PlatformSettings) -> Option<Row> {
     let readiness = match host.health.as_str() {
         "ready" => Readiness::Ready,
         "draining" => Readiness::Draining,
         "gone" => Readiness::Gone,
         _ => return None,
     };
-    let find = |known: &[String], name: &str| known.iter().position(|entry| entry == name);
-    // Of who is gone, only the name counts.
+    let index_of = |names: &[String], name: &str| names.iter().position(|entry| entry == name);
+    // For a server that is gone only the name matters.
     let gone = Some(0).filter(|_| readiness == Readiness::Gone);
-    let zone = find(&provision.zones, &host.site).or(gone)?;
-    let kind = find(&provision.kinds, &host.class).or(gone)?;
-    let sound = !host.host.is_empty() && host.share.is_finite() && host.born_ms.is_finite();
+    let zone = index_of(&settings.zones, &host.site).or(gone)?;
+    let kind = index_of(&settings.kinds, &host.class).or(gone)?;
+    let valid = !host.host.is_empty() && host.share.is_finite() && host.born_ms.is_finite();
     let listing = Listing {
         worker: WorkerId(host.host.into()),
         zone: ZoneId(zone),
@@ -115,5 +118,5 @@
         weight: host.share,
         started_ms: None,
     };
-    sound.then(|| Row { listing, address: host.dial.parse().ok() })
+    valid.then(|| Row { listing, address: host.dial.parse().ok() })
 }
--- a/crates/platform/src/report.rs
+++ b/crates/platform/src/report.rs
@@ -1,8 +1,8 @@
-//! Load reports of workers: named values, by the names of the settings or of the sockets.
+//! Load reports of servers: named values, under the names of the settings or of the HTTP protocol.
 
 use paddleproxy::interface::LoadReport;
 
-/// Takes one named value; unknown names say nothing.
+/// Sets the field that a reported name stands for; unknown names are ignored.
 pub fn set(load: &mut LoadReport, name: &str, value: f64) {
     match name {
         "busy_reqs" | "inflight" => load.in_hand = Some(value),
@@ -15,8 +15,7 @@
     }
 }
 
-/// Reads `TEXT inflight=7, queue=2, util=0.61`. None where it can't be read: a wrong report says nothing at all,
-/// and so does one without a value that is known here.
+/// Parses `TEXT inflight=7, queue=2, util=0.61`. None if any part is invalid or no name is known.
 pub fn parse(text: &str) -> Option<LoadReport> {
     let pairs = text.trim().strip_prefix("TEXT ")?;
     let mut load = LoadReport::default();
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,4 +1,5 @@
-//! A client's request in the terms of the decisions, and a worker's answer as the end that it is.
+//! Converts a client's request into an [`Arrival`] for the routing decisions, and the status of a server's
+//! response into the [`SocketEnd`] that it stands for.
 
 use paddleproxy::interface::{Arrival, CompletionId, CustomerId, PrefixId, SessionId, WorkloadId};
 use paddleproxy_engine::Refusal;
@@ -8,61 +9,63 @@
 use crate::head::{Fields, RequestError};
 use crate::settings::PlatformSettings;
 
-/// Characters of a prompt for each of its tokens, of the platform's protocol.
-const TOKEN_BYTES: f64 = 4.0;
-/// The most characters of an id.
-const ID_BYTES: usize = 128;
+/// Bytes of a prompt per token, as defined by the platform's protocol.
+const BYTES_PER_TOKEN: f64 = 4.0;
+/// Longest id of a request.
+const MAX_ID_BYTES: usize = 128;
 
-/// A key is a hexadecimal number on the wire; what is not is known by its hash.
-fn key(text: &str) -> u64 {
+/// The value of a hexadecimal key, and the hash of any other text.
+fn parse_key(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes()))
 }
 
-/// The id by which workers know the request: it becomes part of a path, so nothing else than a name will do.
+/// The id under which servers know the request. It becomes part of a path, so only letters, digits and `-_.`
+/// are allowed, and no dot at the front.
 ///
 /// # Errors
-/// 400 where there is none or it can't be read.
+/// 400 if it is missing or invalid.
 pub fn id(fields: &Fields) -> Result<&str, RequestError> {
     let id = fields.id.as_deref().ok_or(RequestError::new(400, "Req-Id is missing"))?;
-    let named = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
-    if id.is_empty() || id.len() > ID_BYTES || !id.bytes().all(named) || id.starts_with('.') {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    if id.is_empty() || id.len() > MAX_ID_BYTES || !id.bytes().all(allowed) || id.starts_with('.') {
         return Err(RequestError::new(400, "Req-Id can't be read"));
     }
     Ok(id)
 }
 
-fn amount(text: &str, why: &'static str) -> Result<f64, RequestError> {
-    let fault = RequestError::new(400, why);
-    let value: f64 = text.trim().parse().map_err(|_| fault)?;
+fn parse_amount(text: &str, why: &'static str) -> Result<f64, RequestError> {
+    let error = RequestError::new(400, why);
+    let value: f64 = text.trim().parse().map_err(|_| error)?;
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(fault)
+        Err(error)
     }
 }
 
-/// Reads what a request asks for.
+/// Converts the header fields and the body of a request.
 ///
 /// # Errors
-/// 400 for an unknown workload or customer, and for a time or a length that is none.
+/// 400 for an unknown workload or customer, an invalid time, length or cost, and a body that is not JSON.
 pub fn arrival(
-    provision: &PlatformSettings,
+    settings: &PlatformSettings,
     fields: &Fields,
     body: &[u8],
     completion: CompletionId,
     now_ms: f64,
 ) -> Result<Arrival, RequestError> {
-    let row = |known: &[String], name: &str| known.iter().position(|entry| entry == name);
+    let index_of = |names: &[String], name: &str| names.iter().position(|entry| entry == name);
     let kind = fields.kind.as_deref().ok_or(RequestError::new(400, "Req-Kind is missing"))?;
-    let workload = row(&provision.workloads, kind).ok_or(RequestError::new(400, "Req-Kind is not known"))?;
+    let workload =
+        index_of(&settings.workloads, kind).ok_or(RequestError::new(400, "Req-Kind is not known"))?;
     let customer = match fields.owner.as_deref() {
         None => None,
-        Some(owner) => {
-            Some(row(&provision.customers, owner).ok_or(RequestError::new(400, "Req-Owner is not known"))?)
-        }
+        Some(owner) => Some(
+            index_of(&settings.customers, owner).ok_or(RequestError::new(400, "Req-Owner is not known"))?,
+        ),
     };
     let deadline = fields.deadline.as_deref().ok_or(RequestError::new(400, "Req-Deadline is missing"))?;
-    let wait_ms = amount(deadline, "Req-Deadline is no time")? * 1e3;
+    let wait_ms = parse_amount(deadline, "Req-Deadline is no time")? * 1e3;
     if wait_ms <= 0.0 {
         return Err(RequestError::new(400, "Req-Deadline is no time"));
     }
@@ -71,31 +74,31 @@
     }
     let (mut prefix, mut prompt_tokens, mut prefix_tokens, mut max_tokens) = (None, None, 0.0, 0.0);
     for pair in fields.extra.as_deref().unwrap_or("").split(',').filter(|pair| !pair.trim().is_empty()) {
-        let unreadable = RequestError::new(400, "Req-Extra can't be read");
-        let (name, value) = pair.split_once('=').ok_or(unreadable)?;
-        let length = || amount(value, "a length in Req-Extra is none");
+        let invalid = RequestError::new(400, "Req-Extra can't be read");
+        let (name, value) = pair.split_once('=').ok_or(invalid)?;
+        let parse_length = || parse_amount(value, "a length in Req-Extra is none");
         match name.trim() {
             "prefix" => prefix = Some(value.trim()).filter(|value| !value.is_empty()),
-            "prompt_len" => prompt_tokens = Some(length()?),
-            "prefix_len" => prefix_tokens = length()?,
-            "max_out" => max_tokens = length()?,
+            "prompt_len" => prompt_tokens = Some(parse_length()?),
+            "prefix_len" => prefix_tokens = parse_length()?,
+            "max_out" => max_tokens = parse_length()?,
             _ => {}
         }
     }
     let cost_ms = match fields.cost.as_deref() {
         None => None,
-        Some(cost) => Some(amount(cost, "Req-Cost is no amount")? / 1e3),
+        Some(cost) => Some(parse_amount(cost, "Req-Cost is no amount")? / 1e3),
     };
     let retry = fields.retry.as_deref();
     Ok(Arrival {
         completion,
         workload: WorkloadId(workload),
-        session: SessionId(key(fields.key.as_deref().or(fields.id.as_deref()).unwrap_or_default())),
-        prefix: prefix.map(key).filter(|prefix| *prefix != 0).map(PrefixId),
+        session: SessionId(parse_key(fields.key.as_deref().or(fields.id.as_deref()).unwrap_or_default())),
+        prefix: prefix.map(parse_key).filter(|prefix| *prefix != 0).map(PrefixId),
         customer: customer.map(CustomerId),
-        // Nobody waits longer than the settings tell for all tries together.
-        client_timeout_ms: now_ms + wait_ms.min(provision.client_timeouts_ms[workload]),
-        prompt_tokens: prompt_tokens.unwrap_or((body.len() as f64 / TOKEN_BYTES).ceil()),
+        // The settings limit the time of all attempts of a request together.
+        client_timeout_ms: now_ms + wait_ms.min(settings.client_timeouts_ms[workload]),
+        prompt_tokens: prompt_tokens.unwrap_or((body.len() as f64 / BYTES_PER_TOKEN).ceil()),
         prefix_tokens,
         max_tokens,
         answer_hint_ms: cost_ms,
@@ -105,7 +108,8 @@
     })
 }
 
-/// What an answer without a stream of events means; none for those that bring one or a read.
+/// The outcome of a response whose status alone determines it; None for a stream of events (200) and a
+/// completed read (202).
 pub fn refusal(status: u16, declined: bool) -> Option<SocketEnd> {
     match status {
         200 | 202 => None,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,26 +1,27 @@
-//! Turns the settings of the platform into those of the module: on its wire and in a router's configuration they are
-//! one object under the same names and units.
+//! Converts the platform's settings object into the settings of the routing decisions. The object has the
+//! same names and units on the drill's protocol and in a router's configuration.
 
-use paddleproxy::interface as house;
+use paddleproxy::interface;
 use serde::Deserialize;
 
-/// The module's settings, the names that the platform uses for their rows, and what sockets need to know beside.
+/// The settings of the routing decisions, the platform's names for their numbered rows, and the settings that
+/// only the network code needs.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    pub settings: house::Settings,
+    pub settings: interface::Settings,
     pub workloads: Vec<String>,
     pub customers: Vec<String>,
     pub zones: Vec<String>,
     pub kinds: Vec<String>,
-    /// How long a client waits at most, by workload.
+    /// Longest time that a client waits, by workload.
     pub client_timeouts_ms: Vec<f64>,
-    /// Time past the client timeout in which a final answer still counts.
+    /// Time past the client timeout in which a final response still counts.
     pub answer_slack_ms: f64,
-    /// A connection not made by then counts as none.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout_ms: f64,
-    /// Idle connections are closed by workers after this.
+    /// Servers close connections that are idle for this long.
     pub server_idle_timeout_ms: f64,
-    /// Whether workers tell their load.
+    /// Whether servers report their load.
     pub reports: bool,
 }
 
@@ -34,7 +35,7 @@
     services: Vec<Service>,
     #[serde(default)]
     tenants: Vec<Tenant>,
-    #[serde(default = "whole")]
+    #[serde(default = "default_over_share_worth")]
     over_share_worth: f64,
     #[serde(default)]
     discovery: String,
@@ -52,7 +53,7 @@
     how: String,
 }
 
-fn whole() -> f64 {
+fn default_over_share_worth() -> f64 {
     1.0
 }
 
@@ -83,18 +84,18 @@
     retry_after: bool,
     max_retry_after_s: f64,
     max_attempts: usize,
-    #[serde(default = "connect_s")]
+    #[serde(default = "default_connect_timeout_s")]
     connect_timeout_s: f64,
-    #[serde(default = "idle_s")]
+    #[serde(default = "default_idle_s")]
     conn_idle_s: f64,
 }
 
-/// What holds where a wire has no connections and so names no times for them.
-fn connect_s() -> f64 {
+/// The drill's protocol has no connections, so its settings leave out this timeout and the next.
+fn default_connect_timeout_s() -> f64 {
     0.25
 }
 
-fn idle_s() -> f64 {
+fn default_idle_s() -> f64 {
     30.0
 }
 
@@ -120,48 +121,48 @@
     fall_s: f64,
 }
 
-/// Reads the settings object.
+/// Parses the settings object.
 ///
 /// # Errors
-/// The path to the field that is missing or wrong, and what is wrong with it.
+/// The path to the field that is missing or invalid, and the reason.
 pub fn parse(text: &str) -> Result<PlatformSettings, String> {
-    let conf: Conf = crate::json("settings", text.as_bytes())?;
-    provision(conf)
+    let conf: Conf = crate::parse_json("settings", text.as_bytes())?;
+    convert(conf)
 }
 
-pub(crate) fn provision(conf: Conf) -> Result<PlatformSettings, String> {
+pub(crate) fn convert(conf: Conf) -> Result<PlatformSettings, String> {
     let mut workloads = Vec::new();
     for (row, service) in conf.services.iter().enumerate() {
-        workloads.push(house::WorkloadSettings {
+        workloads.push(interface::WorkloadSettings {
             effect: match service.idempotency.as_str() {
-                "repeatable" => house::Effect::Idempotent,
-                "by_key" => house::Effect::Tokened,
-                "once" => house::Effect::NonIdempotent,
+                "repeatable" => interface::Effect::Idempotent,
+                "by_key" => interface::Effect::Tokened,
+                "once" => interface::Effect::NonIdempotent,
                 other => return Err(format!("settings: services.idempotency is '{other}'")),
             },
             group: match service.dedup_scope.as_str() {
-                "all" => house::Group::All,
-                "zone" => house::Group::Zone,
-                "cell" => house::Group::Cell,
+                "all" => interface::Group::All,
+                "zone" => interface::Group::Zone,
+                "cell" => interface::Group::Cell,
                 other => return Err(format!("settings: services.dedup_scope is '{other}'")),
             },
             window_ms: service.window_s * 1e3,
             value: service.importance,
             latency_target_ms: service.slo_s * 1e3,
-            // Microseconds for a thousand tokens are millionths of a millisecond times 1000 for one.
+            // From microseconds per 1000 tokens to milliseconds per token.
             target_per_token_ms: conf.family_info.aim_us_per_1000_prompt_tokens.get(row).unwrap_or(&0.0)
                 / 1e6,
         });
     }
     if conf.caps.max_attempts == 0 {
-        return Err("settings: caps.max_attempts is 0: nothing could ever be sent".into());
+        return Err("settings: caps.max_attempts is 0, must be at least 1".into());
     }
     let mut kinds = Vec::new();
     for (row, kind) in conf.machine_types.iter().enumerate() {
         let role = match conf.family_info.role_by_kind.get(row).map(String::as_str) {
-            Some("read") => house::Role::Reader,
-            Some("write") => house::Role::Writer,
-            Some("both") => house::Role::Mixed,
+            Some("read") => interface::Role::Reader,
+            Some("write") => interface::Role::Writer,
+            Some("both") => interface::Role::Mixed,
             other => {
                 return Err(format!("settings: family_info.role_by_kind for '{kind}' is {other:?}"));
             }
@@ -174,18 +175,18 @@
                 "settings: family_info.kv_tokens for '{kind}' is {memory_tokens}, not above 0"
             ));
         }
-        kinds.push(house::KindSettings { role, memory_tokens });
+        kinds.push(interface::KindSettings { role, memory_tokens });
     }
-    let settings = house::Settings {
+    let settings = interface::Settings {
         routers: conf.balancers,
         own_number: conf.slot_no,
-        zone: conf.localities.iter().position(|zone| *zone == conf.my_zone).map(house::ZoneId),
+        zone: conf.localities.iter().position(|zone| *zone == conf.my_zone).map(interface::ZoneId),
         workloads,
         kinds,
         customers: conf
             .tenants
             .iter()
-            .map(|tenant| house::CustomerSettings { quota_per_s: tenant.quota_per_s })
+            .map(|tenant| interface::CustomerSettings { quota_per_s: tenant.quota_per_s })
             .collect(),
         over_share_value: conf.over_share_worth,
         must_subscribe: conf.discovery == "subscribe",
@@ -204,7 +205,7 @@
         fall_ms: conf.invariants.fall_s * 1e3,
         cold_share: conf.invariants.cold_share,
         cold_ms: conf.invariants.cold_s * 1e3,
-        // There a weight is a number for comparing, by size or load, that may change with each list.
+        // On the platform a weight only compares servers, by size or load, and may change with each list.
         weights_act: false,
         fresh_part: None,
         far: Vec::new(),
