--- a/crates/messages/src/chat.rs
+++ b/crates/messages/src/chat.rs
@@ -1,10 +1,10 @@
-//! The published chat completions form: how it writes a request and an answer.
+//! The published chat completions API: parsing of its requests, encoding of its responses.
 
 use serde::Deserialize;
 use serde_json::{json, Value};
 
 use crate::error::ApiError;
-use crate::request::{flat, json, most_tokens, stops, Content, Request, Role, Turn};
+use crate::request::{flatten, parse_json, token_limit, validate_stops, Content, Request, Role, Turn};
 use crate::{Answer, Stop, StreamItem, Usage};
 
 #[derive(Deserialize)]
@@ -56,20 +56,20 @@
     Many(Vec<String>),
 }
 
-/// Answers of a request that sets no bound.
-const MAX_TOKENS: u32 = 4096;
+/// Used if a request sets no limit on the tokens of its answer.
+const DEFAULT_MAX_TOKENS: u32 = 4096;
 
 pub(crate) fn parse(body: &[u8]) -> Result<Request, ApiError> {
-    let raw: Raw = json(body)?;
+    let raw: Raw = parse_json(body)?;
     if raw.n.is_some_and(|n| n != 1) {
         return Err(ApiError::invalid("n: only 1 answer is given"));
     }
     let mut system = String::new();
     let mut turns = Vec::with_capacity(raw.messages.len());
     for (row, turn) in raw.messages.into_iter().enumerate() {
-        let place = format!("messages.{row}.content");
-        let text = turn.content.ok_or_else(|| ApiError::invalid(format!("{place}: field required")))?;
-        let text = flat(text, &place)?;
+        let path = format!("messages.{row}.content");
+        let text = turn.content.ok_or_else(|| ApiError::invalid(format!("{path}: field required")))?;
+        let text = flatten(text, &path)?;
         match turn.role {
             ChatRole::System | ChatRole::Developer => system.push_str(&text),
             ChatRole::User => turns.push(Turn { role: Role::User, text }),
@@ -80,11 +80,11 @@
         return Err(ApiError::invalid("messages: at least one message of a user is required"));
     }
     let max_tokens = match (raw.max_completion_tokens, raw.max_tokens) {
-        (Some(tokens), _) => most_tokens("max_completion_tokens", tokens)?,
-        (None, Some(tokens)) => most_tokens("max_tokens", tokens)?,
-        (None, None) => MAX_TOKENS,
+        (Some(tokens), _) => token_limit("max_completion_tokens", tokens)?,
+        (None, Some(tokens)) => token_limit("max_tokens", tokens)?,
+        (None, None) => DEFAULT_MAX_TOKENS,
     };
-    let given = match raw.stop {
+    let sequences = match raw.stop {
         None => Vec::new(),
         Some(Stops::One(stop)) => vec![stop],
         Some(Stops::Many(stops)) => stops,
@@ -94,7 +94,7 @@
         max_tokens,
         system,
         turns,
-        stop_sequences: stops("stop", given)?,
+        stop_sequences: validate_stops("stop", sequences)?,
         stream: raw.stream.unwrap_or(false),
         stream_usage: raw.stream_options.is_some_and(|options| options.include_usage),
         user_id: raw.user,
@@ -117,8 +117,8 @@
     })
 }
 
-/// What every object of one answer begins with.
-pub(crate) struct Head<'a> {
+/// The fields that all objects of one response share.
+pub(crate) struct ResponseMeta<'a> {
     pub id: &'a str,
     pub model: &'a str,
     /// Seconds since 1970.
@@ -126,51 +126,51 @@
     pub include_usage: bool,
 }
 
-pub(crate) fn whole(head: &Head, answer: &Answer) -> Value {
+pub(crate) fn encode_answer(meta: &ResponseMeta, answer: &Answer) -> Value {
     let message = json!({ "role": "assistant", "content": answer.text, "refusal": null });
     let finish = finish_reason(&answer.stop);
     json!({
-        "id": format!("chatcmpl-{}", head.id),
+        "id": format!("chatcmpl-{}", meta.id),
         "object": "chat.completion",
-        "created": head.created,
-        "model": head.model,
+        "created": meta.created,
+        "model": meta.model,
         "choices": [{ "index": 0, "message": message, "logprobs": null, "finish_reason": finish }],
         "usage": usage_of(answer.usage),
     })
 }
 
-fn chunk(head: &Head, choices: Value, usage: Option<Usage>) -> String {
+fn chunk(meta: &ResponseMeta, choices: Value, usage: Option<Usage>) -> String {
     let mut chunk = json!({
-        "id": format!("chatcmpl-{}", head.id),
+        "id": format!("chatcmpl-{}", meta.id),
         "object": "chat.completion.chunk",
-        "created": head.created,
-        "model": head.model,
+        "created": meta.created,
+        "model": meta.model,
         "choices": choices,
     });
-    if head.include_usage {
+    if meta.include_usage {
         chunk["usage"] = usage.map_or(Value::Null, usage_of);
     }
     format!("data: {chunk}\n\n")
 }
 
-fn delta(head: &Head, delta: Value, finish: Option<&str>) -> String {
-    chunk(head, json!([{ "index": 0, "delta": delta, "logprobs": null, "finish_reason": finish }]), None)
+fn delta(meta: &ResponseMeta, delta: Value, finish: Option<&str>) -> String {
+    chunk(meta, json!([{ "index": 0, "delta": delta, "logprobs": null, "finish_reason": finish }]), None)
 }
 
-pub(crate) fn piece(head: &Head, piece: &StreamItem) -> String {
-    match piece {
-        StreamItem::Start(_) => delta(head, json!({ "role": "assistant", "content": "" }), None),
-        StreamItem::Text(text) => delta(head, json!({ "content": text }), None),
-        // A remark keeps the connection alive; this form has no event for it.
+pub(crate) fn encode_item(meta: &ResponseMeta, item: &StreamItem) -> String {
+    match item {
+        StreamItem::Start(_) => delta(meta, json!({ "role": "assistant", "content": "" }), None),
+        StreamItem::Text(text) => delta(meta, json!({ "content": text }), None),
+        // This API has no event for a keep-alive, so it is sent as a comment.
         StreamItem::Ping => ": ping\n\n".to_owned(),
         StreamItem::End(stop, usage) => {
-            let mut text = delta(head, json!({}), Some(finish_reason(stop)));
-            if head.include_usage {
-                text.push_str(&chunk(head, json!([]), Some(*usage)));
+            let mut text = delta(meta, json!({}), Some(finish_reason(stop)));
+            if meta.include_usage {
+                text.push_str(&chunk(meta, json!([]), Some(*usage)));
             }
             text + "data: [DONE]\n\n"
         }
-        // Without the end that the form has for whole answers: this one is not.
+        // No `[DONE]` follows: it would mark the answer as complete.
         StreamItem::Error(error) => format!("data: {}\n\n", json!({ "error": error.chat_detail() })),
     }
 }
--- a/crates/messages/src/dialect.rs
+++ b/crates/messages/src/dialect.rs
@@ -1,4 +1,4 @@
-//! The forms in which clients speak, by path, and their encoders.
+//! The API dialects that clients use, selected by path, and their encoders.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use crate::request::Request;
 use crate::{chat, messages, request, Answer, StreamItem};
 
-/// The events of the published messages API, in the order in which they come.
+/// The events of the published messages API, in the order in which they occur.
 pub const EVENTS: [&str; 8] = [
     "message_start",
     "content_block_start",
@@ -21,10 +21,10 @@
     "error",
 ];
 
-/// Other names for the events of the messages API. An event without one keeps its own.
+/// Different names for events of the messages API. An event without an entry keeps its own name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventNames {
-    /// None where the event is left out.
+    /// By the published name; None if the event is omitted.
     pub overrides: BTreeMap<&'static str, Option<String>>,
 }
 
@@ -37,22 +37,25 @@
     }
 }
 
-/// One form of the API.
+/// An API that clients use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Dialect {
+    /// The messages API, with the names of its events.
     Messages(Rc<EventNames>),
+    /// The chat completions API.
     Chat,
 }
 
 impl Dialect {
+    /// The messages API with its published event names.
     pub fn published() -> Self {
         Dialect::Messages(Rc::default())
     }
 
-    /// Parses a body.
+    /// Parses the body of a request.
     ///
     /// # Errors
-    /// `invalid_request_error` with what was wrong and, for JSON, where.
+    /// `invalid_request_error` with the reason and, for JSON, the position.
     pub fn parse(&self, body: &[u8]) -> Result<Request, ApiError> {
         match self {
             Dialect::Messages(_) => request::parse(body, false),
@@ -60,14 +63,15 @@
         }
     }
 
-    /// Parses a body of which only the tokens are to be counted.
+    /// Parses the body of a request that only counts the tokens of its prompt.
     ///
     /// # Errors
-    /// As for `parse`.
+    /// As for [`Dialect::parse`].
     pub fn parse_to_count(&self, body: &[u8]) -> Result<Request, ApiError> {
         request::parse(body, true)
     }
 
+    /// The HTTP status of an error.
     pub fn status(&self, kind: ErrorKind) -> u16 {
         match self {
             Dialect::Messages(_) => kind.status(),
@@ -75,7 +79,7 @@
         }
     }
 
-    /// The body of an answer that is an error.
+    /// The body of an error response.
     pub fn error(&self, error: &ApiError, request_id: &str) -> String {
         match self {
             Dialect::Messages(_) => {
@@ -86,21 +90,22 @@
     }
 }
 
-/// Encodes one answer.
+/// Encodes one answer, whole or as a stream.
 #[derive(Clone, Debug)]
 pub struct Encoder {
     pub dialect: Dialect,
-    /// The answer's name, without the form's own prefix.
+    /// The answer's id, without the prefix that the API adds.
     pub id: Rc<str>,
     pub model: Rc<str>,
     /// Seconds since 1970.
     pub created: u64,
+    /// Whether a stream of the chat completions API ends with a usage chunk.
     pub include_usage: bool,
 }
 
 impl Encoder {
-    fn head(&self) -> chat::Head<'_> {
-        chat::Head {
+    fn meta(&self) -> chat::ResponseMeta<'_> {
+        chat::ResponseMeta {
             id: &self.id,
             model: &self.model,
             created: self.created,
@@ -108,19 +113,19 @@
         }
     }
 
-    /// The body of a whole answer.
+    /// The body of a response that isn't streamed.
     pub fn encode_answer(&self, answer: &Answer) -> String {
         match &self.dialect {
-            Dialect::Messages(_) => messages::whole(&self.id, &self.model, answer).to_string(),
-            Dialect::Chat => chat::whole(&self.head(), answer).to_string(),
+            Dialect::Messages(_) => messages::encode_answer(&self.id, &self.model, answer).to_string(),
+            Dialect::Chat => chat::encode_answer(&self.meta(), answer).to_string(),
         }
     }
 
-    /// The events of one piece of a stream.
-    pub fn encode_item(&self, piece: &StreamItem) -> String {
+    /// The events that stand for one item of a stream.
+    pub fn encode_item(&self, item: &StreamItem) -> String {
         match &self.dialect {
-            Dialect::Messages(names) => messages::piece(names, &self.id, &self.model, piece),
-            Dialect::Chat => chat::piece(&self.head(), piece),
+            Dialect::Messages(names) => messages::encode_item(names, &self.id, &self.model, item),
+            Dialect::Chat => chat::encode_item(&self.meta(), item),
         }
     }
 }
--- a/crates/messages/src/error.rs
+++ b/crates/messages/src/error.rs
@@ -1,6 +1,8 @@
+//! Errors that are reported to clients, in the terms of both APIs.
+
 use serde_json::{json, Value};
 
-/// The errors that this router gives, by the published API's types.
+/// The kinds of errors that the router reports, after the types of the published messages API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ErrorKind {
     InvalidRequest,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// HTTP status in the chat completions form, which has no 529.
+    /// HTTP status in the chat completions API, which has no 529.
     pub fn chat_status(self) -> u16 {
         match self {
             ErrorKind::Overloaded => 503,
@@ -64,7 +66,7 @@
         }
     }
 
-    /// The `type` and the `code` in the chat completions form.
+    /// The `type` and the `code` in the chat completions API.
     fn chat_names(self) -> (&'static str, Option<&'static str>) {
         match self {
             ErrorKind::InvalidRequest | ErrorKind::Conflict | ErrorKind::TooLarge => {
@@ -80,13 +82,13 @@
     }
 }
 
-/// An answer that is an error.
+/// An error response.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}: {message}", kind.name())]
 pub struct ApiError {
     pub kind: ErrorKind,
     pub message: String,
-    /// Time in ms after which the client may come again; only where trying again is harmless.
+    /// Time after which the client may retry; only set if a retry is harmless.
     pub retry_after_ms: Option<f64>,
 }
 
@@ -103,12 +105,12 @@
         ApiError { retry_after_ms: Some(after_ms), ..self }
     }
 
-    /// The inner object of the messages API.
+    /// The `error` object of the messages API.
     pub(crate) fn detail(&self) -> Value {
         json!({ "type": self.kind.name(), "message": self.message })
     }
 
-    /// The inner object of the chat completions form.
+    /// The `error` object of the chat completions API.
     pub(crate) fn chat_detail(&self) -> Value {
         let (kind, code) = self.kind.chat_names();
         json!({ "message": self.message, "type": kind, "param": null, "code": code })
--- a/crates/messages/src/lib.rs
+++ b/crates/messages/src/lib.rs
@@ -1,8 +1,9 @@
-//! What clients speak, for text: the published messages API, the published chat completions form beside it, and
-//! dialects that name the events of the former otherwise. Encoding and decoding only; no I/O, no decision.
+//! The APIs that clients use, for text: the published messages API, dialects of it with different event
+//! names, and the published chat completions API. Encoding and decoding only, without I/O or routing
+//! decisions.
 //!
-//! A request of any form becomes a [`Request`]; an answer is a run of [`StreamItem`]s, which an [`Encoder`] turns into the
-//! bytes of its form.
+//! A request of any API is parsed into a [`Request`]; an answer is an [`Answer`] or a sequence of
+//! [`StreamItem`]s, which an [`Encoder`] encodes for the API of the request.
 
 mod chat;
 mod dialect;
@@ -16,29 +17,31 @@
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Tokens of the prompt, and those of them found kept.
+    /// Tokens of the prompt, cached ones included.
     pub input_tokens: u64,
+    /// Tokens of the prompt that were found in the server's cache.
     pub cached_tokens: u64,
     pub output_tokens: u64,
 }
 
+/// Why an answer ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Stop {
     #[default]
     EndTurn,
     MaxTokens,
-    /// One of the request's stop sequences, which is not part of the text.
+    /// At this stop sequence of the request, which is not part of the answer's text.
     Sequence(String),
 }
 
-/// One piece of a streamed answer: a start, texts and pings, and one end.
+/// One item of a streamed answer: a start, then texts and pings, then one end or error.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamItem<'a> {
     Start(Usage),
     Text(&'a str),
     Ping,
     End(&'a Stop, Usage),
-    /// The end of an answer that broke.
+    /// The end of an answer that failed after its start.
     Error(&'a ApiError),
 }
 
--- a/crates/messages/src/messages.rs
+++ b/crates/messages/src/messages.rs
@@ -1,4 +1,4 @@
-//! How the messages API writes an answer; a dialect gives the events other names.
+//! Encoding of responses of the messages API, with the event names of a dialect.
 
 use serde_json::{json, Value};
 
@@ -14,7 +14,7 @@
     })
 }
 
-fn reason(stop: &Stop) -> (&'static str, Option<&str>) {
+fn stop_reason(stop: &Stop) -> (&'static str, Option<&str>) {
     match stop {
         Stop::EndTurn => ("end_turn", None),
         Stop::MaxTokens => ("max_tokens", None),
@@ -23,7 +23,7 @@
 }
 
 fn message(id: &str, model: &str, content: Value, stop: Option<&Stop>, usage: Usage) -> Value {
-    let (reason, sequence) = stop.map(reason).map_or((None, None), |(name, text)| (Some(name), text));
+    let (reason, sequence) = stop.map(stop_reason).map_or((None, None), |(name, text)| (Some(name), text));
     json!({
         "id": format!("msg_{id}"),
         "type": "message",
@@ -36,20 +36,20 @@
     })
 }
 
-pub(crate) fn whole(id: &str, model: &str, answer: &Answer) -> Value {
+pub(crate) fn encode_answer(id: &str, model: &str, answer: &Answer) -> Value {
     let content = json!([{ "type": "text", "text": answer.text }]);
     message(id, model, content, Some(&answer.stop), answer.usage)
 }
 
-/// One event under the name that the dialect gives it; nothing where it leaves the event out.
+/// One event under its name in the dialect; empty if the dialect omits it.
 fn event(names: &EventNames, name: &'static str, mut data: Value) -> String {
     let Some(name) = names.name_of(name) else { return String::new() };
     data["type"] = Value::from(name);
     format!("event: {name}\ndata: {data}\n\n")
 }
 
-pub(crate) fn piece(names: &EventNames, id: &str, model: &str, piece: &StreamItem) -> String {
-    match piece {
+pub(crate) fn encode_item(names: &EventNames, id: &str, model: &str, item: &StreamItem) -> String {
+    match item {
         StreamItem::Start(usage) => {
             let message = message(id, model, json!([]), None, *usage);
             let block = json!({ "index": 0, "content_block": { "type": "text", "text": "" } });
@@ -62,7 +62,7 @@
         }
         StreamItem::Ping => event(names, "ping", json!({})),
         StreamItem::End(stop, usage) => {
-            let (reason, sequence) = reason(stop);
+            let (reason, sequence) = stop_reason(stop);
             let delta = json!({ "stop_reason": reason, "stop_sequence": sequence });
             event(names, "content_block_stop", json!({ "index": 0 }))
                 + &event(names, "message_delta", json!({ "delta": delta, "usage": usage_of(*usage) }))
--- a/crates/messages/tests/forms.rs
+++ b/crates/messages/tests/dialects.rs
@@ -1,4 +1,4 @@
-//! The forms in which clients speak: what each writes, and that no request makes the parsers panic.
+//! Encoding of responses and errors in each dialect, and parsing of valid, invalid and arbitrary requests.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
     Encoder { dialect, id: Rc::from("0.1.2"), model: Rc::from("m"), created: 1_700_000_000, include_usage }
 }
 
-fn desk() -> Dialect {
+fn renaming_dialect() -> Dialect {
     let mut names = EventNames::default();
     names.overrides.insert("content_block_delta", Some("answer.text".into()));
     names.overrides.insert("ping", None);
@@ -20,18 +20,18 @@
 
 const USAGE: Usage = Usage { input_tokens: 12, cached_tokens: 8, output_tokens: 2 };
 
-/// All pieces of an answer, and the end of one that broke.
-fn written(encoder: &Encoder) -> String {
+/// All items of a stream with both of its possible ends, a whole answer, and all errors.
+fn encode_all(encoder: &Encoder) -> String {
     let stop = Stop::Sequence("\n".into());
-    let broke = ApiError::new(ErrorKind::Api, "the model server broke off");
-    let pieces = [
+    let stream_error = ApiError::new(ErrorKind::Api, "the model server broke off");
+    let items = [
         StreamItem::Start(Usage { output_tokens: 0, ..USAGE }),
         StreamItem::Text("He\"llo\n"),
         StreamItem::Ping,
         StreamItem::End(&stop, USAGE),
-        StreamItem::Error(&broke),
+        StreamItem::Error(&stream_error),
     ];
-    let mut text: String = pieces.iter().map(|piece| encoder.encode_item(piece)).collect();
+    let mut text: String = items.iter().map(|item| encoder.encode_item(item)).collect();
     let answer = Answer { text: "Hello".into(), stop: Stop::MaxTokens, usage: USAGE };
     text.push_str(&encoder.encode_answer(&answer));
     for kind in ErrorKind::ALL {
@@ -46,18 +46,18 @@
 }
 
 #[test]
-fn the_messages_form() {
-    insta::assert_snapshot!(written(&encoder(Dialect::published(), true)));
+fn messages_api_encoding() {
+    insta::assert_snapshot!(encode_all(&encoder(Dialect::published(), true)));
 }
 
 #[test]
-fn the_chat_form() {
-    insta::assert_snapshot!(written(&encoder(Dialect::Chat, true)));
+fn chat_completions_api_encoding() {
+    insta::assert_snapshot!(encode_all(&encoder(Dialect::Chat, true)));
 }
 
 #[test]
-fn a_dialect_renames_and_leaves_out() {
-    let text = written(&encoder(desk(), true));
+fn a_dialect_renames_and_omits_events() {
+    let text = encode_all(&encoder(renaming_dialect(), true));
     assert!(
         text.contains("event: answer.text\ndata: {\"delta\"") && text.contains("\"type\":\"answer.text\"")
     );
@@ -66,33 +66,36 @@
 }
 
 #[test]
-fn a_chat_stream_tells_usage_only_where_asked() {
-    assert!(!written(&encoder(Dialect::Chat, false)).split("[DONE]").next().unwrap().contains("usage"));
+fn a_chat_stream_includes_usage_only_on_request() {
+    assert!(!encode_all(&encoder(Dialect::Chat, false)).split("[DONE]").next().unwrap().contains("usage"));
 }
 
 #[test]
-fn both_forms_ask_for_the_same() {
+fn equivalent_requests_of_both_apis_parse_alike() {
     let messages = br#"{"model":"m","max_tokens":7,"system":"S","stop_sequences":["x"],"stream":true,
         "metadata":{"user_id":"u"},"messages":[{"role":"user","content":"a"}]}"#;
     let chat = br#"{"model":"m","max_completion_tokens":7,"stop":"x","stream":true,"user":"u",
         "stream_options":{"include_usage":true},
-        "messages":[{"role":"developer","content":"S"},{"role":"user","content":[{"type":"text","text":"a"}]}]}"#;
+        "messages":[{"role":"developer","content":"S"},
+        {"role":"user","content":[{"type":"text","text":"a"}]}]}"#;
     assert_eq!(Dialect::published().parse(messages), Dialect::Chat.parse(chat));
 }
 
 #[test]
-fn wrong_chat_requests_say_what() {
-    let wrong = |body: &str| Dialect::Chat.parse(body.as_bytes()).unwrap_err().message;
-    assert!(wrong(r#"{"model":"m","messages":[]}"#).contains("at least one message"));
-    assert!(wrong(r#"{"model":"m","messages":[{"role":"user"}]}"#).starts_with("messages.0.content"));
-    assert!(wrong(r#"{"model":"m","n":2,"messages":[{"role":"user","content":"a"}]}"#).starts_with("n: "));
-    assert!(wrong(r#"{"model":"m","messages":[{"role":"tool","content":"a"}]}"#).contains("unknown variant"));
-    let most = r#"{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"a"}]}"#;
-    assert!(wrong(most).starts_with("max_tokens: -1"));
+fn invalid_chat_requests_are_rejected_with_the_reason() {
+    let message = |body: &str| Dialect::Chat.parse(body.as_bytes()).unwrap_err().message;
+    assert!(message(r#"{"model":"m","messages":[]}"#).contains("at least one message"));
+    assert!(message(r#"{"model":"m","messages":[{"role":"user"}]}"#).starts_with("messages.0.content"));
+    assert!(message(r#"{"model":"m","n":2,"messages":[{"role":"user","content":"a"}]}"#).starts_with("n: "));
+    assert!(
+        message(r#"{"model":"m","messages":[{"role":"tool","content":"a"}]}"#).contains("unknown variant")
+    );
+    let negative = r#"{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"a"}]}"#;
+    assert!(message(negative).starts_with("max_tokens: -1"));
 }
 
-/// Bodies that are nearly right: pieces of requests in any order, and bytes.
-fn bodies() -> impl Strategy<Value = Vec<u8>> {
+/// Nearly valid bodies, made of the tokens of a request in any order, and arbitrary bytes.
+fn arbitrary_bodies() -> impl Strategy<Value = Vec<u8>> {
     let parts = prop::sample::select(vec![
         "{",
         "}",
@@ -118,13 +121,13 @@
         "true",
         "\"\\ud800\"",
     ]);
-    let nearly = prop::collection::vec(parts, 0..40).prop_map(|parts| parts.concat().into_bytes());
-    prop_oneof![nearly, prop::collection::vec(any::<u8>(), 0..200)]
+    let nearly_valid = prop::collection::vec(parts, 0..40).prop_map(|parts| parts.concat().into_bytes());
+    prop_oneof![nearly_valid, prop::collection::vec(any::<u8>(), 0..200)]
 }
 
 proptest! {
     #[test]
-    fn no_body_panics(body in bodies()) {
+    fn no_request_body_panics(body in arbitrary_bodies()) {
         for dialect in [Dialect::published(), Dialect::Chat] {
             if let Ok(request) = dialect.parse(&body) {
                 prop_assert!(!request.turns.is_empty() && request.max_tokens > 0);
@@ -135,14 +138,14 @@
     }
 
     #[test]
-    fn every_text_comes_back_from_its_event(text in ".*") {
-        for dialect in [Dialect::published(), Dialect::Chat, desk()] {
+    fn every_text_is_decoded_from_its_event(text in ".*") {
+        for dialect in [Dialect::published(), Dialect::Chat, renaming_dialect()] {
             let events = encoder(dialect, true).encode_item(&StreamItem::Text(&text));
             let data = events.split("data: ").nth(1).unwrap();
             prop_assert!(events.ends_with("\n\n") && data.trim_end().lines().count() == 1);
             let json: serde_json::Value = serde_json::from_str(data).unwrap();
-            let said = json["delta"]["text"].as_str().or(json["choices"][0]["delta"]["content"].as_str());
-            prop_assert_eq!(said, Some(text.as_str()));
+            let decoded = json["delta"]["text"].as_str().or(json["choices"][0]["delta"]["content"].as_str());
+            prop_assert_eq!(decoded, Some(text.as_str()));
         }
     }
 }
