--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! What model servers speak: `POST /v1/completions` in the published OpenAI-compatible form, with the published
-//! `kv_transfer_params` of disaggregated prefill and ORCA load reports, and a few calls of our own under `/x/`.
-//! Encoding and decoding only; no I/O, no decision.
+//! The protocol of the model servers: the published OpenAI-compatible `POST /v1/completions` with the
+//! published `kv_transfer_params` of disaggregated prefill and ORCA load reports, and a few calls under `/x/`
+//! that only this project defines. Encoding and decoding only, without I/O or routing decisions.
 
 mod load;
 mod sse;
--- a/crates/engine/src/load.rs
+++ b/crates/engine/src/load.rs
@@ -1,11 +1,13 @@
+//! Load reports of servers, in the format of ORCA.
+
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The response header that carries a load report, as published for ORCA.
+/// The response header that carries a load report, as defined by ORCA.
 pub const LOAD_HEADER: &str = "endpoint-load-metrics";
 
-/// A load report: published utilizations, and named metrics of the serving engine.
+/// A load report: the utilizations that ORCA defines, and named metrics of the inference engine.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -16,24 +18,25 @@
     pub named_metrics: BTreeMap<String, f64>,
 }
 
-/// Names of the metrics that a report may carry.
+/// Names of the metrics that the router uses from a report.
 pub const RUNNING_REQUESTS: &str = "num_requests_running";
 pub const WAITING_REQUESTS: &str = "num_requests_waiting";
 pub const WAITING_TOKENS: &str = "num_tokens_waiting";
 
 impl Load {
-    /// In the published JSON form of the header.
+    /// The value of [`LOAD_HEADER`], in its JSON format.
     pub fn to_header(&self) -> String {
         format!("JSON {}", serde_json::to_string(self).unwrap_or_default())
     }
 
-    /// None for a header that is not in the JSON form or holds a figure that is none.
+    /// Parses the value of [`LOAD_HEADER`]. None if it is not in the JSON format, or a value is negative or
+    /// not finite.
     pub fn from_header(value: &str) -> Option<Load> {
         let load: Load = serde_json::from_str(value.strip_prefix("JSON ")?).ok()?;
-        let figures = [load.mem_utilization, load.application_utilization];
-        let good = |value: &f64| value.is_finite() && *value >= 0.0;
-        let all = figures.iter().flatten().chain(load.named_metrics.values()).all(good);
-        all.then_some(load)
+        let utilizations = [load.mem_utilization, load.application_utilization];
+        let valid = |value: &f64| value.is_finite() && *value >= 0.0;
+        let all_valid = utilizations.iter().flatten().chain(load.named_metrics.values()).all(valid);
+        all_valid.then_some(load)
     }
 
     pub fn metric(&self, name: &str) -> Option<f64> {
--- a/crates/engine/src/sse.rs
+++ b/crates/engine/src/sse.rs
@@ -1,29 +1,31 @@
+//! Reader of server-sent events.
+
 use bytes::BytesMut;
 use tokio_util::codec::{Decoder, LinesCodec, LinesCodecError};
 
-/// One `data:` of a stream of server-sent events.
+/// The data of one server-sent event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SseData {
     Json(String),
-    /// The published end of a stream.
+    /// `[DONE]`, which ends a stream.
     Done,
 }
 
-/// Splits a byte stream into the data of its events; no line may be longer than the bound.
+/// Splits a byte stream into the data of its events; the length of a line and of an event's data is limited.
 pub struct SseReader {
     lines: LinesCodec,
     buffer: BytesMut,
     data: String,
-    bound: usize,
+    max_bytes: usize,
 }
 
 impl SseReader {
-    pub fn new(longest_line: usize) -> Self {
+    pub fn new(max_bytes: usize) -> Self {
         SseReader {
-            lines: LinesCodec::new_with_max_length(longest_line),
+            lines: LinesCodec::new_with_max_length(max_bytes),
             buffer: BytesMut::new(),
             data: String::new(),
-            bound: longest_line,
+            max_bytes,
         }
     }
 
@@ -31,14 +33,16 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next event that is complete, if any.
+    /// Takes the next complete event, if any.
     ///
     /// # Errors
-    /// A line or an event beyond the bound, or text that is not UTF-8.
+    /// A line or an event that exceeds the limit, or text that is not UTF-8.
     pub fn next_event(&mut self) -> Result<Option<SseData>, String> {
         loop {
             let line = self.lines.decode(&mut self.buffer).map_err(|cause| match cause {
-                LinesCodecError::MaxLineLengthExceeded => format!("a line longer than {} bytes", self.bound),
+                LinesCodecError::MaxLineLengthExceeded => {
+                    format!("a line longer than {} bytes", self.max_bytes)
+                }
                 LinesCodecError::Io(cause) => cause.to_string(),
             })?;
             let Some(line) = line else { return Ok(None) };
@@ -48,8 +52,8 @@
                     return Ok(Some(if data == "[DONE]" { SseData::Done } else { SseData::Json(data) }));
                 }
             } else if let Some(data) = line.strip_prefix("data:") {
-                if self.data.len() + data.len() > self.bound {
-                    return Err(format!("an event longer than {} bytes", self.bound));
+                if self.data.len() + data.len() > self.max_bytes {
+                    return Err(format!("an event longer than {} bytes", self.max_bytes));
                 }
                 self.data.push_str(data.strip_prefix(' ').unwrap_or(data));
             }
--- a/crates/engine/src/sse/tests.rs
+++ b/crates/engine/src/sse/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 #[test]
-fn events_arrive_whole_however_the_bytes_are_cut() {
+fn events_are_read_alike_at_any_split() {
     let text = b"data: {\"a\":1}\r\n\r\n: remark\n\ndata: [DONE]\n\n";
     for cut in 0..text.len() {
         let mut reader = SseReader::new(64);
-        let mut seen = Vec::new();
+        let mut read = Vec::new();
         for part in [&text[..cut], &text[cut..]] {
             reader.push(part);
             while let Some(data) = reader.next_event().unwrap() {
-                seen.push(data);
+                read.push(data);
             }
         }
-        assert_eq!(seen, [SseData::Json("{\"a\":1}".into()), SseData::Done], "cut at {cut}");
+        assert_eq!(read, [SseData::Json("{\"a\":1}".into()), SseData::Done], "cut at {cut}");
     }
 }
 
--- a/crates/engine/src/wire.rs
+++ b/crates/engine/src/wire.rs
@@ -1,14 +1,25 @@
+//! Paths, headers and bodies of the calls between routers, servers and the list service.
+//!
+//! With disaggregated prefill, a reader prefills a prompt and keeps the state (its KV cache) until a writer
+//! fetches it and decodes the answer.
+
 use serde::{Deserialize, Serialize};
 
-/// Paths. The first two are published; those under `/x/` are ours.
+/// Paths. `/v1/completions` is published; the others are specific to this project.
 pub const COMPLETIONS: &str = "/v1/completions";
+/// Health check of a server.
 pub const PROBE: &str = "/x/probe";
+/// See [`ReleaseRequest`].
 pub const RELEASE: &str = "/x/release";
+/// See [`HoldRequest`].
 pub const HOLD: &str = "/x/hold";
+/// See [`TakeRequest`].
 pub const TAKE: &str = "/x/take";
+/// The list service's path; see [`ServerList`].
 pub const SERVERS: &str = "/v1/servers";
 
-/// Headers. `x-request-id` names the dispatch; the client's own id and key are handed on as they came.
+/// Headers. `x-request-id` identifies the dispatch; the client's own id and idempotency key are forwarded
+/// unchanged.
 pub const REQUEST_ID: &str = "x-request-id";
 pub const CLIENT_REQUEST_ID: &str = "x-client-request-id";
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -20,7 +31,7 @@
     pub max_tokens: u32,
     #[serde(default)]
     pub stream: bool,
-    /// The answer ends before the first of these.
+    /// Stop sequences: the answer ends before the first of them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub stop: Vec<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -34,7 +45,8 @@
     pub include_usage: bool,
 }
 
-/// The published `kv_transfer_params`: asks a reader to keep the state, or tells a writer where it waits.
+/// The published `kv_transfer_params`: requests that a reader keeps the state, or references a kept state for
+/// a writer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateReference {
     #[serde(default)]
@@ -52,11 +64,13 @@
 }
 
 impl StateReference {
+    /// Requests that the reader keeps the state for another server.
     pub fn request_remote_decode() -> Self {
         StateReference { do_remote_decode: true, ..StateReference::default() }
     }
 
-    /// Whether this names a state that a writer can fetch, of a size that is worth keeping here.
+    /// Whether this references a state that a writer can fetch. Limits the size of the reference, since the
+    /// router stores it.
     pub fn usable(&self) -> bool {
         self.do_remote_prefill
             && self.remote_engine_id.as_ref().is_some_and(|id| !id.is_empty() && id.len() <= 256)
@@ -66,7 +80,7 @@
     }
 }
 
-/// A whole answer or one chunk of a stream; both have the same form.
+/// A whole answer or one chunk of a stream; both have the same fields.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Completion {
     #[serde(default)]
@@ -87,7 +101,7 @@
     pub text: String,
     #[serde(default)]
     pub finish_reason: Option<String>,
-    /// With the reason `stop`: which of the request's stop texts it was, if any.
+    /// If `finish_reason` is `stop`: the stop sequence that was found, if any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub stop_reason: Option<String>,
 }
@@ -109,12 +123,13 @@
 }
 
 impl Usage {
+    /// Cached tokens of the prompt, at most all of them.
     pub fn cached(&self) -> u64 {
         self.prompt_tokens_details.map_or(0, |details| details.cached_tokens).min(self.prompt_tokens)
     }
 }
 
-/// The published form of an error; `code` holds one of ours where the work surely never ran.
+/// An error in the published format; its `code` is that of a [`Refusal`] if the work certainly did not run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ErrorBody {
     pub error: ErrorDetail,
@@ -129,11 +144,13 @@
     pub code: Option<String>,
 }
 
-/// The codes that prove that nothing ran, with the status that must come with each.
+/// Rejections that prove that the work did not run, each with its own code and a fixed status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
+    /// The server has no free capacity.
     Full,
     Draining,
+    /// The state that the dispatch references no longer exists.
     StateGone,
 }
 
@@ -155,30 +172,33 @@
         }
     }
 
+    /// The refusal that a response stands for; None unless both its code and its status match.
     pub fn of(status: u16, body: &[u8]) -> Option<Refusal> {
         let body: ErrorBody = serde_json::from_slice(body).ok()?;
         let code = body.error.code?;
         Refusal::ALL.into_iter().find(|refusal| refusal.code() == code && refusal.status() == status)
     }
 
+    /// The body of the response.
     pub fn body(self) -> String {
         error_body(self.code(), "not taken; nothing ran", Some(self.code()))
     }
 }
 
+/// The body of an error response.
 pub fn error_body(kind: &str, message: &str, code: Option<&str>) -> String {
     let error =
         ErrorDetail { message: message.to_owned(), kind: kind.to_owned(), code: code.map(str::to_owned) };
     serde_json::to_string(&ErrorBody { error }).unwrap_or_default()
 }
 
-/// Ours: lets go of the state and the place that a dispatch asked for.
+/// Releases the state and the slot of a dispatch. Specific to this project.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReleaseRequest {
     pub request_id: String,
 }
 
-/// Ours: asks a writer to keep a slot and memory for a dispatch that is being read.
+/// Reserves a slot and memory at a writer while a reader prefills the dispatch. Specific to this project.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HoldRequest {
     pub request_id: String,
@@ -190,7 +210,7 @@
     pub held: bool,
 }
 
-/// Ours, between servers: fetches a state, after which the reader has let go of it.
+/// Fetches a state, which the reader then releases; sent between servers. Specific to this project.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeRequest {
     pub block: u64,
@@ -201,14 +221,14 @@
     pub tokens: u64,
 }
 
-/// What the list service answers: the whole list, or what changed after the version asked for.
+/// The response of the list service: the whole list, or the changes since the requested version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerList {
-    /// Names the service's own start: versions count anew with each.
+    /// Identifies the start of the service: version numbers restart with it.
     #[serde(default)]
     pub epoch: u64,
     pub version: u64,
-    /// The version that changes build on; absent where the whole list is given.
+    /// The version to which the changes apply; absent for a whole list.
     #[serde(default)]
     pub after: Option<u64>,
     pub servers: Vec<ServerEntry>,
@@ -223,15 +243,15 @@
     pub cell: u32,
     /// `ready`, `draining` or `gone`.
     pub readiness: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Number of its process; another one has kept nothing.
+    /// Identifies the server's process; a new process has an empty cache.
     pub start: u64,
-    /// Time since that process started, in ms; absent: long ago.
+    /// Time since that process started; absent if it was long ago.
     #[serde(default)]
     pub age_ms: Option<f64>,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
--- a/fuzz/fuzz_targets/client_request.rs
+++ b/fuzz/fuzz_targets/client_request.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests in both forms: no panic, and what was read can be answered in its form.
+//! Parses request bodies of both APIs: no input panics, and every outcome can be encoded as a JSON response.
 #![no_main]
 
 use std::rc::Rc;
@@ -21,16 +21,16 @@
                 };
                 let usage = Usage { input_tokens: 1, cached_tokens: 0, output_tokens: 1 };
                 let answer = Answer { text: prompt, stop: Stop::MaxTokens, usage };
-                let whole = encoder.encode_answer(&answer);
-                assert!(serde_json::from_str::<serde_json::Value>(&whole).is_ok());
+                let body = encoder.encode_answer(&answer);
+                assert!(serde_json::from_str::<serde_json::Value>(&body).is_ok());
             }
             Err(error) => {
-                let text = dialect.error(&error, "0.1.2");
-                assert!(serde_json::from_str::<serde_json::Value>(&text).is_ok());
+                let body = dialect.error(&error, "0.1.2");
+                assert!(serde_json::from_str::<serde_json::Value>(&body).is_ok());
             }
         }
     }
-    // What may be answered may be counted.
+    // Every valid request is also valid for counting its tokens.
     let messages = Dialect::published();
     if messages.parse(data).is_ok() {
         assert!(messages.parse_to_count(data).is_ok());
--- a/fuzz/fuzz_targets/engine_stream.rs
+++ b/fuzz/fuzz_targets/engine_stream.rs
@@ -1,4 +1,4 @@
-//! Streams of a model server: the same events however the bytes are cut, and no panic on what they say.
+//! Parses streams of a model server: the events are the same at any split of the bytes, and no input panics.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -6,32 +6,33 @@
 
 fn events(parts: &[&[u8]]) -> (Vec<SseData>, Option<String>) {
     let mut reader = SseReader::new(256);
-    let mut seen = Vec::new();
+    let mut read = Vec::new();
     for part in parts {
         reader.push(part);
         loop {
             match reader.next_event() {
-                Ok(Some(data)) => seen.push(data),
+                Ok(Some(data)) => read.push(data),
                 Ok(None) => break,
-                Err(cause) => return (seen, Some(cause)),
+                Err(cause) => return (read, Some(cause)),
             }
         }
     }
-    (seen, None)
+    (read, None)
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((cut, stream)) = data.split_first() else { return };
-    let at = usize::from(*cut).min(stream.len());
+    let Some((split, stream)) = data.split_first() else { return };
+    let at = usize::from(*split).min(stream.len());
     let whole = events(&[stream]);
-    let parts = events(&[&stream[..at], &stream[at..]]);
+    let halves = events(&[&stream[..at], &stream[at..]]);
     let bytes: Vec<_> = stream.chunks(1).collect();
     let singly = events(&bytes);
-    assert_eq!(whole, parts);
+    assert_eq!(whole, halves);
     assert_eq!(whole, singly);
     for data in whole.0 {
         if let SseData::Json(text) = data {
-            let _ = serde_json::from_str::<Completion>(&text).map(|said| said.usage.map(|usage| usage.cached()));
+            let _ = serde_json::from_str::<Completion>(&text)
+                .map(|completion| completion.usage.map(|usage| usage.cached()));
         }
     }
     if let Ok(text) = std::str::from_utf8(stream) {
