--- a/crates/sockets/src/backlog.rs
+++ b/crates/sockets/src/backlog.rs
@@ -1,4 +1,4 @@
-//! Connections that the system has accepted for a listener that is about to close.
+//! Closing a listener without resetting the connections in its backlog.
 
 use std::io::ErrorKind;
 use std::time::Duration;
@@ -8,30 +8,31 @@
 
 use crate::transient::Shortage;
 
-/// Connections that the system may have accepted by the time the listener closes.
-const WAITING: usize = 4096;
-/// Failed tries to take them, in all, and the pause after one.
-const FAILURES: usize = 100;
-const AGAIN: Duration = Duration::from_millis(5);
+/// Most connections that are accepted from the backlog of a listener that closes.
+const MAX_BACKLOG: usize = 4096;
+/// Most failed calls of `accept` in all, and the delay after one.
+const MAX_ACCEPT_FAILURES: usize = 100;
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Hands over those whom the system has accepted but nobody has taken, then closes the listener: closing it at once would
-/// reset them, and with them requests that they have sent. Asks the system itself, so that nothing comes between the last
-/// answer and the close. Where it is short of something it is asked again for a while.
-pub async fn close_listener(listener: TcpListener, mut admit: impl FnMut(TcpStream)) {
+/// Accepts all connections in the listener's backlog, then closes it. Closing it at once would reset them,
+/// together with requests that clients have already sent. Calls `accept` directly rather than through the
+/// runtime, so that the listener closes right after the call that finds the backlog empty. Retries a limited
+/// number of times while the system lacks resources.
+pub async fn close_listener(listener: TcpListener, mut handle_connection: impl FnMut(TcpStream)) {
     let Ok(listener) = listener.into_std() else { return };
-    let (mut admitted, mut failed) = (0, 0);
-    while admitted < WAITING && failed < FAILURES {
+    let (mut accepted, mut failed) = (0, 0);
+    while accepted < MAX_BACKLOG && failed < MAX_ACCEPT_FAILURES {
         match listener.accept() {
             Ok((stream, _)) => {
-                admitted += 1;
+                accepted += 1;
                 let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                stream.into_iter().for_each(&mut admit);
+                stream.into_iter().for_each(&mut handle_connection);
             }
             Err(cause) if cause.kind() == ErrorKind::WouldBlock => return,
             Err(cause) => {
                 failed += 1;
                 if Shortage::of(&cause) != Some(Shortage::Transient) {
-                    sleep(AGAIN).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
--- a/crates/sockets/src/lib.rs
+++ b/crates/sockets/src/lib.rs
@@ -1,5 +1,5 @@
-//! TCP sockets of a router: a stream that a short count or EINTR does not lead astray, and calls that go on where the
-//! system was short of something for a moment.
+//! TCP sockets of a router: a stream that handles short reads, short writes and EINTR correctly, and calls
+//! that retry while the system lacks resources for a moment.
 
 #![deny(missing_docs)]
 
--- a/crates/sockets/src/stream.rs
+++ b/crates/sockets/src/stream.rs
@@ -1,8 +1,9 @@
-//! A TCP stream that waits only when the system says that there is nothing to do.
+//! A TCP stream that waits only after EAGAIN.
 //!
-//! The runtime's own `poll_read` and `poll_write` take a count below what was asked for as a sign that the socket is
-//! empty or full, and wait for its next edge. The system owes no such sign: a call may come back short for any reason,
-//! and then the edge does not come. Here only EAGAIN makes a task wait, and EINTR is tried again.
+//! The runtime's own `poll_read` and `poll_write` interpret a count below the requested one as an empty or
+//! full socket and wait for the next edge-triggered event. The system gives no such guarantee: a call may
+//! return a short count for any reason, and then the event never occurs. Here a task waits only after EAGAIN,
+//! and a call that failed with EINTR is repeated.
 
 use std::io::{ErrorKind, IoSlice, Result};
 use std::mem::MaybeUninit;
@@ -15,10 +16,10 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Bytes read from a socket at a time.
+/// Size of the buffer space that is reserved for one read.
 pub const READ_BYTES: usize = 8 * 1024;
 
-/// A connected TCP socket; see the module.
+/// A connected TCP socket; the module describes how it differs from the runtime's stream.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
@@ -28,8 +29,8 @@
     }
 }
 
-/// What needs no buffer goes to the runtime's stream. It can't be borrowed mutably, so that its own reads and writes
-/// can't be used by mistake.
+/// Gives access to the methods of the runtime's stream that need no buffer. There is no mutable access, so
+/// that its own reads and writes can't be used by mistake.
 impl Deref for Stream {
     type Target = TcpStream;
 
@@ -38,21 +39,22 @@
     }
 }
 
-/// Whether the call is to be made again at once, without waiting.
+/// Whether the call was interrupted and must be repeated at once.
 fn interrupted<T>(result: &Result<T>) -> bool {
     matches!(result, Err(cause) if cause.kind() == ErrorKind::Interrupted)
 }
 
-/// Whether the system has nothing to give or no room.
+/// Whether the socket has no data to read or no space to write.
 fn would_block<T>(result: &Result<T>) -> bool {
     matches!(result, Err(cause) if cause.kind() == ErrorKind::WouldBlock)
 }
 
 impl Stream {
-    /// Waits for bytes without holding a buffer meanwhile; 0 at the end of the connection.
+    /// Reads some bytes; 0 at the end of the connection. Reserves buffer space only once the socket is
+    /// readable, so that idle connections need none.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection failed.
     pub async fn read_some(&self, bytes: &mut BytesMut) -> Result<usize> {
         loop {
             self.0.readable().await?;
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Looks at one byte. Asks the system itself: the runtime knows of what came only once it has polled for events.
+    /// Peeks at one byte. Calls the system directly: the runtime learns of received data only when it polls
+    /// for events.
     fn peek_now(&self) -> Result<usize> {
         loop {
             let peeked = SockRef::from(&self.0).peek(&mut [MaybeUninit::uninit()]);
@@ -74,18 +77,18 @@
         }
     }
 
-    /// Whether bytes have come that nobody has read.
+    /// Whether received bytes are waiting to be read.
     pub fn has_unread_bytes(&self) -> bool {
         matches!(self.peek_now(), Ok(waiting) if waiting > 0)
     }
 
-    /// Whether nothing has come, neither bytes nor the end of the connection.
+    /// Whether neither bytes nor the end of the connection have been received.
     pub fn is_idle(&self) -> bool {
         would_block(&self.peek_now())
     }
 
-    /// Tries a write again and again until it does something or would block.
-    fn poll_with(
+    /// Repeats `write` until it succeeds, fails, or has to wait because it would block.
+    fn poll_write_with(
         &self,
         context: &mut Context<'_>,
         write: impl Fn(&TcpStream) -> Result<usize>,
@@ -118,7 +121,7 @@
 
 impl AsyncWrite for Stream {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
-        self.poll_with(context, |stream| stream.try_write(bytes))
+        self.poll_write_with(context, |stream| stream.try_write(bytes))
     }
 
     fn poll_write_vectored(
@@ -126,7 +129,7 @@
         context: &mut Context<'_>,
         parts: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.poll_with(context, |stream| stream.try_write_vectored(parts))
+        self.poll_write_with(context, |stream| stream.try_write_vectored(parts))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/sockets/src/transient.rs
+++ b/crates/sockets/src/transient.rs
@@ -1,4 +1,4 @@
-//! Calls that fail for a moment: what was short, and when to try again.
+//! Socket calls that fail transiently: classification of the errors, and retries.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
@@ -10,19 +10,21 @@
 
 use crate::stream::Stream;
 
-/// What a failed `accept`, `socket`, `bind` or `connect` says of this machine rather than of the other side.
+/// A failure of `accept`, `socket`, `bind` or `connect` whose cause is on this machine rather than at the
+/// peer, or that the next call may not repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
-    /// This process holds as many descriptors as it may: one given back helps.
+    /// This process has reached its limit of descriptors: closing one helps.
     OwnDescriptors,
-    /// The machine is short of descriptors, buffers, memory or local addresses: waiting helps.
+    /// The machine lacks descriptors, buffers, memory or local addresses: waiting helps.
     Machine,
-    /// Nothing was short: the call was interrupted, or whoever knocked has gone. The next call may do.
+    /// No resource is lacking: the call was interrupted, or the connecting peer has left. The next call may
+    /// succeed.
     Transient,
 }
 
 impl Shortage {
-    /// What an error says; none where it speaks of the other side or of a mistake.
+    /// Classifies an error; None if its cause is the peer or a wrong call.
     pub fn of(cause: &Error) -> Option<Shortage> {
         match cause.raw_os_error()? {
             libc::EMFILE => Some(Shortage::OwnDescriptors),
@@ -33,52 +35,52 @@
     }
 }
 
-/// Between two tries of a call that failed for want of something, in ms.
-const AGAIN: Duration = Duration::from_millis(3);
-/// For how long an address that is in use, or a machine that is short of something, is waited for.
-const BIND_WITHIN: Duration = Duration::from_secs(8);
-/// For how long a machine that is short of something is waited for by who connects; callers wait less.
-const SHORT_WITHIN: Duration = Duration::from_secs(10);
-/// For how long a way that is not there for a moment is looked for.
-const WAY_WITHIN: Duration = Duration::from_millis(25);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(3);
+/// Longest time of retries while an address is in use or the machine lacks resources.
+const BIND_RETRY_LIMIT: Duration = Duration::from_secs(8);
+/// Longest time of retries of `connect` while the machine lacks resources; callers have shorter timeouts.
+const SHORTAGE_RETRY_LIMIT: Duration = Duration::from_secs(10);
+/// Longest time of retries of `connect` while there is no route to the address.
+const NO_ROUTE_RETRY_LIMIT: Duration = Duration::from_millis(25);
 
-/// Makes a call again while it fails for a reason that may pass, at most for so long.
-async fn again<T, F: Future<Output = Result<T>>>(
-    within: Duration,
-    may_pass: impl Fn(&Error) -> bool,
+/// Repeats a call while it fails transiently, for at most `limit`.
+async fn retry<T, F: Future<Output = Result<T>>>(
+    limit: Duration,
+    is_transient: impl Fn(&Error) -> bool,
     call: impl Fn() -> F,
 ) -> Result<T> {
-    let until = Instant::now() + within;
+    let deadline = Instant::now() + limit;
     loop {
         match call().await {
-            Err(cause) if may_pass(&cause) && Instant::now() < until => sleep(AGAIN).await,
-            done => return done,
+            Err(cause) if is_transient(&cause) && Instant::now() < deadline => sleep(RETRY_DELAY).await,
+            result => return result,
         }
     }
 }
 
-/// Listens on an address; goes on for some seconds where it is still in use or the machine is short of something.
+/// Listens on an address; retries for some seconds while it is in use or the machine lacks resources.
 ///
 /// # Errors
 /// The address can't be listened on.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener> {
-    let may_pass = |cause: &Error| cause.kind() == ErrorKind::AddrInUse || Shortage::of(cause).is_some();
-    again(BIND_WITHIN, may_pass, || TcpListener::bind(address)).await
+    let is_transient = |cause: &Error| cause.kind() == ErrorKind::AddrInUse || Shortage::of(cause).is_some();
+    retry(BIND_RETRY_LIMIT, is_transient, || TcpListener::bind(address)).await
 }
 
-/// Connects. Goes on where this machine is short of something, for as long as the caller waits, and for a moment where
-/// there is no way to the address.
+/// Connects. Retries while this machine lacks resources, for as long as the caller waits, and for a moment
+/// while there is no route to the address.
 ///
 /// # Errors
-/// The connection did not come up.
+/// The connection could not be established.
 pub async fn connect(address: SocketAddr) -> Result<Stream> {
-    let began = Instant::now();
-    let may_pass = |cause: &Error| {
-        let no_way = matches!(cause.kind(), ErrorKind::NetworkUnreachable | ErrorKind::HostUnreachable);
-        let short = matches!(Shortage::of(cause), Some(Shortage::Machine | Shortage::Transient));
-        short || no_way && began.elapsed() < WAY_WITHIN
+    let started = Instant::now();
+    let is_transient = |cause: &Error| {
+        let no_route = matches!(cause.kind(), ErrorKind::NetworkUnreachable | ErrorKind::HostUnreachable);
+        let shortage = matches!(Shortage::of(cause), Some(Shortage::Machine | Shortage::Transient));
+        shortage || no_route && started.elapsed() < NO_ROUTE_RETRY_LIMIT
     };
-    let stream = again(SHORT_WITHIN, may_pass, || TcpStream::connect(address)).await?;
+    let stream = retry(SHORTAGE_RETRY_LIMIT, is_transient, || TcpStream::connect(address)).await?;
     let _ = stream.set_nodelay(true);
     Ok(stream.into())
 }
