--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -21,6 +21,7 @@
     1.0
 }
 
+/// The configuration as it is written in the file.
 #[derive(Deserialize)]
 struct Wire {
     name: String,
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -8,6 +8,7 @@
 use crate::settings::PlatformSettings;
 use crate::start_times::StartTimes;
 
+/// A list under the platform's names.
 #[derive(Default, Deserialize)]
 pub(crate) struct Hosts {
     seq: u64,
@@ -30,6 +31,7 @@
     health: String,
     #[serde(default = "default_share")]
     share: f64,
+    /// Wall-clock time of the server's start in ms since 1970; 0 for long ago.
     #[serde(default)]
     born_ms: f64,
 }
@@ -46,6 +48,7 @@
     pub address: Option<SocketAddr>,
 }
 
+/// A list, or the changes since a version, with the ids that the routing decisions use.
 #[derive(Clone, Debug, Default)]
 pub struct List {
     pub version: u64,
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -9,6 +9,7 @@
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     pub settings: interface::Settings,
+    /// Names by the row that the routing decisions use as their id; likewise the next three.
     pub workloads: Vec<String>,
     pub customers: Vec<String>,
     pub zones: Vec<String>,
@@ -25,6 +26,7 @@
     pub reports: bool,
 }
 
+/// The settings object under the platform's names; [`convert`] maps them to the project's terms.
 #[derive(Deserialize)]
 pub(crate) struct Conf {
     balancers: usize,
