--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use bytes::Bytes;
-use paddleproxy_messages::{Answer, ApiError, Encoder, ErrorKind, Piece, Stop, Usage};
+use paddleproxy_messages::{Answer, ApiError, Encoder, ErrorKind, Stop, StreamItem, Usage};
 use paddleproxy_routing::{IdempotencyKeys, Key};
 use tokio::sync::mpsc;
 
@@ -175,7 +175,7 @@
     }
 
     pub async fn start(&mut self, usage: Usage) -> Result<(), ClientDisconnected> {
-        let events = self.encoder.piece(&Piece::Start(usage));
+        let events = self.encoder.encode_item(&StreamItem::Start(usage));
         self.push(events).await
     }
 
@@ -183,12 +183,13 @@
         if self.guard.is_some() {
             self.text_so_far.extend(texts.iter().map(String::as_str));
         }
-        let events: String = texts.iter().map(|text| self.encoder.piece(&Piece::Text(text))).collect();
+        let events: String =
+            texts.iter().map(|text| self.encoder.encode_item(&StreamItem::Text(text))).collect();
         self.push(events).await
     }
 
     pub async fn ping(&mut self) -> Result<(), ClientDisconnected> {
-        let events = self.encoder.piece(&Piece::Ping);
+        let events = self.encoder.encode_item(&StreamItem::Ping);
         self.push(events).await
     }
 
@@ -197,12 +198,12 @@
             let text = std::mem::take(&mut self.text_so_far);
             guard.answered(Answer { text, stop: stop.clone(), usage });
         }
-        let events = self.encoder.piece(&Piece::End(&stop, usage));
+        let events = self.encoder.encode_item(&StreamItem::End(&stop, usage));
         self.end(events).await
     }
 
     pub async fn fail(mut self, message: &str) {
-        let events = self.encoder.piece(&Piece::Error(&ApiError::new(ErrorKind::Api, message)));
+        let events = self.encoder.encode_item(&StreamItem::Error(&ApiError::new(ErrorKind::Api, message)));
         let _ = self.end(events).await;
     }
 
@@ -223,7 +224,7 @@
         }
         self.dropped_answers.set(self.dropped_answers.get() + 1);
         let error = ApiError::new(ErrorKind::Api, "the answer was lost inside the router");
-        let event = Bytes::from(self.encoder.piece(&Piece::Error(&error)));
+        let event = Bytes::from(self.encoder.encode_item(&StreamItem::Error(&error)));
         self.ended.set(sender.try_send(event).is_ok());
     }
 }
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -382,8 +382,8 @@
             return;
         }
         let load = LoadReport {
-            active_requests: load.metric(wire::IN_HAND),
-            queue: load.metric(wire::QUEUE),
+            active_requests: load.metric(wire::RUNNING_REQUESTS),
+            queue: load.metric(wire::WAITING_REQUESTS),
             slots_share: load.application_utilization,
             latency_ms: None,
             memory_share: load.mem_utilization,
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -330,9 +330,9 @@
         let mut admission = self.enter(customer)?;
         let bytes = self.read_body(body).await?;
         let parsed = dialect.parse(&bytes)?;
-        let key = header(&head, wire::EFFECT_KEY)?.filter(|key| !key.is_empty());
+        let key = header(&head, wire::IDEMPOTENCY_KEY)?.filter(|key| !key.is_empty());
         if key.is_some_and(|key| key.len() > 256) {
-            return Err(ApiError::invalid(format!("{}: at most 256 bytes", wire::EFFECT_KEY)));
+            return Err(ApiError::invalid(format!("{}: at most 256 bytes", wire::IDEMPOTENCY_KEY)));
         }
         let facts = {
             let classifier = self.classifier.borrow();
@@ -349,7 +349,7 @@
             id,
             model: Rc::from(parsed.model.as_str()),
             created: (wall_ms() / 1e3) as u64,
-            tells_usage: parsed.stream_usage,
+            include_usage: parsed.stream_usage,
         };
         let prompt = parsed.prompt();
         let mut guard = None;
@@ -406,7 +406,7 @@
             other => {
                 disconnect.core = None;
                 match other {
-                    Ok(Reply::Whole(answer)) => Ok(json_response(encoder.whole(&answer))),
+                    Ok(Reply::Whole(answer)) => Ok(json_response(encoder.encode_answer(&answer))),
                     Ok(Reply::Error(refused)) => Err(refused),
                     _ => Err(ApiError::new(ErrorKind::Api, "the router stops")),
                 }
@@ -538,12 +538,15 @@
     answer: &paddleproxy_messages::Answer,
     streamed: bool,
 ) -> Response<ReplyBody> {
-    use paddleproxy_messages::Piece;
+    use paddleproxy_messages::StreamItem;
     if !streamed {
-        return json_response(encoder.whole(answer));
+        return json_response(encoder.encode_answer(answer));
     }
-    let pieces =
-        [Piece::Start(answer.usage), Piece::Text(&answer.text), Piece::End(&answer.stop, answer.usage)];
-    let events: String = pieces.iter().map(|piece| encoder.piece(piece)).collect();
+    let pieces = [
+        StreamItem::Start(answer.usage),
+        StreamItem::Text(&answer.text),
+        StreamItem::End(&answer.stop, answer.usage),
+    ];
+    let events: String = pieces.iter().map(|piece| encoder.encode_item(piece)).collect();
     response_with(200, "text/event-stream", events)
 }
