--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -9,7 +9,7 @@
 use paddleproxy_platform::head::{self, Fault, Framing, RequestHead};
 use paddleproxy_platform::{request, Chunks, BODY_BYTES};
 use paddleproxy_router::clock::duration;
-use paddleproxy_router::duty::Duty;
+use paddleproxy_router::pending_answer::PendingAnswer;
 use paddleproxy_sockets::Stream;
 use tokio::io::{AsyncWriteExt, Interest};
 use tokio::sync::mpsc;
@@ -326,7 +326,7 @@
             return Ok(Err(Fault::new(400, "Req-Id is that of a request that is open")));
         };
         frontend.next_completion.set(completion.0.wrapping_add(1));
-        let (duty, mut reply) = Duty::new(frontend.dropped.clone());
+        let (duty, mut reply) = PendingAnswer::new(frontend.dropped.clone());
         let client = Rc::new(ClientPresence::default());
         let RequestHead { method, target, fields, .. } = head;
         let idempotency_key = fields.idempotency_key;
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -10,9 +10,9 @@
 use paddleproxy::interface::*;
 use paddleproxy_engine::StateReference;
 use paddleproxy_platform::{report, List, Provision};
-use paddleproxy_router::book::Book;
 use paddleproxy_router::clock::Clock;
-use paddleproxy_router::duty::Duty;
+use paddleproxy_router::pending_answer::PendingAnswer;
+use paddleproxy_router::timed_ledger::TimedLedger;
 use paddleproxy_routing::{Effect, Input, Ledger, OutgoingDispatch, SocketEnd, Withdrawal};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -26,11 +26,11 @@
 
 /// Lives as long as the router.
 pub struct Core {
-    ledger: Book,
+    ledger: TimedLedger,
     provision: Rc<Provision>,
     pool: Rc<Pool>,
     /// Answers that clients wait for. Each is consumed by giving it.
-    pending_answers: BTreeMap<CompletionId, Duty<Reply>>,
+    pending_answers: BTreeMap<CompletionId, PendingAnswer<Reply>>,
     requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
     /// Commands to the running attempts.
     commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
@@ -58,7 +58,7 @@
         let directory = Rc::new(RefCell::new(ServerDirectory::new(provision.settings.zone)));
         let releases = Rc::new(Releases::new(pool.clone(), directory.clone(), clock, seed));
         Core {
-            ledger: Book::new(clock, ledger),
+            ledger: TimedLedger::new(clock, ledger),
             provision,
             pool,
             pending_answers: BTreeMap::new(),
@@ -118,7 +118,7 @@
             CoreEvent::Left { completion } => {
                 debug!(completion = completion.0, "client disconnected");
                 // Nobody waits for this answer any more, so it must not be counted as dropped.
-                self.pending_answers.remove(&completion).into_iter().for_each(Duty::void);
+                self.pending_answers.remove(&completion).into_iter().for_each(PendingAnswer::cancel);
                 self.handle_input(Input::Left { completion });
             }
             CoreEvent::Probed { worker, load, answered, took_ms } => {
@@ -236,12 +236,12 @@
                 if let Some(commands) = self.commands.get(&(completion, seq)) {
                     let _ = commands.try_send(AttemptCommand::Grant(sender));
                 }
-                pending.give(Reply::Stream(receiver));
+                pending.send(Reply::Stream(receiver));
             }
             Effect::RateLimit { completion, retry_after_ms } => {
                 debug!(completion = completion.0, retry_after_ms, "request rate-limited");
                 let pending = self.pending_answers.remove(&completion);
-                pending.into_iter().for_each(|answer| answer.give(Reply::RateLimited { retry_after_ms }));
+                pending.into_iter().for_each(|answer| answer.send(Reply::RateLimited { retry_after_ms }));
             }
             // `Deliver` never occurs here: this router's answers are all streams, which are granted instead.
             Effect::Abort { completion } | Effect::Deliver { completion, .. } => {
@@ -249,7 +249,7 @@
                 self.pending_answers
                     .remove(&completion)
                     .into_iter()
-                    .for_each(|answer| answer.give(Reply::Aborted));
+                    .for_each(|answer| answer.send(Reply::Aborted));
             }
             Effect::Forget { completion } => {
                 self.pending_answers.remove(&completion);
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -8,7 +8,7 @@
 use paddleproxy::shutdown::Shutdown;
 use paddleproxy_platform::Provision;
 use paddleproxy_router::clock::{duration, Clock};
-use paddleproxy_router::duty::Dropped;
+use paddleproxy_router::pending_answer::DroppedAnswers;
 use paddleproxy_sockets::{close_listener, Shortage};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Notify};
@@ -103,7 +103,7 @@
     /// Set during a shutdown.
     shutdown: Cell<Option<Shutdown>>,
     /// Number of requests whose pending answer was dropped; their clients get `Reply::Aborted`.
-    pub dropped: Dropped,
+    pub dropped: DroppedAnswers,
     pub next_completion: Cell<u32>,
     next_connection: Cell<u64>,
     connections: RefCell<BTreeMap<u64, ConnectionEntry>>,
--- a/crates/gateway/src/frontend/tests.rs
+++ b/crates/gateway/src/frontend/tests.rs
@@ -50,7 +50,7 @@
                 let CoreEvent::Arrived { pending_answer, .. } = event else { continue };
                 count.set(count.get() + 1);
                 let _ = enabled.wait_for(|enabled| *enabled).await;
-                pending_answer.give(Reply::RateLimited { retry_after_ms: 100.0 });
+                pending_answer.send(Reply::RateLimited { retry_after_ms: 100.0 });
             }
         });
         let frontend = Rc::new(Frontend::new(Clock::start(), core, provision, shares, lifecycle_changes));
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -7,14 +7,14 @@
 use bytes::Bytes;
 use paddleproxy::interface::*;
 use paddleproxy_platform::{List, Provision};
-use paddleproxy_router::duty::{Answers, Duty};
+use paddleproxy_router::pending_answer::{LostReply, PendingAnswer};
 use paddleproxy_routing::SocketEnd;
 use tokio::sync::{mpsc, oneshot, Notify};
 
 /// Events for the core.
 pub enum CoreEvent {
     /// A client's request was read in full.
-    Arrived { arrival: Arrival, request: Rc<ClientRequest>, pending_answer: Duty<Reply> },
+    Arrived { arrival: Arrival, request: Rc<ClientRequest>, pending_answer: PendingAnswer<Reply> },
     /// An attempt has received the first event of its answer.
     Began { completion: CompletionId, seq: Seq, took_ms: f64 },
     /// An attempt has ended.
@@ -127,7 +127,7 @@
     Stream(mpsc::Receiver<StreamPart>),
 }
 
-impl Answers for Reply {
+impl LostReply for Reply {
     fn lost() -> Self {
         Reply::Aborted
     }
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -12,7 +12,7 @@
 use paddleproxy::interface::*;
 use paddleproxy_platform::List;
 use paddleproxy_router::clock::Clock;
-use paddleproxy_router::letgo::{self, Call};
+use paddleproxy_router::release::{self, CallResult};
 use paddleproxy_routing::{
     DeliveryFailure, Reachability, ReleaseDelivery, ReleaseRoute, SocketEnd, UndeliveredReleases,
     RETRIES_PER_LIMIT,
@@ -148,7 +148,7 @@
             delivery.next_step(now_ms, &self.directory.borrow().reachability)
         };
         let call = |worker| self.call(worker, &path, limit_ms);
-        let Some(worker) = letgo::tell(&mut delivery, self.clock, next, call).await else {
+        let Some(worker) = release::deliver(&mut delivery, self.clock, next, call).await else {
             return self.count_undelivered(&path, &delivery);
         };
         let took_ms = self.clock.now_ms() - started_ms;
@@ -160,20 +160,20 @@
         self.counts.set(counts);
     }
 
-    async fn call(&self, worker: WorkerId, path: &str, limit_ms: f64) -> (WorkerId, Call) {
+    async fn call(&self, worker: WorkerId, path: &str, limit_ms: f64) -> (WorkerId, CallResult) {
         let address = self.directory.borrow().address(&worker);
         let answer = match address {
-            None => Call::Failed(DeliveryFailure::NoWay),
+            None => CallResult::Failed(DeliveryFailure::NoWay),
             Some(address) => match self.pool.call(address, "DELETE", path, limit_ms).await {
-                Ok((head, _)) if head.status < 300 => Call::Heard,
+                Ok((head, _)) if head.status < 300 => CallResult::Acknowledged,
                 Ok(_) | Err(SocketEnd::ConnectRefused | SocketEnd::BrokeBeforeAnswer) => {
-                    Call::Failed(DeliveryFailure::Refused)
+                    CallResult::Failed(DeliveryFailure::Refused)
                 }
-                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => Call::Failed(DeliveryFailure::NoWay),
-                Err(_) => Call::Failed(DeliveryFailure::Silent),
+                Err(SocketEnd::NoAddress | SocketEnd::NoRoom) => CallResult::Failed(DeliveryFailure::NoWay),
+                Err(_) => CallResult::Failed(DeliveryFailure::Silent),
             },
         };
-        let answered = matches!(answer, Call::Heard);
+        let answered = matches!(answer, CallResult::Acknowledged);
         self.directory.borrow_mut().record_call(&worker, answered, self.clock.now_ms());
         (worker, answer)
     }
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -9,7 +9,7 @@
 use paddleproxy_routing::{IdempotencyKeys, Key};
 use tokio::sync::mpsc;
 
-use crate::duty::{Answers, Dropped, Duty};
+use crate::pending_answer::{DroppedAnswers, LostReply, PendingAnswer};
 use crate::state::State;
 
 /// What the client's connection is handed.
@@ -26,7 +26,7 @@
     pub ended: Rc<Cell<bool>>,
 }
 
-impl Answers for Reply {
+impl LostReply for Reply {
     fn lost() -> Self {
         Reply::Error(ApiError::new(ErrorKind::Api, "the answer was lost inside the router"))
     }
@@ -69,11 +69,11 @@
 
 /// The duty to answer one completion, with what is remembered of its key.
 pub struct Owed {
-    reply: Option<Duty<Reply>>,
+    reply: Option<PendingAnswer<Reply>>,
     keyed: Option<Keyed>,
     encoder: Encoder,
     pieces: usize,
-    dropped: Dropped,
+    dropped: DroppedAnswers,
 }
 
 /// Bytes of one piece at most; longer texts are handed on in parts, so that a bound on pieces is one on bytes.
@@ -81,18 +81,18 @@
 
 impl Owed {
     pub fn new(
-        reply: Duty<Reply>,
+        reply: PendingAnswer<Reply>,
         keyed: Option<Keyed>,
         encoder: Encoder,
         pieces: usize,
-        dropped: Dropped,
+        dropped: DroppedAnswers,
     ) -> Self {
         Owed { reply: Some(reply), keyed, encoder, pieces, dropped }
     }
 
     fn give(&mut self, reply: Reply) {
         if let Some(duty) = self.reply.take() {
-            duty.give(reply);
+            duty.send(reply);
         }
     }
 
@@ -118,7 +118,7 @@
     /// For a client who has left: nobody waits for an answer.
     pub fn void(mut self) {
         self.keyed.take().into_iter().for_each(Keyed::lost);
-        self.reply.take().into_iter().for_each(Duty::void);
+        self.reply.take().into_iter().for_each(PendingAnswer::cancel);
     }
 
     pub fn begin(mut self) -> Stream {
@@ -155,7 +155,7 @@
     /// All texts, where a key wants them remembered.
     said: String,
     encoder: Encoder,
-    dropped: Dropped,
+    dropped: DroppedAnswers,
 }
 
 impl Stream {
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -24,21 +24,21 @@
 use tracing::{debug, info, warn};
 
 use crate::answer::Owed;
-use crate::book::Book;
 use crate::clock::{duration, Clock};
 use crate::dispatch::{request_id, Dispatch};
 use crate::engines::Engines;
 use crate::failover::{self, Desked};
-use crate::letgo::{self, Call};
 use crate::list::ListWord;
 use crate::peers;
+use crate::release::{self, CallResult};
 use crate::state::{Left, State};
+use crate::timed_ledger::TimedLedger;
 use crate::words::{Ask, End, Known, Status, ToCore, Told, Word};
 
 pub struct Core {
     settings: Rc<RouterSettings>,
     boot: u64,
-    book: Book,
+    book: TimedLedger,
     membership: Membership,
     engines: Rc<Engines>,
     owed: BTreeMap<CompletionId, Owed>,
@@ -80,7 +80,10 @@
         let roles = decisions.kinds.iter().map(|kind| kind.role);
         let kinds = settings.names.kinds.iter().cloned().zip(roles).collect();
         Core {
-            book: Book::new(clock, Ledger::new(decisions.clone(), settings.front.answer_slack_ms, seed)),
+            book: TimedLedger::new(
+                clock,
+                Ledger::new(decisions.clone(), settings.front.answer_slack_ms, seed),
+            ),
             membership: Membership::new(settings.names.zones.clone(), kinds, settings.membership),
             boot,
             engines,
@@ -493,11 +496,13 @@
             let call = |worker| {
                 let answer = engines.call(address, Method::POST, wire::RELEASE, body.clone(), limit_ms, 4096);
                 answer.map(|answer| match answer {
-                    Ok((status, _, _)) if status < 500 => (worker, Call::Heard),
+                    Ok((status, _, _)) if status < 500 => (worker, CallResult::Acknowledged),
                     // Who refuses connections does not run, and holds nothing.
-                    Err(SocketEnd::ConnectRefused) => (worker, Call::Over(DeliveryFailure::Refused)),
-                    Ok(_) => (worker, Call::Failed(DeliveryFailure::Refused)),
-                    Err(_) => (worker, Call::Failed(DeliveryFailure::Silent)),
+                    Err(SocketEnd::ConnectRefused) => {
+                        (worker, CallResult::NothingHeld(DeliveryFailure::Refused))
+                    }
+                    Ok(_) => (worker, CallResult::Failed(DeliveryFailure::Refused)),
+                    Err(_) => (worker, CallResult::Failed(DeliveryFailure::Silent)),
                 })
             };
             // Here only the holder can let go, so there is nobody to spread over.
@@ -506,7 +511,7 @@
             let mut telling =
                 ReleaseDelivery::new(worker.clone(), ReleaseRoute::HolderOnly, 0, limit_ms, tries, now_ms);
             let next = |telling: &mut ReleaseDelivery, now_ms| telling.next_step(now_ms, &hearing);
-            if letgo::tell(&mut telling, clock, next, call).await.is_none() {
+            if release::deliver(&mut telling, clock, next, call).await.is_none() {
                 let cause = telling.worst_failure().unwrap_or(DeliveryFailure::NoWay);
                 if unheard.record(cause, clock.now_ms()) {
                     let (cause, calls, unheard) = (cause.name(), telling.calls(), unheard.counts());
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -156,7 +156,7 @@
     if stop {
         words.try_send(Word::Stop).ok().unwrap();
     }
-    let (duty, client) = crate::duty::Duty::new(Rc::default());
+    let (duty, client) = crate::pending_answer::PendingAnswer::new(Rc::default());
     let (dialect, id, model) = (paddleproxy_messages::Dialect::published(), "i".into(), "m".into());
     let encoder = paddleproxy_messages::Encoder { dialect, id, model, created: 0, tells_usage: true };
     let mut owed = Some(Owed::new(duty, None, encoder, 64, Rc::default()));
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -31,8 +31,8 @@
 
 use crate::answer::{Keyed, Owed, Pieces, Reply};
 use crate::clock::{duration, wall_ms, Clock};
-use crate::duty::{Dropped, Duty};
 use crate::peers::ToFellows;
+use crate::pending_answer::{DroppedAnswers, PendingAnswer};
 use crate::polite::Polite;
 use crate::state::{Left, State};
 use crate::words::Ask;
@@ -53,7 +53,7 @@
     pub connections: Cell<usize>,
     /// Names a router's answers: router and start.
     pub prefix: String,
-    pub dropped: Dropped,
+    pub dropped: DroppedAnswers,
     /// Connections closed at once because there were too many.
     pub connections_refused: Cell<u64>,
     /// Requests answered from memory because an earlier one with their key had finished, and those refused by key.
@@ -370,7 +370,7 @@
             effect_key: key.map(|key| self.requests.borrow().effect_key(customer, key)),
             model: asked.model,
         };
-        let (duty, answer) = Duty::new(self.dropped.clone());
+        let (duty, answer) = PendingAnswer::new(self.dropped.clone());
         let owed =
             Owed::new(duty, keyed, encoder.clone(), self.settings.pieces_waiting, self.dropped.clone());
         let mut leave = Leave { completion, core: Some(self.core.clone()) };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -3,21 +3,21 @@
 
 mod admin;
 mod answer;
-pub mod book;
 pub mod clock;
 mod core;
 mod dispatch;
-pub mod duty;
 mod engines;
 mod failover;
 mod files;
 mod front;
-pub mod letgo;
 mod list;
 mod peers;
+pub mod pending_answer;
 mod polite;
+pub mod release;
 mod state;
 mod steady;
+pub mod timed_ledger;
 mod words;
 
 use std::cell::{Cell, RefCell};
--- a/crates/router/src/duty.rs
+++ b/crates/router/src/pending_answer.rs
@@ -7,37 +7,37 @@
 use tokio::sync::oneshot;
 
 /// Answers that were dropped instead of given; 0 in a router without a fault.
-pub type Dropped = Rc<Cell<u64>>;
+pub type DroppedAnswers = Rc<Cell<u64>>;
 
 /// What can be owed.
-pub trait Answers {
+pub trait LostReply {
     /// What is given where nothing was.
     fn lost() -> Self;
 }
 
-pub struct Duty<R: Answers> {
+pub struct PendingAnswer<R: LostReply> {
     reply: Option<oneshot::Sender<R>>,
-    dropped: Dropped,
+    dropped: DroppedAnswers,
 }
 
-impl<R: Answers> Duty<R> {
-    pub fn new(dropped: Dropped) -> (Self, oneshot::Receiver<R>) {
+impl<R: LostReply> PendingAnswer<R> {
+    pub fn new(dropped: DroppedAnswers) -> (Self, oneshot::Receiver<R>) {
         let (reply, waits) = oneshot::channel();
-        (Duty { reply: Some(reply), dropped }, waits)
+        (PendingAnswer { reply: Some(reply), dropped }, waits)
     }
 
-    pub fn give(mut self, reply: R) {
+    pub fn send(mut self, reply: R) {
         // A client that has left takes no answer.
         let _ = self.reply.take().map(|sender| sender.send(reply));
     }
 
     /// For a client who has left: nobody waits for an answer.
-    pub fn void(mut self) {
+    pub fn cancel(mut self) {
         self.reply = None;
     }
 }
 
-impl<R: Answers> Drop for Duty<R> {
+impl<R: LostReply> Drop for PendingAnswer<R> {
     fn drop(&mut self) {
         if let Some(sender) = self.reply.take() {
             self.dropped.set(self.dropped.get() + 1);
--- a/crates/router/src/duty/tests.rs
+++ b/crates/router/src/pending_answer/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Answers for &'static str {
+impl LostReply for &'static str {
     fn lost() -> Self {
         "lost"
     }
@@ -10,15 +10,15 @@
 
 #[test]
 fn a_forgotten_answer_is_given_and_counted() {
-    let dropped = Dropped::default();
-    let (duty, mut waits) = Duty::new(dropped.clone());
-    duty.give("here");
+    let dropped = DroppedAnswers::default();
+    let (duty, mut waits) = PendingAnswer::new(dropped.clone());
+    duty.send("here");
     assert_eq!((waits.try_recv(), dropped.get()), (Ok("here"), 0));
-    let (duty, mut waits) = Duty::<&'static str>::new(dropped.clone());
+    let (duty, mut waits) = PendingAnswer::<&'static str>::new(dropped.clone());
     drop(duty);
     assert_eq!((waits.try_recv(), dropped.get()), (Ok("lost"), 1));
-    let (duty, mut waits) = Duty::<&'static str>::new(dropped.clone());
-    duty.void();
+    let (duty, mut waits) = PendingAnswer::<&'static str>::new(dropped.clone());
+    duty.cancel();
     assert!(waits.try_recv().is_err());
     assert_eq!(dropped.get(), 1);
 }
--- a/crates/router/src/letgo.rs
+++ b/crates/router/src/release.rs
@@ -10,15 +10,15 @@
 use crate::clock::Clock;
 
 /// What one call came to.
-pub enum Call {
-    Heard,
+pub enum CallResult {
+    Acknowledged,
     Failed(DeliveryFailure),
     /// Nothing is held there any more, so that nobody has to be told.
-    Over(DeliveryFailure),
+    NothingHeld(DeliveryFailure),
 }
 
 /// Who heard it; none where it is given up or over.
-pub async fn tell<C: Future<Output = (WorkerId, Call)>>(
+pub async fn deliver<C: Future<Output = (WorkerId, CallResult)>>(
     telling: &mut ReleaseDelivery,
     clock: Clock,
     next: impl Fn(&mut ReleaseDelivery, f64) -> DeliveryStep,
@@ -40,9 +40,9 @@
             () = sleep_until(clock.at(until_ms)) => continue,
         };
         match answer {
-            Call::Heard => return Some(worker),
-            Call::Failed(deaf) => telling.failed(&worker, deaf),
-            Call::Over(deaf) => {
+            CallResult::Acknowledged => return Some(worker),
+            CallResult::Failed(deaf) => telling.failed(&worker, deaf),
+            CallResult::NothingHeld(deaf) => {
                 telling.failed(&worker, deaf);
                 return None;
             }
--- a/crates/router/src/book.rs
+++ b/crates/router/src/timed_ledger.rs
@@ -8,15 +8,15 @@
 use crate::clock::{duration, Clock};
 
 /// Lives as long as the router.
-pub struct Book {
+pub struct TimedLedger {
     pub clock: Clock,
     ledger: Ledger,
     timers: DelayQueue<LedgerTimer>,
 }
 
-impl Book {
+impl TimedLedger {
     pub fn new(clock: Clock, ledger: Ledger) -> Self {
-        Book { clock, ledger, timers: DelayQueue::new() }
+        TimedLedger { clock, ledger, timers: DelayQueue::new() }
     }
 
     /// Takes in what happened now; what the sockets are to do, in order. Timers are set already.
