--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -17,10 +17,10 @@
 use tokio::sync::oneshot;
 
 use crate::clock::duration;
+use crate::events::{CoreEvent, CoreStatus};
 use crate::failover::WordFor;
 use crate::front::Front;
 use crate::peers::{self, ToFellows};
-use crate::words::{Status, Told};
 
 /// How long an operator's word on a zone holds where it does not say, in ms.
 const WORD_FOR_MS: f64 = 3_600_000.0;
@@ -46,7 +46,7 @@
     request: Request<hyper::body::Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (sender, receiver) = oneshot::channel();
-    let asked = front.core.send(Told::Ask { status: sender }).await;
+    let asked = front.core.send(CoreEvent::GetStatus { status: sender }).await;
     let status = match asked {
         Ok(()) => receiver.await.ok(),
         Err(_) => None,
@@ -90,7 +90,7 @@
     let gone = || json(StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "the router stops" }));
     if path == "/status" {
         let (sender, receiver) = oneshot::channel();
-        let asked = front.core.send(Told::Members { status: sender }).await;
+        let asked = front.core.send(CoreEvent::GetMembership { status: sender }).await;
         let Some(list) = (match asked {
             Ok(()) => receiver.await.ok(),
             Err(_) => None,
@@ -152,8 +152,8 @@
     let query = request.uri().query().unwrap_or_default();
     let name = query.split('&').find_map(|part| part.strip_prefix("name=")).unwrap_or_default().to_owned();
     let told = match word {
-        Some(word) => Told::Say { server: name.clone(), word, done },
-        None => Told::Accept { done },
+        Some(word) => CoreEvent::OperatorCommand { server: name.clone(), command: word, done },
+        None => CoreEvent::AcceptHeldList { done },
     };
     if front.core.send(told).await.is_err() {
         return gone();
@@ -269,7 +269,7 @@
 #[cfg(not(feature = "allocations"))]
 fn allocations(_: &mut String) {}
 
-fn metrics(front: &Front, status: &Status) -> String {
+fn metrics(front: &Front, status: &CoreStatus) -> String {
     let counts = &status.counts;
     let rows: [(&str, u64); 28] = [
         ("completions_arrived_total", counts.arrived),
@@ -292,18 +292,18 @@
         ("completions_open", status.open as u64),
         ("connections_open", front.connections.get() as u64),
         ("servers_listed", status.servers as u64),
-        ("routers_reckoned", status.reckoned as u64),
+        ("routers_reckoned", status.router_count as u64),
         ("list_version", status.version.unwrap_or(0)),
         ("list_revision", status.revision),
         ("lists_held_total", status.held_total),
-        ("lists_refused_total", status.refused),
+        ("lists_refused_total", status.refused_total),
         ("store_writes_skipped_total", front.state.skipped.get()),
         ("store_writes_failed_total", front.state.failed.get()),
         ("settings_refused_total", front.settings_refused.borrow().0),
     ];
     let mut text: String = rows.iter().map(|(name, value)| format!("paddleproxy_{name} {value}\n")).collect();
     allocations(&mut text);
-    for (cause, count) in status.unheard {
+    for (cause, count) in status.undelivered_releases {
         text.push_str(&format!("paddleproxy_releases_unheard_total{{cause=\"{cause}\"}} {count}\n"));
     }
     for reason in RejectReason::ALL {
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -27,13 +27,15 @@
 use crate::clock::{duration, Clock};
 use crate::dispatch::{request_id, Dispatch};
 use crate::engines::Engines;
+use crate::events::{
+    ClientRequest, CoreEvent, CoreSender, CoreStatus, DispatchCommand, DispatchEnd, ListPosition,
+};
 use crate::failover::{self, Desked};
-use crate::list::ListWord;
+use crate::list::ListRequest;
 use crate::peers;
 use crate::release::{self, CallResult};
 use crate::state::{Left, State};
 use crate::timed_ledger::TimedLedger;
-use crate::words::{Ask, End, Known, Status, ToCore, Told, Word};
 
 pub struct Core {
     settings: Rc<RouterSettings>,
@@ -42,12 +44,12 @@
     membership: Membership,
     engines: Rc<Engines>,
     owed: BTreeMap<CompletionId, Owed>,
-    asks: BTreeMap<CompletionId, Rc<Ask>>,
-    words: BTreeMap<(CompletionId, Seq), mpsc::Sender<Word>>,
+    asks: BTreeMap<CompletionId, Rc<ClientRequest>>,
+    words: BTreeMap<(CompletionId, Seq), mpsc::Sender<DispatchCommand>>,
     /// Whole answers that wait for the ledger's word.
     wholes: BTreeMap<(CompletionId, Seq), Answer>,
-    own: ToCore,
-    list: mpsc::Sender<ListWord>,
+    own: CoreSender,
+    list: mpsc::Sender<ListRequest>,
     saves: watch::Sender<Option<Saved>>,
     state: Rc<State>,
     /// When the list changes by itself.
@@ -71,8 +73,8 @@
         boot: u64,
         seed: u64,
         engines: Rc<Engines>,
-        own: ToCore,
-        list: mpsc::Sender<ListWord>,
+        own: CoreSender,
+        list: mpsc::Sender<ListRequest>,
         saves: watch::Sender<Option<Saved>>,
         state: Rc<State>,
     ) -> Self {
@@ -107,19 +109,19 @@
         }
     }
 
-    pub fn sit_at(&mut self, desk: Desked) {
+    pub fn set_failover_controller(&mut self, desk: Desked) {
         self.desk = Some(desk);
     }
 
     /// Before any fellow was heard: what is left to a router without a lease.
-    pub fn begin_with(&mut self, floor: Granted) {
+    pub fn start_without_lease(&mut self, floor: Granted) {
         (self.shared, self.floor) = (Some(floor.clone()), Some(floor));
         self.resettle();
     }
 
     /// Takes in the list of an earlier run, if there is one; the version to ask on from. The decisions always get a
     /// saved list, if an empty one: with it they begin, and subscribe where that is theirs to do.
-    pub fn recover(&mut self, saved: Option<Saved>, left: &Left) -> Known {
+    pub fn recover(&mut self, saved: Option<Saved>, left: &Left) -> ListPosition {
         let mut rows: std::sync::Arc<[Listing]> = [].into();
         if let Some(saved) = saved {
             match self.membership.recover(self.book.clock.now_ms(), self.state.steady.now_ms(), &saved) {
@@ -139,7 +141,7 @@
         self.membership.known(SourceId::Service)
     }
 
-    pub async fn run(mut self, mut told: mpsc::Receiver<Told>) {
+    pub async fn run(mut self, mut told: mpsc::Receiver<CoreEvent>) {
         loop {
             let wakes = self.wakes;
             tokio::select! {
@@ -184,10 +186,10 @@
         self.handle(Input::Settings { settings: Box::new(decisions), answer_slack_ms });
     }
 
-    fn take(&mut self, told: Told) {
+    fn take(&mut self, told: CoreEvent) {
         self.lapse();
         match told {
-            Told::Arrived { completion, facts, received_ms, ask, owed } => {
+            CoreEvent::Arrived { completion, facts, received_ms, request: ask, pending_reply: owed } => {
                 let mut arrival = facts.arrival(completion, received_ms);
                 if let Some(desk) = &self.desk {
                     arrival.home_zone = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
@@ -199,105 +201,100 @@
                 self.asks.insert(completion, ask);
                 self.handle(Input::Arrived { arrival, streamed });
             }
-            Told::Began { completion, seq, took_ms } => {
+            CoreEvent::Began { completion, seq, took_ms } => {
                 self.met(completion, seq, failover::began(self.targets.get(&completion), took_ms));
                 self.handle(Input::Began { completion, seq, took_ms })
             }
-            Told::Ended { completion, seq, took_ms, end } => {
+            CoreEvent::Ended { completion, seq, took_ms, end } => {
                 debug!(completion = completion.0, seq = seq.0, end = ?end.end, took_ms, "dispatch ended");
                 self.words.remove(&(completion, seq));
-                if let Some(whole) = end.whole {
+                if let Some(whole) = end.answer {
                     self.wholes.insert((completion, seq), whole);
                 }
-                let End { end, kept_tokens, state, .. } = end;
+                let DispatchEnd { end, cached_tokens, state, .. } = end;
                 self.saw(completion, seq, &end);
                 self.met(completion, seq, failover::ended(self.targets.get(&completion), took_ms, &end));
-                self.handle(Input::Ended {
-                    completion,
-                    seq,
-                    took_ms,
-                    end,
-                    cached_tokens: kept_tokens,
-                    state,
-                });
+                self.handle(Input::Ended { completion, seq, took_ms, end, cached_tokens, state });
                 self.wholes.remove(&(completion, seq));
             }
-            Told::Left { completion } => {
+            CoreEvent::ClientLeft { completion } => {
                 // Nobody waits for an answer any more, so none is lost.
                 self.owed.remove(&completion).into_iter().for_each(Owed::void);
                 self.handle(Input::Left { completion });
             }
-            Told::Reported { worker, load } => self.reported(worker, &load),
-            Told::Probed { worker, load, answered, took_ms } => {
+            CoreEvent::LoadReported { worker, load } => self.reported(worker, &load),
+            CoreEvent::Probed { worker, load, answered, took_ms } => {
                 if let Some(load) = load {
                     self.reported(worker.clone(), &load);
                 }
                 self.asked(&worker, answered);
                 self.handle(Input::Probed { worker, answered, took_ms });
             }
-            Told::HoldAnswered { completion, seq, worker, held } => {
+            CoreEvent::HoldAnswered { completion, seq, worker, held } => {
                 self.handle(Input::HoldAnswered { completion, seq, worker, held });
             }
-            Told::List { source, list, fingerprint, next } => {
+            CoreEvent::ListReceived { source, list, fingerprint, next } => {
                 let _ = next.send(self.hear(source, &list, fingerprint));
             }
-            Told::ListSpoke { source } => self.membership.spoke(self.book.clock.now_ms(), source),
-            Told::ListUnreadable { source, why } => {
+            CoreEvent::ListUnchanged { source } => self.membership.spoke(self.book.clock.now_ms(), source),
+            CoreEvent::ListInvalid { source, why } => {
                 warn!(source = source.name(), why, "list refused");
                 self.membership.unreadable(source, &why);
             }
-            Told::Say { server, word, done } => {
+            CoreEvent::OperatorCommand { server, command: word, done } => {
                 let heard = self.membership.say(self.book.clock.now_ms(), &server, word);
                 let known = heard.is_some();
                 info!(server, ?word, known, "an operator's word");
                 heard.into_iter().for_each(|heard| self.heard(heard));
                 let _ = done.send(known.then(|| self.membership.revision()));
             }
-            Told::Accept { done } => {
+            CoreEvent::AcceptHeldList { done } => {
                 let heard = self.membership.accept(self.book.clock.now_ms());
                 let held = heard.is_some();
                 heard.into_iter().for_each(|heard| self.heard(heard));
                 let _ = done.send(held.then(|| self.membership.revision()));
             }
-            Told::Members { status } => {
+            CoreEvent::GetMembership { status } => {
                 let cold_ms = self.settings.decisions.cold_ms;
                 let _ = status.send(self.membership.status(self.book.clock.now_ms(), cold_ms));
             }
-            Told::There { worker, there } => {
+            CoreEvent::ReachabilityChecked { worker, reachable: there } => {
                 self.asked(&worker, there);
                 let heard = self.membership.observe(self.book.clock.now_ms(), &worker, there);
                 self.heard(heard);
             }
-            Told::Look { workers } => workers.into_iter().for_each(|worker| self.look(worker)),
-            Told::Settings { decisions } => {
+            CoreEvent::CheckReachability { workers } => {
+                workers.into_iter().for_each(|worker| self.look(worker))
+            }
+            CoreEvent::SettingsChanged { decisions } => {
                 self.base = *decisions;
                 self.resettle();
             }
-            Told::Shared { granted, floor } => {
+            CoreEvent::SharesGranted { granted, floor } => {
                 self.lapses = peers::lapses(self.book.clock, &granted);
                 (self.shared, self.floor) = (Some(granted), Some(floor));
                 self.resettle();
                 self.lapse();
             }
-            Told::ListFailed => self.handle(Input::Listed { kind: ListKind::Failed, rows: [].into() }),
-            Told::Stop => self.handle(Input::Stop { streams: true }),
-            Told::Ask { status } => {
-                let _ = status.send(Status {
+            CoreEvent::ListFailed => self.handle(Input::Listed { kind: ListKind::Failed, rows: [].into() }),
+            CoreEvent::Stop => self.handle(Input::Stop { streams: true }),
+            CoreEvent::GetStatus { status } => {
+                let _ = status.send(CoreStatus {
                     counts: self.book.counts(),
                     open: self.book.open(),
                     servers: self.membership.len(),
                     version: self.membership.version(),
                     revision: self.membership.revision(),
                     held_total: self.membership.held_total(),
-                    refused: self.membership.refused_total(),
-                    unheard: self.unheard.counts(),
-                    reckoned: self.shared.as_ref().map_or(self.base.routers, |granted| granted.routers),
+                    refused_total: self.membership.refused_total(),
+                    undelivered_releases: self.unheard.counts(),
+                    router_count: self.shared.as_ref().map_or(self.base.routers, |granted| granted.routers),
                 });
             }
         }
     }
 
-    fn hear(&mut self, source: SourceId, list: &wire::ServerList, fingerprint: Option<u64>) -> Known {
+    fn hear(&mut self, source: SourceId, list: &wire::ServerList, fingerprint: Option<u64>) -> ListPosition {
         let held = self.membership.held().is_some();
         match self.membership.hear_text(self.book.clock.now_ms(), source, list, fingerprint) {
             Ok(Heard::AskWhole) => return None,
@@ -334,7 +331,7 @@
             let within_ms = engines.settings.probe_ms;
             let answer =
                 engines.call(address, Method::GET, wire::PROBE, String::new(), within_ms, 4096).await;
-            let _ = core.send(Told::There { worker, there: answer.is_ok() }).await;
+            let _ = core.send(CoreEvent::ReachabilityChecked { worker, reachable: answer.is_ok() }).await;
         });
     }
 
@@ -400,13 +397,13 @@
             Effect::Stop { completion, seq } => {
                 if let Some(words) = self.words.get(&(completion, seq)) {
                     // Room for one grant and one stop; a second stop says nothing new.
-                    let _ = words.try_send(Word::Stop);
+                    let _ = words.try_send(DispatchCommand::Stop);
                 }
             }
             Effect::Grant { completion, seq } => {
                 let Some(owed) = self.owed.remove(&completion) else { return };
                 if let Some(words) = self.words.get(&(completion, seq)) {
-                    let _ = words.try_send(Word::Grant(owed.begin()));
+                    let _ = words.try_send(DispatchCommand::Grant(owed.begin()));
                 }
             }
             Effect::Deliver { completion, seq } => {
@@ -450,13 +447,13 @@
                     self.state.keeps(&worker, start, session, tokens, prefix);
                 }
             }
-            Effect::Subscribe => self.list_word(ListWord::Subscribe),
-            Effect::FetchList => self.list_word(ListWord::Fetch),
+            Effect::Subscribe => self.list_word(ListRequest::Subscribe),
+            Effect::FetchList => self.list_word(ListRequest::Fetch),
             Effect::Note(text) => debug!(text, "decisions"),
         }
     }
 
-    fn list_word(&self, word: ListWord) {
+    fn list_word(&self, word: ListRequest) {
         // A list task with that many words waiting is about to ask anyway.
         let _ = self.list.try_send(word);
     }
@@ -484,7 +481,7 @@
         tokio::task::spawn_local(dispatch.run());
     }
 
-    /// Told a few times if need be: a state that is not let go of costs its reader memory.
+    /// CoreEvent a few times if need be: a state that is not let go of costs its reader memory.
     fn release(&self, worker: WorkerId, completion: CompletionId, seq: Seq) {
         let Some(address) = self.membership.address(&worker) else { return };
         let request_id = self.name(completion, seq);
@@ -532,7 +529,7 @@
             // A server that can't be heard gives no answer, as on the bench.
             if let Ok((200, _, body)) = answer {
                 if let Ok(reply) = serde_json::from_slice::<wire::HoldReply>(&body) {
-                    let told = Told::HoldAnswered { completion, seq, worker, held: reply.held };
+                    let told = CoreEvent::HoldAnswered { completion, seq, worker, held: reply.held };
                     let _ = core.send(told).await;
                 }
             }
@@ -554,7 +551,7 @@
             let took_ms = began.elapsed().as_secs_f64() * 1e3;
             let answered = matches!(answer, Some((200, _, _)));
             let load = answer.and_then(|(_, load, _): (u16, Option<Load>, Bytes)| load);
-            let _ = core.send(Told::Probed { worker, load, answered, took_ms }).await;
+            let _ = core.send(CoreEvent::Probed { worker, load, answered, took_ms }).await;
         });
     }
 }
--- a/crates/router/src/core_tests.rs
+++ b/crates/router/src/core_tests.rs
@@ -41,8 +41,8 @@
 
 struct Stage {
     core: Core,
-    told: mpsc::Receiver<Told>,
-    list: mpsc::Receiver<ListWord>,
+    told: mpsc::Receiver<CoreEvent>,
+    list: mpsc::Receiver<ListRequest>,
     worker: WorkerId,
 }
 
@@ -94,7 +94,9 @@
                 asked.starts_with("POST /x/hold ")
                     && asked.contains("{\"request_id\":\"0.1.3.1\",\"tokens\":9}")
             );
-            let Some(Told::HoldAnswered { held, .. }) = stage.told.recv().await else { panic!("no answer") };
+            let Some(CoreEvent::HoldAnswered { held, .. }) = stage.told.recv().await else {
+                panic!("no answer")
+            };
             assert_eq!(held, expected);
         }
     });
@@ -123,12 +125,14 @@
         for expected in [true, false] {
             stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
             assert!(heard.recv().await.unwrap().starts_with("GET /x/probe "));
-            let Some(Told::Probed { answered, .. }) = stage.told.recv().await else { panic!("no answer") };
+            let Some(CoreEvent::Probed { answered, .. }) = stage.told.recv().await else {
+                panic!("no answer")
+            };
             assert_eq!(answered, expected);
         }
         // One that never answers is told as silent within the time for a probe.
         stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
-        let Some(Told::Probed { answered, .. }) = stage.told.recv().await else { panic!("no answer") };
+        let Some(CoreEvent::Probed { answered, .. }) = stage.told.recv().await else { panic!("no answer") };
         assert!(!answered);
     });
 }
@@ -140,8 +144,8 @@
         let mut stage = stage(address);
         stage.core.carry_out(Effect::Subscribe);
         stage.core.carry_out(Effect::FetchList);
-        assert_eq!(stage.list.recv().await, Some(ListWord::Subscribe));
-        assert_eq!(stage.list.recv().await, Some(ListWord::Fetch));
+        assert_eq!(stage.list.recv().await, Some(ListRequest::Subscribe));
+        assert_eq!(stage.list.recv().await, Some(ListRequest::Fetch));
         stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
         heard.recv().await.unwrap();
         stage.told.recv().await.unwrap();
--- a/crates/router/src/dispatch.rs
+++ b/crates/router/src/dispatch.rs
@@ -18,17 +18,17 @@
 use crate::answer::{Left, Stream};
 use crate::clock::{duration, Clock};
 use crate::engines::{load, request, Connection, Engines};
-use crate::words::{Ask, End, ToCore, Told, Word};
+use crate::events::{ClientRequest, CoreEvent, CoreSender, DispatchCommand, DispatchEnd};
 
 pub struct Dispatch {
     pub sending: OutgoingDispatch,
     pub address: Option<SocketAddr>,
     pub request_id: String,
-    pub ask: Rc<Ask>,
-    pub words: mpsc::Receiver<Word>,
+    pub ask: Rc<ClientRequest>,
+    pub words: mpsc::Receiver<DispatchCommand>,
     pub engines: Rc<Engines>,
     pub clock: Clock,
-    pub core: ToCore,
+    pub core: CoreSender,
 }
 
 impl Dispatch {
@@ -41,10 +41,10 @@
         };
         let took_ms = sent.elapsed().as_secs_f64() * 1e3;
         // The core outlives its dispatches; if it does not, nobody is left to be told.
-        let _ = self.core.send(Told::Ended { completion, seq, took_ms, end }).await;
+        let _ = self.core.send(CoreEvent::Ended { completion, seq, took_ms, end }).await;
     }
 
-    async fn carry(&mut self, sent: Instant) -> Result<End, SocketEnd> {
+    async fn carry(&mut self, sent: Instant) -> Result<DispatchEnd, SocketEnd> {
         let address = self.address.ok_or(SocketEnd::NoAddress)?;
         let reads = self.sending.stage == Stage::Read;
         let asks = wire::CompletionRequest {
@@ -86,7 +86,7 @@
         };
         if let Some(load) = load(&response) {
             let worker = self.sending.worker.clone();
-            let _ = self.core.send(Told::Reported { worker, load }).await;
+            let _ = self.core.send(CoreEvent::LoadReported { worker, load }).await;
         }
         let status = response.status().as_u16();
         if !response.status().is_success() {
@@ -145,7 +145,7 @@
         response: Response<Incoming>,
         connection: Connection,
         until: Instant,
-    ) -> Result<End, SocketEnd> {
+    ) -> Result<DispatchEnd, SocketEnd> {
         let body = self.body(response, until).await?;
         let done: wire::Completion = serde_json::from_slice(&body)
             .map_err(|cause| SocketEnd::Nonsense(format!("the answer of a read: {cause}")))?;
@@ -154,8 +154,8 @@
         if state.is_none() {
             return Err(SocketEnd::Nonsense("the state reference is none".into()));
         }
-        let kept_tokens = done.usage.map_or(0.0, |usage| usage.cached() as f64);
-        Ok(End { end: SocketEnd::ReadDone, kept_tokens, state, whole: None })
+        let cached_tokens = done.usage.map_or(0.0, |usage| usage.cached() as f64);
+        Ok(DispatchEnd { end: SocketEnd::ReadDone, cached_tokens, state, answer: None })
     }
 
     async fn answer(
@@ -164,7 +164,7 @@
         connection: Connection,
         until: Instant,
         sent: Instant,
-    ) -> Result<End, SocketEnd> {
+    ) -> Result<DispatchEnd, SocketEnd> {
         let mut body = response.into_body();
         let mut reader = SseReader::new(self.engines.settings.line_bytes);
         let mut answer = Answering::default();
@@ -234,7 +234,7 @@
         };
         match (ended, stream.map(|(stream, _)| stream)) {
             (Ok(()), stream) => {
-                let kept_tokens = answer.usage.cached_tokens as f64;
+                let cached_tokens = answer.usage.cached_tokens as f64;
                 let whole = match stream {
                     Some(stream) => {
                         // A client who left with the last piece on its way has its answer for all we know.
@@ -244,7 +244,7 @@
                     None => Some(Answer { text: answer.text, stop: answer.stop, usage: answer.usage }),
                 };
                 self.reuse(body, connection);
-                Ok(End { end: SocketEnd::AnswerDone, kept_tokens, state: None, whole })
+                Ok(DispatchEnd { end: SocketEnd::AnswerDone, cached_tokens, state: None, answer: whole })
             }
             (Err(end), None) => Err(end),
             (Err(SocketEnd::Stopped), Some(stream)) => {
@@ -262,10 +262,10 @@
     async fn begin(&mut self, sent: Instant) -> Result<Stream, SocketEnd> {
         let (completion, seq) = (self.sending.completion, self.sending.seq);
         let took_ms = sent.elapsed().as_secs_f64() * 1e3;
-        let _ = self.core.send(Told::Began { completion, seq, took_ms }).await;
+        let _ = self.core.send(CoreEvent::Began { completion, seq, took_ms }).await;
         match self.words.recv().await {
-            Some(Word::Grant(stream)) => Ok(stream),
-            Some(Word::Stop) | None => Err(SocketEnd::Stopped),
+            Some(DispatchCommand::Grant(stream)) => Ok(stream),
+            Some(DispatchCommand::Stop) | None => Err(SocketEnd::Stopped),
         }
     }
 
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -93,10 +93,10 @@
     }))
 }
 
-fn ask(streamed: bool) -> Rc<Ask> {
+fn ask(streamed: bool) -> Rc<ClientRequest> {
     let (model, prompt) = ("m".to_owned(), "p".to_owned());
     let (client_id, effect_key) = (None, None);
-    Rc::new(Ask {
+    Rc::new(ClientRequest {
         model,
         prompt,
         max_tokens: 9,
@@ -114,7 +114,7 @@
     stage: Stage,
     streamed: bool,
     stop: bool,
-) -> End {
+) -> DispatchEnd {
     dispatched_as(|_| {}, engines, address, stage, streamed, stop).await
 }
 
@@ -126,7 +126,7 @@
     stage: Stage,
     streamed: bool,
     stop: bool,
-) -> End {
+) -> DispatchEnd {
     let clock = Clock::start();
     let (core, mut told) = mpsc::channel(16);
     let (words, heard) = mpsc::channel(2);
@@ -154,7 +154,7 @@
     };
     tokio::task::spawn_local(dispatch.run());
     if stop {
-        words.try_send(Word::Stop).ok().unwrap();
+        words.try_send(DispatchCommand::Stop).ok().unwrap();
     }
     let (duty, client) = crate::pending_answer::PendingAnswer::new(Rc::default());
     let (dialect, id, model) = (paddleproxy_messages::Dialect::published(), "i".into(), "m".into());
@@ -167,11 +167,11 @@
     });
     loop {
         match told.recv().await.unwrap() {
-            Told::Began { .. } => {
+            CoreEvent::Began { .. } => {
                 let stream = owed.take().expect("a stream begins once").begin();
-                words.try_send(Word::Grant(stream)).ok().unwrap();
+                words.try_send(DispatchCommand::Grant(stream)).ok().unwrap();
             }
-            Told::Ended { end, .. } => {
+            CoreEvent::Ended { end, .. } => {
                 owed.into_iter().for_each(Owed::void);
                 client.await.unwrap();
                 return end;
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn good_answers_bring_state_text_and_kept_tokens() {
+fn good_answers_bring_state_text_and_cached_tokens() {
     local(async {
         let state = StateReference {
             do_remote_prefill: true,
@@ -355,12 +355,12 @@
         let body = format!("{{\"kv_transfer_params\":{},{usage}}}", serde_json::to_string(&state).unwrap());
         let address = server(vec![Read, http(200, "application/json", &body)]).await;
         let read = dispatched(&engines(), Some(address), Stage::Read, true, false).await;
-        assert_eq!((read.end, read.kept_tokens, read.state), (SocketEnd::ReadDone, 7.0, Some(state)));
+        assert_eq!((read.end, read.cached_tokens, read.state), (SocketEnd::ReadDone, 7.0, Some(state)));
         let text = format!("{WORD}data: {{\"choices\":[],{usage}}}\n\n{LAST}");
         let address = server(vec![Read, events(&text)]).await;
         let streamed = dispatched(&engines(), Some(address), Stage::Whole, true, false).await;
-        assert_eq!((streamed.end, streamed.kept_tokens), (SocketEnd::AnswerDone, 7.0));
+        assert_eq!((streamed.end, streamed.cached_tokens), (SocketEnd::AnswerDone, 7.0));
         let plain = dispatched(&engines(), Some(address), Stage::Whole, false, false).await;
-        assert_eq!((plain.end, plain.whole.unwrap().text.as_str()), (SocketEnd::AnswerDone, "ww"));
+        assert_eq!((plain.end, plain.answer.unwrap().text.as_str()), (SocketEnd::AnswerDone, "ww"));
     });
 }
--- a/crates/router/src/words.rs
+++ b/crates/router/src/events.rs
@@ -6,7 +6,7 @@
 use paddleproxy::interface::*;
 use paddleproxy_engine as wire;
 use paddleproxy_engine::{Load, StateReference};
-use paddleproxy_membership::{SourceId, Status as ListStatus, Word as ListSays};
+use paddleproxy_membership::{SourceId, Status as MembershipStatus, Word as OperatorCommand};
 use paddleproxy_messages::Answer;
 use paddleproxy_peers::Granted;
 use paddleproxy_routing::{Counts, RequestFacts, SocketEnd};
@@ -15,13 +15,13 @@
 use crate::answer::{Owed, Stream};
 
 /// What the core is told.
-pub enum Told {
+pub enum CoreEvent {
     Arrived {
         completion: CompletionId,
         facts: RequestFacts,
         received_ms: f64,
-        ask: Rc<Ask>,
-        owed: Owed,
+        request: Rc<ClientRequest>,
+        pending_reply: Owed,
     },
     Began {
         completion: CompletionId,
@@ -32,12 +32,12 @@
         completion: CompletionId,
         seq: Seq,
         took_ms: f64,
-        end: End,
+        end: DispatchEnd,
     },
-    Left {
+    ClientLeft {
         completion: CompletionId,
     },
-    Reported {
+    LoadReported {
         worker: WorkerId,
         load: Load,
     },
@@ -54,67 +54,67 @@
         held: bool,
     },
     /// A version of a source; the one to ask on from goes back, none for the whole.
-    List {
+    ListReceived {
         source: SourceId,
         list: wire::ServerList,
         fingerprint: Option<u64>,
-        next: oneshot::Sender<Known>,
+        next: oneshot::Sender<ListPosition>,
     },
     ListFailed,
     /// A source is there and has nothing new.
-    ListSpoke {
+    ListUnchanged {
         source: SourceId,
     },
     /// A version that could not even be read.
-    ListUnreadable {
+    ListInvalid {
         source: SourceId,
         why: String,
     },
     /// An operator's word on a server; the revision that results goes back, none where there is no such server.
-    Say {
+    OperatorCommand {
         server: String,
-        word: ListSays,
+        command: OperatorCommand,
         done: oneshot::Sender<Option<u64>>,
     },
     /// An operator takes a held version.
-    Accept {
+    AcceptHeldList {
         done: oneshot::Sender<Option<u64>>,
     },
-    Members {
-        status: oneshot::Sender<ListStatus>,
+    GetMembership {
+        status: oneshot::Sender<MembershipStatus>,
     },
     /// A server was asked whether it is there.
-    There {
+    ReachabilityChecked {
         worker: WorkerId,
-        there: bool,
+        reachable: bool,
     },
     /// Servers to ask whether they are there: no dispatch goes to their zone.
-    Look {
+    CheckReachability {
         workers: Vec<WorkerId>,
     },
     /// Other settings for the decisions from now on.
-    Settings {
+    SettingsChanged {
         decisions: Box<Settings>,
     },
     /// What this router may use of what all share, and what is left to it once that lapses.
-    Shared {
+    SharesGranted {
         granted: Granted,
         floor: Granted,
     },
     /// All completions still open end now.
     Stop,
-    Ask {
-        status: oneshot::Sender<Status>,
+    GetStatus {
+        status: oneshot::Sender<CoreStatus>,
     },
 }
 
 /// Epoch and version of the list to ask on from; None for the whole.
-pub type Known = Option<(u64, u64)>;
+pub type ListPosition = Option<(u64, u64)>;
 
-pub type ToCore = mpsc::Sender<Told>;
+pub type CoreSender = mpsc::Sender<CoreEvent>;
 
 /// Figures for the admin port.
-pub struct Status {
+pub struct CoreStatus {
     pub counts: Counts,
     pub open: usize,
     pub servers: usize,
@@ -122,15 +122,15 @@
     pub revision: u64,
     /// Versions of the list that were held, and refused.
     pub held_total: u64,
-    pub refused: u64,
+    pub refused_total: u64,
     /// Releases that their server did not hear, by cause.
-    pub unheard: [(&'static str, u64); 3],
+    pub undelivered_releases: [(&'static str, u64); 3],
     /// Routers reckoned with.
-    pub reckoned: usize,
+    pub router_count: usize,
 }
 
 /// What a client asked for, as the servers need it.
-pub struct Ask {
+pub struct ClientRequest {
     pub model: String,
     pub prompt: String,
     pub max_tokens: u32,
@@ -143,21 +143,21 @@
 }
 
 /// What the core tells a dispatch that is out.
-pub enum Word {
+pub enum DispatchCommand {
     Grant(Stream),
     Stop,
 }
 
 /// How it ended, with what it brought.
-pub struct End {
+pub struct DispatchEnd {
     pub end: SocketEnd,
-    pub kept_tokens: f64,
+    pub cached_tokens: f64,
     pub state: Option<StateReference>,
-    pub whole: Option<Answer>,
+    pub answer: Option<Answer>,
 }
 
-impl From<SocketEnd> for End {
+impl From<SocketEnd> for DispatchEnd {
     fn from(end: SocketEnd) -> Self {
-        End { end, kept_tokens: 0.0, state: None, whole: None }
+        DispatchEnd { end, cached_tokens: 0.0, state: None, answer: None }
     }
 }
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -15,8 +15,8 @@
 use tracing::{info, warn};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::events::{CoreEvent, CoreSender};
 use crate::front::Front;
-use crate::words::{ToCore, Told};
 use crate::Watched;
 
 /// How often a file is looked at whatever the system tells of it, and how long it must stay the same to count as
@@ -93,20 +93,25 @@
 }
 
 /// Follows the operators' list of servers as long as the router runs.
-pub async fn servers(path: PathBuf, core: ToCore) {
+pub async fn servers(path: PathBuf, core: CoreSender) {
     let mut file = File::new(path);
     let name = file.path.display().to_string();
     loop {
         let told = match file.next().await {
-            None if matches!(file.last, Some(Ok(_))) => Told::ListSpoke { source: SourceId::File },
+            None if matches!(file.last, Some(Ok(_))) => CoreEvent::ListUnchanged { source: SourceId::File },
             None => continue,
             // It may be gone for the moment between two names; what stood stands.
-            Some(Err(why)) => Told::ListUnreadable { source: SourceId::File, why },
+            Some(Err(why)) => CoreEvent::ListInvalid { source: SourceId::File, why },
             Some(Ok((text, fingerprint))) => match documents::servers::parse(&name, &text) {
-                Err(problems) => Told::ListUnreadable { source: SourceId::File, why: problems.to_string() },
+                Err(problems) => CoreEvent::ListInvalid { source: SourceId::File, why: problems.to_string() },
                 Ok(list) => {
                     let (next, _) = oneshot::channel();
-                    Told::List { source: SourceId::File, list, fingerprint: Some(fingerprint), next }
+                    CoreEvent::ListReceived {
+                        source: SourceId::File,
+                        list,
+                        fingerprint: Some(fingerprint),
+                        next,
+                    }
                 }
             },
         };
@@ -151,7 +156,7 @@
             let (settings, rows) = (&applied.settings, applied.settings.workload_rows.clone());
             let workloads = applied.decisions.workloads.clone();
             // The decisions first: no request may be told to them by a row that they don't have.
-            let told = Told::Settings { decisions: Box::new(applied.decisions.clone()) };
+            let told = CoreEvent::SettingsChanged { decisions: Box::new(applied.decisions.clone()) };
             if front.core.send(told).await.is_err() {
                 return;
             }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -31,12 +31,12 @@
 
 use crate::answer::{Keyed, Owed, Pieces, Reply};
 use crate::clock::{duration, wall_ms, Clock};
+use crate::events::ClientRequest;
+use crate::events::{CoreEvent, CoreSender};
 use crate::peers::ToFellows;
 use crate::pending_answer::{DroppedAnswers, PendingAnswer};
 use crate::polite::Polite;
 use crate::state::{Left, State};
-use crate::words::Ask;
-use crate::words::{ToCore, Told};
 
 /// What all connections of clients share.
 pub struct Front {
@@ -48,7 +48,7 @@
     /// Forms of the API by path.
     pub dialects: Vec<(String, Dialect)>,
     pub clock: Clock,
-    pub core: ToCore,
+    pub core: CoreSender,
     pub next: Cell<u32>,
     pub connections: Cell<usize>,
     /// Names a router's answers: router and start.
@@ -84,13 +84,13 @@
 /// Tells the core that a client left, unless its answer came first.
 struct Leave {
     completion: CompletionId,
-    core: Option<ToCore>,
+    core: Option<CoreSender>,
 }
 
 impl Drop for Leave {
     fn drop(&mut self) {
         let Some(core) = self.core.take() else { return };
-        let told = Told::Left { completion: self.completion };
+        let told = CoreEvent::ClientLeft { completion: self.completion };
         if let Err(mpsc::error::TrySendError::Full(told)) = core.try_send(told) {
             tokio::task::spawn_local(async move {
                 let _ = core.send(told).await;
@@ -359,7 +359,7 @@
             return Err(refused);
         }
         let client_id = header(&head, wire::REQUEST_ID)?.filter(|text| text.len() <= 256).map(str::to_owned);
-        let ask = Ask {
+        let ask = ClientRequest {
             prompt,
             max_tokens: asked.max_tokens,
             stop: asked.stop_sequences,
@@ -374,7 +374,8 @@
         let owed =
             Owed::new(duty, keyed, encoder.clone(), self.settings.pieces_waiting, self.dropped.clone());
         let mut leave = Leave { completion, core: Some(self.core.clone()) };
-        let told = Told::Arrived { completion, facts, received_ms, ask: Rc::new(ask), owed };
+        let told =
+            CoreEvent::Arrived { completion, facts, received_ms, request: Rc::new(ask), pending_reply: owed };
         if self.core.send(told).await.is_err() {
             return Err(ApiError::new(ErrorKind::Api, "the router stops"));
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -7,6 +7,7 @@
 mod core;
 mod dispatch;
 mod engines;
+mod events;
 mod failover;
 mod files;
 mod front;
@@ -18,7 +19,6 @@
 mod state;
 mod steady;
 pub mod timed_ledger;
-mod words;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -37,9 +37,9 @@
 use crate::clock::{duration, Clock};
 use crate::core::Core;
 use crate::engines::Engines;
+use crate::events::CoreEvent;
 use crate::front::Front;
 use crate::steady::SteadyClock;
-use crate::words::Told;
 
 /// Where a running router listens.
 #[derive(Clone, Copy, Debug)]
@@ -112,16 +112,16 @@
     let mut state = Core::new(settings.clone(), clock, boot, seed, own.0, own.1, list, saves, store.clone());
     let desk = failover::desk(&settings, clock);
     if let Some(desk) = &desk {
-        state.sit_at(desk.clone());
+        state.set_failover_controller(desk.clone());
     }
-    let after = state.recover(list::saved(&dir), &left);
+    let after = state.recover(list::load_saved(&dir), &left);
     let admission = Rc::new(RefCell::new(Admission::new(AdmissionLimits::from_settings(&settings))));
     let (to_fellows, asks) = mpsc::channel(8);
     let fellows = match fellows {
         Some((bound, row)) => {
             let (rules, floor) = peers::first(&settings, &row);
             admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
-            state.begin_with(floor);
+            state.start_without_lease(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
             Some(peers::Fellows {
                 bound,
@@ -214,7 +214,7 @@
     }
     if admission.borrow().open() > 0 {
         info!(open = admission.borrow().open(), connections = front.connections.get(), "last answers");
-        let _ = core.send(Told::Stop).await;
+        let _ = core.send(CoreEvent::Stop).await;
         let until = tokio::time::Instant::now() + duration(settings.front.slow_client_ms);
         while open() && tokio::time::Instant::now() < until {
             tokio::time::sleep(duration(5.0)).await;
--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -14,12 +14,12 @@
 
 use crate::clock::duration;
 use crate::engines::Engines;
+use crate::events::{CoreEvent, CoreSender, ListPosition};
 use crate::files::write_whole;
-use crate::words::{Known, ToCore, Told};
 
 /// What the decisions want of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListWord {
+pub enum ListRequest {
     Subscribe,
     /// The whole list once.
     Fetch,
@@ -33,9 +33,9 @@
 pub async fn follow(
     settings: Rc<RouterSettings>,
     engines: Rc<Engines>,
-    core: ToCore,
-    mut words: mpsc::Receiver<ListWord>,
-    mut after: Known,
+    core: CoreSender,
+    mut words: mpsc::Receiver<ListRequest>,
+    mut after: ListPosition,
 ) {
     let asked = settings.decisions.must_subscribe;
     let seed = settings.seed.unwrap_or(0) ^ settings.decisions.own_number as u64;
@@ -46,21 +46,22 @@
         let mut whole = false;
         if !subscribed {
             match words.recv().await {
-                Some(ListWord::Subscribe) => (subscribed, wait) = (true, false),
-                Some(ListWord::Fetch) => (whole, wait) = (true, false),
+                Some(ListRequest::Subscribe) => (subscribed, wait) = (true, false),
+                Some(ListRequest::Fetch) => (whole, wait) = (true, false),
                 None => return,
             }
         }
         while let Ok(word) = words.try_recv() {
-            whole |= word == ListWord::Fetch;
-            subscribed |= word == ListWord::Subscribe;
+            whole |= word == ListRequest::Fetch;
+            subscribed |= word == ListRequest::Subscribe;
         }
         let began = Instant::now();
         match poll(&settings, &engines, after.filter(|_| !whole), wait && after.is_some() && !whole).await {
             Ok(list) => {
                 let (next, answer) = oneshot::channel();
                 backoff.answered();
-                let told = Told::List { source: SourceId::Service, list, fingerprint: None, next };
+                let told =
+                    CoreEvent::ListReceived { source: SourceId::Service, list, fingerprint: None, next };
                 if core.send(told).await.is_err() {
                     return;
                 }
@@ -71,7 +72,7 @@
                 debug!(cause, "list service");
                 if asked {
                     subscribed = false;
-                    if core.send(Told::ListFailed).await.is_err() {
+                    if core.send(CoreEvent::ListFailed).await.is_err() {
                         return;
                     }
                 } else {
@@ -90,7 +91,7 @@
 async fn poll(
     settings: &RouterSettings,
     engines: &Engines,
-    after: Known,
+    after: ListPosition,
     wait: bool,
 ) -> Result<wire::ServerList, String> {
     let wait_ms = if wait { settings.list.poll_ms } else { 0.0 };
@@ -108,7 +109,7 @@
 }
 
 /// The list of an earlier run, if there is a readable one.
-pub fn saved(dir: &Path) -> Option<Saved> {
+pub fn load_saved(dir: &Path) -> Option<Saved> {
     let bytes = std::fs::read(dir.join(FILE)).ok()?;
     match serde_json::from_slice(&bytes) {
         Ok(saved) => Some(saved),
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -22,10 +22,10 @@
 use tracing::{info, warn};
 
 use crate::clock::{duration, Clock};
+use crate::events::{CoreEvent, CoreSender};
 use crate::failover::{self, Desked, WordFor};
 use crate::files::write_whole;
 use crate::steady::SteadyClock;
-use crate::words::{ToCore, Told};
 
 /// Calls that may be open at once; further ones are closed, and their callers come again.
 const CALLS: usize = 8;
@@ -135,7 +135,7 @@
     pub seed: u64,
     pub clock: Clock,
     pub steady: SteadyClock,
-    pub core: ToCore,
+    pub core: CoreSender,
     pub admission: Rc<RefCell<Admission>>,
     pub desk: Option<Desked>,
 }
@@ -146,7 +146,7 @@
     own_ip: SocketAddr,
     call_ms: f64,
     clock: Clock,
-    core: ToCore,
+    core: CoreSender,
     admission: Rc<RefCell<Admission>>,
     inside: mpsc::Sender<Inside>,
     life_file: PathBuf,
@@ -317,7 +317,7 @@
         };
         if !carried.asks.is_empty() {
             // A core with that many words waiting has no time for mere questions.
-            let _ = self.core.try_send(Told::Look { workers: carried.asks });
+            let _ = self.core.try_send(CoreEvent::CheckReachability { workers: carried.asks });
         }
         let event = Event::SetExtra { row: carried.row, allocation: carried.page, after: carried.after };
         self.tell(event).await;
@@ -357,7 +357,7 @@
         let floor = self.peers.floor();
         let until_ms = granted.until_ms;
         self.admission.borrow_mut().set_shares(&granted.shares[1..], &floor.shares[1..], until_ms);
-        let told = Told::Shared { granted: granted.clone(), floor };
+        let told = CoreEvent::SharesGranted { granted: granted.clone(), floor };
         if self.core.send(told).await.is_ok() {
             self.said = Some(granted);
         }
