--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -1,5 +1,5 @@
-//! The core: one task that owns the ledger with its `Control`, the list and the timers. Everything else sends it
-//! what happened over one bounded channel.
+//! The core: one task that owns the ledger with its `Control`, the server list and the timers. All other
+//! tasks send it events over one bounded channel.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -39,30 +39,37 @@
 
 pub struct Core {
     settings: Rc<RouterSettings>,
+    /// Start time of this process; distinguishes its dispatches from those of earlier runs.
     boot: u64,
-    book: TimedLedger,
+    ledger: TimedLedger,
     membership: Membership,
     engines: Rc<Engines>,
-    owed: BTreeMap<CompletionId, Owed>,
-    asks: BTreeMap<CompletionId, Rc<ClientRequest>>,
-    words: BTreeMap<(CompletionId, Seq), mpsc::Sender<DispatchCommand>>,
-    /// Whole answers that wait for the ledger's word.
-    wholes: BTreeMap<(CompletionId, Seq), Answer>,
-    own: CoreSender,
-    list: mpsc::Sender<ListRequest>,
-    saves: watch::Sender<Option<Saved>>,
+    pending_replies: BTreeMap<CompletionId, Owed>,
+    requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
+    /// Channels to the dispatches in flight.
+    commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<DispatchCommand>>,
+    /// Complete answers that are not streamed, until the ledger orders their delivery.
+    whole_answers: BTreeMap<(CompletionId, Seq), Answer>,
+    /// Sends events to this task itself; cloned for the tasks that it spawns.
+    event_sender: CoreSender,
+    list_requests: mpsc::Sender<ListRequest>,
+    saved_lists: watch::Sender<Option<Saved>>,
     state: Rc<State>,
-    /// When the list changes by itself.
-    wakes: Option<Instant>,
-    /// The decisions' settings without what fellows agreed, that, and what is left once it lapses, and when it does.
-    base: Settings,
-    shared: Option<Granted>,
+    /// When the list next changes without a new version, for example at the end of a hold time.
+    membership_due: Option<Instant>,
+    /// Settings of the decision core without the shares that the peers agreed on.
+    base_settings: Settings,
+    /// What this router may use at present of the resources that all routers share.
+    granted: Option<Granted>,
+    /// What this router may use once its lease has ended.
     floor: Option<Granted>,
-    lapses: Option<Instant>,
-    unheard: Rc<UndeliveredReleases>,
-    /// Where failover between zones is decided, and the latency targets of open completions for it.
-    desk: Option<Desked>,
-    targets: BTreeMap<CompletionId, f64>,
+    /// When the lease on `granted` ends.
+    lease_end: Option<Instant>,
+    undelivered_releases: Rc<UndeliveredReleases>,
+    /// Decides on failover between zones.
+    controller: Option<Desked>,
+    /// Latency targets of open completions; used by the failover controller only.
+    latency_targets_ms: BTreeMap<CompletionId, f64>,
 }
 
 impl Core {
@@ -73,301 +80,325 @@
         boot: u64,
         seed: u64,
         engines: Rc<Engines>,
-        own: CoreSender,
-        list: mpsc::Sender<ListRequest>,
-        saves: watch::Sender<Option<Saved>>,
+        event_sender: CoreSender,
+        list_requests: mpsc::Sender<ListRequest>,
+        saved_lists: watch::Sender<Option<Saved>>,
         state: Rc<State>,
     ) -> Self {
         let decisions = &settings.decisions;
         let roles = decisions.kinds.iter().map(|kind| kind.role);
         let kinds = settings.names.kinds.iter().cloned().zip(roles).collect();
         Core {
-            book: TimedLedger::new(
+            ledger: TimedLedger::new(
                 clock,
                 Ledger::new(decisions.clone(), settings.front.answer_slack_ms, seed),
             ),
             membership: Membership::new(settings.names.zones.clone(), kinds, settings.membership),
             boot,
             engines,
-            owed: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            words: BTreeMap::new(),
-            wholes: BTreeMap::new(),
-            own,
-            list,
-            saves,
+            pending_replies: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            commands: BTreeMap::new(),
+            whole_answers: BTreeMap::new(),
+            event_sender,
+            list_requests,
+            saved_lists,
             state,
-            wakes: None,
-            base: settings.decisions.clone(),
-            shared: None,
+            membership_due: None,
+            base_settings: settings.decisions.clone(),
+            granted: None,
             floor: None,
-            lapses: None,
-            unheard: Rc::default(),
-            desk: None,
-            targets: BTreeMap::new(),
+            lease_end: None,
+            undelivered_releases: Rc::default(),
+            controller: None,
+            latency_targets_ms: BTreeMap::new(),
             settings,
         }
     }
 
-    pub fn set_failover_controller(&mut self, desk: Desked) {
-        self.desk = Some(desk);
+    pub fn set_failover_controller(&mut self, controller: Desked) {
+        self.controller = Some(controller);
     }
 
-    /// Before any fellow was heard: what is left to a router without a lease.
+    /// Applies what a router without a lease may use, until the peers grant a lease.
     pub fn start_without_lease(&mut self, floor: Granted) {
-        (self.shared, self.floor) = (Some(floor.clone()), Some(floor));
-        self.resettle();
+        (self.granted, self.floor) = (Some(floor.clone()), Some(floor));
+        self.apply_settings();
     }
 
-    /// Takes in the list of an earlier run, if there is one; the version to ask on from. The decisions always get a
-    /// saved list, if an empty one: with it they begin, and subscribe where that is theirs to do.
+    /// Restores the list and the cache entries of an earlier run, if there are any. Returns the list position
+    /// from which to continue polling. The decision core always gets a saved list, even an empty one: it
+    /// starts with that input, and subscribes to changes where the settings require it.
     pub fn recover(&mut self, saved: Option<Saved>, left: &Left) -> ListPosition {
         let mut rows: std::sync::Arc<[Listing]> = [].into();
         if let Some(saved) = saved {
-            match self.membership.recover(self.book.clock.now_ms(), self.state.steady.now_ms(), &saved) {
+            match self.membership.recover(self.ledger.clock.now_ms(), self.state.steady.now_ms(), &saved) {
                 Ok(Heard::Listed { rows: recovered, .. }) => rows = recovered,
                 Ok(_) => {}
                 Err(cause) => warn!(%cause, "saved list refused; starting without one"),
             }
         }
-        info!(servers = rows.len(), "saved list taken");
-        if let Some(desk) = &self.desk {
-            desk.borrow_mut().listed(ListKind::Saved, &rows);
+        info!(servers = rows.len(), "saved list loaded");
+        if let Some(controller) = &self.controller {
+            controller.borrow_mut().listed(ListKind::Saved, &rows);
         }
-        self.handle(Input::Listed { kind: ListKind::Saved, rows });
-        let kept = left.believed(self.state.steady.now_ms(), &self.membership.starts());
-        info!(entries = kept.len(), "kept texts of the earlier run believed");
-        self.handle(Input::Recovered(kept));
+        self.handle_input(Input::Listed { kind: ListKind::Saved, rows });
+        let cache_entries = left.believed(self.state.steady.now_ms(), &self.membership.starts());
+        info!(entries = cache_entries.len(), "cache entries of the earlier run restored");
+        self.handle_input(Input::Recovered(cache_entries));
         self.membership.known(SourceId::Service)
     }
 
-    pub async fn run(mut self, mut told: mpsc::Receiver<CoreEvent>) {
+    pub async fn run(mut self, mut events: mpsc::Receiver<CoreEvent>) {
         loop {
-            let wakes = self.wakes;
+            let membership_due = self.membership_due;
             tokio::select! {
                 biased;
-                _ = sleep_until(self.lapses.unwrap_or_else(Instant::now)), if self.lapses.is_some() => self.lapse(),
-                due = self.book.due() => {
-                    self.lapse();
-                    self.handle(Input::TimerFired(due));
+                _ = sleep_until(self.lease_end.unwrap_or_else(Instant::now)), if self.lease_end.is_some() => {
+                    self.end_expired_lease();
                 }
-                _ = sleep_until(wakes.unwrap_or_else(Instant::now)), if wakes.is_some() => {
-                    let heard = self.membership.tick(self.book.clock.now_ms());
-                    self.heard(heard);
+                due = self.ledger.due() => {
+                    self.end_expired_lease();
+                    self.handle_input(Input::TimerFired(due));
                 }
-                next = told.recv() => match next {
-                    Some(next) => self.take(next),
+                _ = sleep_until(membership_due.unwrap_or_else(Instant::now)), if membership_due.is_some() => {
+                    let change = self.membership.tick(self.ledger.clock.now_ms());
+                    self.apply_membership_change(change);
+                }
+                event = events.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
             }
         }
     }
 
-    /// What was lent is over by the own clock, whatever waits to be handled: a process that was stopped finds it so
-    /// before it sends anything.
-    fn lapse(&mut self) {
-        if self.lapses.is_some_and(|at| Instant::now() >= at) {
-            self.lapses = None;
-            self.shared = self.floor.clone();
-            self.desk.iter().for_each(|desk| {
-                desk.borrow_mut().force(None);
+    /// Gives up the granted shares if the lease has ended by the router's own clock. Runs before any queued
+    /// event is handled, so that a process that was suspended sends nothing under an expired lease.
+    fn end_expired_lease(&mut self) {
+        if self.lease_end.is_some_and(|at| Instant::now() >= at) {
+            self.lease_end = None;
+            self.granted = self.floor.clone();
+            self.controller.iter().for_each(|controller| {
+                controller.borrow_mut().force(None);
             });
-            self.resettle();
+            self.apply_settings();
         }
     }
 
-    /// The decisions' settings with what fellows agreed laid over them.
-    fn resettle(&mut self) {
-        let decisions = match &self.shared {
-            Some(granted) => peers::overlaid(&self.base, granted),
-            None => self.base.clone(),
+    /// Passes the settings to the decision core, with the granted shares in place of the configured ones.
+    fn apply_settings(&mut self) {
+        let decisions = match &self.granted {
+            Some(granted) => peers::overlaid(&self.base_settings, granted),
+            None => self.base_settings.clone(),
         };
         let answer_slack_ms = self.settings.front.answer_slack_ms;
-        self.handle(Input::Settings { settings: Box::new(decisions), answer_slack_ms });
+        self.handle_input(Input::Settings { settings: Box::new(decisions), answer_slack_ms });
     }
 
-    fn take(&mut self, told: CoreEvent) {
-        self.lapse();
-        match told {
-            CoreEvent::Arrived { completion, facts, received_ms, request: ask, pending_reply: owed } => {
+    fn handle_event(&mut self, event: CoreEvent) {
+        self.end_expired_lease();
+        match event {
+            CoreEvent::Arrived { completion, facts, received_ms, request, pending_reply } => {
                 let mut arrival = facts.arrival(completion, received_ms);
-                if let Some(desk) = &self.desk {
-                    arrival.home_zone = desk.borrow_mut().near(self.book.clock.now_ms(), arrival.session);
-                    let target_ms = failover::target_ms(&self.base, &arrival);
-                    self.targets.insert(completion, target_ms);
+                if let Some(controller) = &self.controller {
+                    arrival.home_zone =
+                        controller.borrow_mut().near(self.ledger.clock.now_ms(), arrival.session);
+                    let target_ms = failover::target_ms(&self.base_settings, &arrival);
+                    self.latency_targets_ms.insert(completion, target_ms);
                 }
-                let streamed = ask.streamed;
-                self.owed.insert(completion, owed);
-                self.asks.insert(completion, ask);
-                self.handle(Input::Arrived { arrival, streamed });
+                let streamed = request.streamed;
+                self.pending_replies.insert(completion, pending_reply);
+                self.requests.insert(completion, request);
+                self.handle_input(Input::Arrived { arrival, streamed });
             }
             CoreEvent::Began { completion, seq, took_ms } => {
-                self.met(completion, seq, failover::began(self.targets.get(&completion), took_ms));
-                self.handle(Input::Began { completion, seq, took_ms })
+                self.record_zone_outcome(
+                    completion,
+                    seq,
+                    failover::began(self.latency_targets_ms.get(&completion), took_ms),
+                );
+                self.handle_input(Input::Began { completion, seq, took_ms })
             }
             CoreEvent::Ended { completion, seq, took_ms, end } => {
                 debug!(completion = completion.0, seq = seq.0, end = ?end.end, took_ms, "dispatch ended");
-                self.words.remove(&(completion, seq));
-                if let Some(whole) = end.answer {
-                    self.wholes.insert((completion, seq), whole);
+                self.commands.remove(&(completion, seq));
+                if let Some(answer) = end.answer {
+                    self.whole_answers.insert((completion, seq), answer);
                 }
                 let DispatchEnd { end, cached_tokens, state, .. } = end;
-                self.saw(completion, seq, &end);
-                self.met(completion, seq, failover::ended(self.targets.get(&completion), took_ms, &end));
-                self.handle(Input::Ended { completion, seq, took_ms, end, cached_tokens, state });
-                self.wholes.remove(&(completion, seq));
+                self.record_reachability(completion, seq, &end);
+                self.record_zone_outcome(
+                    completion,
+                    seq,
+                    failover::ended(self.latency_targets_ms.get(&completion), took_ms, &end),
+                );
+                self.handle_input(Input::Ended { completion, seq, took_ms, end, cached_tokens, state });
+                self.whole_answers.remove(&(completion, seq));
             }
             CoreEvent::ClientLeft { completion } => {
-                // Nobody waits for an answer any more, so none is lost.
-                self.owed.remove(&completion).into_iter().for_each(Owed::void);
-                self.handle(Input::Left { completion });
+                // The client no longer waits, so the missing answer doesn't count as dropped.
+                self.pending_replies.remove(&completion).into_iter().for_each(Owed::void);
+                self.handle_input(Input::Left { completion });
             }
-            CoreEvent::LoadReported { worker, load } => self.reported(worker, &load),
+            CoreEvent::LoadReported { worker, load } => self.record_load(worker, &load),
             CoreEvent::Probed { worker, load, answered, took_ms } => {
                 if let Some(load) = load {
-                    self.reported(worker.clone(), &load);
+                    self.record_load(worker.clone(), &load);
                 }
-                self.asked(&worker, answered);
-                self.handle(Input::Probed { worker, answered, took_ms });
+                self.record_probe(&worker, answered);
+                self.handle_input(Input::Probed { worker, answered, took_ms });
             }
             CoreEvent::HoldAnswered { completion, seq, worker, held } => {
-                self.handle(Input::HoldAnswered { completion, seq, worker, held });
+                self.handle_input(Input::HoldAnswered { completion, seq, worker, held });
             }
             CoreEvent::ListReceived { source, list, fingerprint, next } => {
-                let _ = next.send(self.hear(source, &list, fingerprint));
+                let _ = next.send(self.receive_list(source, &list, fingerprint));
             }
-            CoreEvent::ListUnchanged { source } => self.membership.spoke(self.book.clock.now_ms(), source),
+            CoreEvent::ListUnchanged { source } => self.membership.spoke(self.ledger.clock.now_ms(), source),
             CoreEvent::ListInvalid { source, why } => {
                 warn!(source = source.name(), why, "list refused");
                 self.membership.unreadable(source, &why);
             }
-            CoreEvent::OperatorCommand { server, command: word, done } => {
-                let heard = self.membership.say(self.book.clock.now_ms(), &server, word);
-                let known = heard.is_some();
-                info!(server, ?word, known, "an operator's word");
-                heard.into_iter().for_each(|heard| self.heard(heard));
+            CoreEvent::OperatorCommand { server, command, done } => {
+                let change = self.membership.say(self.ledger.clock.now_ms(), &server, command);
+                let known = change.is_some();
+                info!(server, word = ?command, known, "operator command");
+                change.into_iter().for_each(|change| self.apply_membership_change(change));
                 let _ = done.send(known.then(|| self.membership.revision()));
             }
             CoreEvent::AcceptHeldList { done } => {
-                let heard = self.membership.accept(self.book.clock.now_ms());
-                let held = heard.is_some();
-                heard.into_iter().for_each(|heard| self.heard(heard));
+                let change = self.membership.accept(self.ledger.clock.now_ms());
+                let held = change.is_some();
+                change.into_iter().for_each(|change| self.apply_membership_change(change));
                 let _ = done.send(held.then(|| self.membership.revision()));
             }
             CoreEvent::GetMembership { status } => {
                 let cold_ms = self.settings.decisions.cold_ms;
-                let _ = status.send(self.membership.status(self.book.clock.now_ms(), cold_ms));
+                let _ = status.send(self.membership.status(self.ledger.clock.now_ms(), cold_ms));
             }
-            CoreEvent::ReachabilityChecked { worker, reachable: there } => {
-                self.asked(&worker, there);
-                let heard = self.membership.observe(self.book.clock.now_ms(), &worker, there);
-                self.heard(heard);
+            CoreEvent::ReachabilityChecked { worker, reachable } => {
+                self.record_probe(&worker, reachable);
+                let change = self.membership.observe(self.ledger.clock.now_ms(), &worker, reachable);
+                self.apply_membership_change(change);
             }
             CoreEvent::CheckReachability { workers } => {
-                workers.into_iter().for_each(|worker| self.look(worker))
+                workers.into_iter().for_each(|worker| self.check_reachability(worker))
             }
             CoreEvent::SettingsChanged { decisions } => {
-                self.base = *decisions;
-                self.resettle();
+                self.base_settings = *decisions;
+                self.apply_settings();
             }
             CoreEvent::SharesGranted { granted, floor } => {
-                self.lapses = peers::lapses(self.book.clock, &granted);
-                (self.shared, self.floor) = (Some(granted), Some(floor));
-                self.resettle();
-                self.lapse();
+                self.lease_end = peers::lapses(self.ledger.clock, &granted);
+                (self.granted, self.floor) = (Some(granted), Some(floor));
+                self.apply_settings();
+                self.end_expired_lease();
+            }
+            CoreEvent::ListFailed => {
+                self.handle_input(Input::Listed { kind: ListKind::Failed, rows: [].into() })
             }
-            CoreEvent::ListFailed => self.handle(Input::Listed { kind: ListKind::Failed, rows: [].into() }),
-            CoreEvent::Stop => self.handle(Input::Stop { streams: true }),
+            CoreEvent::Stop => self.handle_input(Input::Stop { streams: true }),
             CoreEvent::GetStatus { status } => {
                 let _ = status.send(CoreStatus {
-                    counts: self.book.counts(),
-                    open: self.book.open(),
+                    counts: self.ledger.counts(),
+                    open: self.ledger.open(),
                     servers: self.membership.len(),
                     version: self.membership.version(),
                     revision: self.membership.revision(),
                     held_total: self.membership.held_total(),
                     refused_total: self.membership.refused_total(),
-                    undelivered_releases: self.unheard.counts(),
-                    router_count: self.shared.as_ref().map_or(self.base.routers, |granted| granted.routers),
+                    undelivered_releases: self.undelivered_releases.counts(),
+                    router_count: self
+                        .granted
+                        .as_ref()
+                        .map_or(self.base_settings.routers, |granted| granted.routers),
                 });
             }
         }
     }
 
-    fn hear(&mut self, source: SourceId, list: &wire::ServerList, fingerprint: Option<u64>) -> ListPosition {
+    fn receive_list(
+        &mut self,
+        source: SourceId,
+        list: &wire::ServerList,
+        fingerprint: Option<u64>,
+    ) -> ListPosition {
         let held = self.membership.held().is_some();
-        match self.membership.hear_text(self.book.clock.now_ms(), source, list, fingerprint) {
+        match self.membership.hear_text(self.ledger.clock.now_ms(), source, list, fingerprint) {
             Ok(Heard::AskWhole) => return None,
-            Ok(heard) => self.heard(heard),
+            Ok(change) => self.apply_membership_change(change),
             Err(cause) => warn!(%cause, source = source.name(), version = list.version, "list refused"),
         }
-        if let Some(now) = self.membership.held().filter(|_| !held) {
-            warn!(source = now.source.name(), why = %now.why, "list held until another word says the same");
+        if let Some(version) = self.membership.held().filter(|_| !held) {
+            warn!(source = version.source.name(), why = %version.why, "list held until it is confirmed");
         }
         self.membership.known(source)
     }
 
-    /// What the list came to is told to the decisions, kept for the next start, and asked after.
-    fn heard(&mut self, heard: Heard) {
-        let now_ms = self.book.clock.now_ms();
-        if let Heard::Listed { kind, rows } = heard {
-            info!(revision = self.membership.revision(), ?kind, rows = rows.len(), "list taken");
-            if let Some(desk) = &self.desk {
-                desk.borrow_mut().listed(kind, &rows);
+    /// Passes a changed list to the decision core, saves it for the next start, and probes the servers whose
+    /// presence decides on a held version.
+    fn apply_membership_change(&mut self, change: Heard) {
+        let now_ms = self.ledger.clock.now_ms();
+        if let Heard::Listed { kind, rows } = change {
+            info!(revision = self.membership.revision(), ?kind, rows = rows.len(), "list applied");
+            if let Some(controller) = &self.controller {
+                controller.borrow_mut().listed(kind, &rows);
             }
-            self.handle(Input::Listed { kind, rows });
-            self.saves.send_replace(self.membership.save(now_ms, self.state.steady.now_ms()));
+            self.handle_input(Input::Listed { kind, rows });
+            self.saved_lists.send_replace(self.membership.save(now_ms, self.state.steady.now_ms()));
         }
-        let asks = self.membership.asks(now_ms);
-        self.wakes = self.membership.wakes_ms(now_ms).map(|at| Instant::now() + duration(at - now_ms));
-        asks.into_iter().for_each(|worker| self.look(worker));
+        let to_check = self.membership.asks(now_ms);
+        self.membership_due =
+            self.membership.wakes_ms(now_ms).map(|at| Instant::now() + duration(at - now_ms));
+        to_check.into_iter().for_each(|worker| self.check_reachability(worker));
     }
 
-    /// Asks a server whether it is there.
-    fn look(&self, worker: WorkerId) {
+    /// Probes a server and reports only whether it is reachable.
+    fn check_reachability(&self, worker: WorkerId) {
         let Some(address) = self.membership.address(&worker) else { return };
-        let (engines, core) = (self.engines.clone(), self.own.clone());
+        let (engines, core) = (self.engines.clone(), self.event_sender.clone());
         tokio::task::spawn_local(async move {
-            let within_ms = engines.settings.probe_ms;
-            let answer =
-                engines.call(address, Method::GET, wire::PROBE, String::new(), within_ms, 4096).await;
-            let _ = core.send(CoreEvent::ReachabilityChecked { worker, reachable: answer.is_ok() }).await;
+            let timeout_ms = engines.settings.probe_ms;
+            let response =
+                engines.call(address, Method::GET, wire::PROBE, String::new(), timeout_ms, 4096).await;
+            let _ = core.send(CoreEvent::ReachabilityChecked { worker, reachable: response.is_ok() }).await;
         });
     }
 
-    /// What a mere question says of its zone.
-    fn asked(&self, worker: &WorkerId, answered: bool) {
-        if let Some(desk) = &self.desk {
+    /// Reports the result of a probe to the failover controller.
+    fn record_probe(&self, worker: &WorkerId, answered: bool) {
+        if let Some(controller) = &self.controller {
             let met = if answered { Met::Answered } else { Met::Silent };
-            desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
+            controller.borrow_mut().met(self.ledger.clock.now_ms(), worker, met);
         }
     }
 
-    /// What a dispatch says of its zone.
-    fn met(&mut self, completion: CompletionId, seq: Seq, met: Option<Met>) {
-        let (Some(desk), Some(met)) = (&self.desk, met) else { return };
-        if let Some(worker) = self.book.worker(completion, seq) {
-            desk.borrow_mut().met(self.book.clock.now_ms(), worker, met);
+    /// Reports the outcome of a dispatch to the failover controller.
+    fn record_zone_outcome(&mut self, completion: CompletionId, seq: Seq, met: Option<Met>) {
+        let (Some(controller), Some(met)) = (&self.controller, met) else { return };
+        if let Some(worker) = self.ledger.worker(completion, seq) {
+            controller.borrow_mut().met(self.ledger.clock.now_ms(), worker, met);
         }
     }
 
-    /// What a dispatch says of its server: somebody is there, or nobody.
-    fn saw(&mut self, completion: CompletionId, seq: Seq, end: &SocketEnd) {
-        let there = match end {
+    /// Reports to the membership whether a dispatch reached its server.
+    fn record_reachability(&mut self, completion: CompletionId, seq: Seq, end: &SocketEnd) {
+        let reachable = match end {
             SocketEnd::ConnectRefused | SocketEnd::ConnectTimedOut => false,
             SocketEnd::ReadDone | SocketEnd::AnswerDone => true,
             _ => return,
         };
-        if let Some(worker) = self.book.worker(completion, seq).cloned() {
-            let heard = self.membership.observe(self.book.clock.now_ms(), &worker, there);
-            if matches!(heard, Heard::Listed { .. }) {
-                self.heard(heard);
+        if let Some(worker) = self.ledger.worker(completion, seq).cloned() {
+            let change = self.membership.observe(self.ledger.clock.now_ms(), &worker, reachable);
+            if matches!(change, Heard::Listed { .. }) {
+                self.apply_membership_change(change);
             }
         }
     }
 
-    fn reported(&mut self, worker: WorkerId, load: &Load) {
-        // A report that nobody asked for is no fault.
+    fn record_load(&mut self, worker: WorkerId, load: &Load) {
+        // Servers may send load reports even where the settings disable their use.
         if !self.settings.reports {
             return;
         }
@@ -379,37 +410,37 @@
             memory_share: load.mem_utilization,
             waiting_kilotokens: load.metric(wire::WAITING_TOKENS).map(|tokens| tokens / 1e3),
         };
-        if let Some((desk, share)) = self.desk.as_ref().zip(failover::share(&load)) {
-            desk.borrow_mut().reported(self.book.clock.now_ms(), &worker, share);
+        if let Some((controller, share)) = self.controller.as_ref().zip(failover::share(&load)) {
+            controller.borrow_mut().reported(self.ledger.clock.now_ms(), &worker, share);
         }
-        self.handle(Input::Reported { worker, load });
+        self.handle_input(Input::Reported { worker, load });
     }
 
-    fn handle(&mut self, input: Input) {
-        for effect in self.book.handle(input) {
-            self.carry_out(effect);
+    fn handle_input(&mut self, input: Input) {
+        for effect in self.ledger.handle(input) {
+            self.perform_effect(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn perform_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Send(sending) => self.send(sending),
+            Effect::Send(outgoing) => self.send_dispatch(outgoing),
             Effect::Stop { completion, seq } => {
-                if let Some(words) = self.words.get(&(completion, seq)) {
-                    // Room for one grant and one stop; a second stop says nothing new.
-                    let _ = words.try_send(DispatchCommand::Stop);
+                if let Some(commands) = self.commands.get(&(completion, seq)) {
+                    // The channel has room for one grant and one stop; a second stop changes nothing.
+                    let _ = commands.try_send(DispatchCommand::Stop);
                 }
             }
             Effect::Grant { completion, seq } => {
-                let Some(owed) = self.owed.remove(&completion) else { return };
-                if let Some(words) = self.words.get(&(completion, seq)) {
-                    let _ = words.try_send(DispatchCommand::Grant(owed.begin()));
+                let Some(reply) = self.pending_replies.remove(&completion) else { return };
+                if let Some(commands) = self.commands.get(&(completion, seq)) {
+                    let _ = commands.try_send(DispatchCommand::Grant(reply.begin()));
                 }
             }
             Effect::Deliver { completion, seq } => {
-                let whole = self.wholes.remove(&(completion, seq));
-                if let (Some(owed), Some(whole)) = (self.owed.remove(&completion), whole) {
-                    owed.whole(whole);
+                let answer = self.whole_answers.remove(&(completion, seq));
+                if let (Some(reply), Some(answer)) = (self.pending_replies.remove(&completion), answer) {
+                    reply.whole(answer);
                 }
             }
             Effect::RateLimit { completion, retry_after_ms } => {
@@ -417,22 +448,29 @@
                 let mut error =
                     ApiError::new(ErrorKind::Overloaded, "no server can take this now; come again");
                 error.retry_after_ms = Some(retry_after_ms);
-                self.owed.remove(&completion).into_iter().for_each(|owed| owed.rate_limit(error.clone()));
+                self.pending_replies
+                    .remove(&completion)
+                    .into_iter()
+                    .for_each(|reply| reply.rate_limit(error.clone()));
             }
             Effect::Abort { completion } => {
                 debug!(completion = completion.0, "aborted");
                 let error = ApiError::new(ErrorKind::Api, "the answer was lost; it may have run");
-                self.owed.remove(&completion).into_iter().for_each(|owed| owed.abort(error.clone()));
+                self.pending_replies
+                    .remove(&completion)
+                    .into_iter()
+                    .for_each(|reply| reply.abort(error.clone()));
             }
             Effect::Forget { completion } => {
-                self.owed.remove(&completion);
-                self.asks.remove(&completion);
-                self.targets.remove(&completion);
+                self.pending_replies.remove(&completion);
+                self.requests.remove(&completion);
+                self.latency_targets_ms.remove(&completion);
             }
-            // The book has set its timers.
+            // `TimedLedger` has set the timer already.
             Effect::Arm { .. } => {}
             Effect::Release { worker, completion, seq } => self.release(worker, completion, seq),
-            // The word of this wire would take the state from under the dispatch that comes for it.
+            // This protocol has only the unconditional release, which would remove the state although a
+            // dispatch may still arrive to fetch it.
             Effect::ReleaseUnclaimed { .. } => {}
             Effect::Hold { worker, completion, seq, tokens } => self.hold(worker, completion, seq, tokens),
             Effect::Probe { worker } => self.probe(worker),
@@ -447,45 +485,47 @@
                     self.state.keeps(&worker, start, session, tokens, prefix);
                 }
             }
-            Effect::Subscribe => self.list_word(ListRequest::Subscribe),
-            Effect::FetchList => self.list_word(ListRequest::Fetch),
-            Effect::Note(text) => debug!(text, "decisions"),
+            Effect::Subscribe => self.request_list(ListRequest::Subscribe),
+            Effect::FetchList => self.request_list(ListRequest::Fetch),
+            Effect::Note(text) => debug!(text, "decision note"),
         }
     }
 
-    fn list_word(&self, word: ListRequest) {
-        // A list task with that many words waiting is about to ask anyway.
-        let _ = self.list.try_send(word);
+    fn request_list(&self, request: ListRequest) {
+        // A list task with a full queue is about to poll anyway.
+        let _ = self.list_requests.try_send(request);
     }
 
-    fn name(&self, completion: CompletionId, seq: Seq) -> String {
+    fn dispatch_request_id(&self, completion: CompletionId, seq: Seq) -> String {
         request_id(self.settings.decisions.own_number, self.boot, completion, seq)
     }
 
-    fn send(&mut self, sending: OutgoingDispatch) {
-        let (completion, seq) = (sending.completion, sending.seq);
-        let Some(ask) = self.asks.get(&completion).cloned() else { return };
-        let (sender, words) = mpsc::channel(2);
-        self.words.insert((completion, seq), sender);
-        debug!(completion = completion.0, seq = seq.0, worker = %sending.worker.0, stage = ?sending.stage, "dispatch");
+    fn send_dispatch(&mut self, outgoing: OutgoingDispatch) {
+        let (completion, seq) = (outgoing.completion, outgoing.seq);
+        let Some(request) = self.requests.get(&completion).cloned() else { return };
+        let (sender, commands) = mpsc::channel(2);
+        self.commands.insert((completion, seq), sender);
+        debug!(completion = completion.0, seq = seq.0, worker = %outgoing.worker.0, stage = ?outgoing.stage,
+            "dispatch");
         let dispatch = Dispatch {
-            address: self.membership.address(&sending.worker),
-            request_id: self.name(completion, seq),
-            sending,
-            ask,
-            words,
+            address: self.membership.address(&outgoing.worker),
+            request_id: self.dispatch_request_id(completion, seq),
+            outgoing,
+            request,
+            commands,
             engines: self.engines.clone(),
-            clock: self.book.clock,
-            core: self.own.clone(),
+            clock: self.ledger.clock,
+            core: self.event_sender.clone(),
         };
         tokio::task::spawn_local(dispatch.run());
     }
 
-    /// CoreEvent a few times if need be: a state that is not let go of costs its reader memory.
+    /// Sends a release, with retries: a state that is not released occupies memory of its reader.
     fn release(&self, worker: WorkerId, completion: CompletionId, seq: Seq) {
         let Some(address) = self.membership.address(&worker) else { return };
-        let request_id = self.name(completion, seq);
-        let (engines, clock, unheard) = (self.engines.clone(), self.book.clock, self.unheard.clone());
+        let request_id = self.dispatch_request_id(completion, seq);
+        let (engines, clock, undelivered) =
+            (self.engines.clone(), self.ledger.clock, self.undelivered_releases.clone());
         let limit_ms = self.settings.decisions.pin_limit_ms;
         let tries = engines.settings.release_tries;
         tokio::task::spawn_local(async move {
@@ -494,7 +534,7 @@
                 let answer = engines.call(address, Method::POST, wire::RELEASE, body.clone(), limit_ms, 4096);
                 answer.map(|answer| match answer {
                     Ok((status, _, _)) if status < 500 => (worker, CallResult::Acknowledged),
-                    // Who refuses connections does not run, and holds nothing.
+                    // A server that refuses connections doesn't run, so it holds no state.
                     Err(SocketEnd::ConnectRefused) => {
                         (worker, CallResult::NothingHeld(DeliveryFailure::Refused))
                     }
@@ -502,17 +542,17 @@
                     Err(_) => (worker, CallResult::Failed(DeliveryFailure::Silent)),
                 })
             };
-            // Here only the holder can let go, so there is nobody to spread over.
-            let hearing = Reachability::new(None);
+            // Only the holder of a state can release it here, so no other worker needs to be tried.
+            let reachability = Reachability::new(None);
             let now_ms = clock.now_ms();
-            let mut telling =
+            let mut delivery =
                 ReleaseDelivery::new(worker.clone(), ReleaseRoute::HolderOnly, 0, limit_ms, tries, now_ms);
-            let next = |telling: &mut ReleaseDelivery, now_ms| telling.next_step(now_ms, &hearing);
-            if release::deliver(&mut telling, clock, next, call).await.is_none() {
-                let cause = telling.worst_failure().unwrap_or(DeliveryFailure::NoWay);
-                if unheard.record(cause, clock.now_ms()) {
-                    let (cause, calls, unheard) = (cause.name(), telling.calls(), unheard.counts());
-                    warn!(worker = %worker.0, cause, calls, ?unheard, "nobody heard what is let go of");
+            let next = |delivery: &mut ReleaseDelivery, now_ms| delivery.next_step(now_ms, &reachability);
+            if release::deliver(&mut delivery, clock, next, call).await.is_none() {
+                let cause = delivery.worst_failure().unwrap_or(DeliveryFailure::NoWay);
+                if undelivered.record(cause, clock.now_ms()) {
+                    let (cause, calls, counts) = (cause.name(), delivery.calls(), undelivered.counts());
+                    warn!(worker = %worker.0, cause, calls, unheard = ?counts, "release was not delivered");
                 }
             }
         });
@@ -520,17 +560,20 @@
 
     fn hold(&self, worker: WorkerId, completion: CompletionId, seq: Seq, tokens: f64) {
         let Some(address) = self.membership.address(&worker) else { return };
-        let request = wire::HoldRequest { request_id: self.name(completion, seq), tokens: tokens as u64 };
-        let (engines, core) = (self.engines.clone(), self.own.clone());
+        let request = wire::HoldRequest {
+            request_id: self.dispatch_request_id(completion, seq),
+            tokens: tokens as u64,
+        };
+        let (engines, core) = (self.engines.clone(), self.event_sender.clone());
         tokio::task::spawn_local(async move {
             let body = serde_json::to_string(&request).unwrap_or_default();
-            let within_ms = engines.settings.probe_ms;
-            let answer = engines.call(address, Method::POST, wire::HOLD, body, within_ms, 4096).await;
-            // A server that can't be heard gives no answer, as on the bench.
+            let timeout_ms = engines.settings.probe_ms;
+            let answer = engines.call(address, Method::POST, wire::HOLD, body, timeout_ms, 4096).await;
+            // A server that can't be reached produces no event, as on the test bench.
             if let Ok((200, _, body)) = answer {
                 if let Ok(reply) = serde_json::from_slice::<wire::HoldReply>(&body) {
-                    let told = CoreEvent::HoldAnswered { completion, seq, worker, held: reply.held };
-                    let _ = core.send(told).await;
+                    let event = CoreEvent::HoldAnswered { completion, seq, worker, held: reply.held };
+                    let _ = core.send(event).await;
                 }
             }
         });
@@ -538,17 +581,20 @@
 
     fn probe(&self, worker: WorkerId) {
         let address = self.membership.address(&worker);
-        let (engines, core) = (self.engines.clone(), self.own.clone());
+        let (engines, core) = (self.engines.clone(), self.event_sender.clone());
         tokio::task::spawn_local(async move {
-            let began = tokio::time::Instant::now();
+            let start = tokio::time::Instant::now();
             let answer = match address {
                 Some(address) => {
-                    let within_ms = engines.settings.probe_ms;
-                    engines.call(address, Method::GET, wire::PROBE, String::new(), within_ms, 4096).await.ok()
+                    let timeout_ms = engines.settings.probe_ms;
+                    engines
+                        .call(address, Method::GET, wire::PROBE, String::new(), timeout_ms, 4096)
+                        .await
+                        .ok()
                 }
                 None => None,
             };
-            let took_ms = began.elapsed().as_secs_f64() * 1e3;
+            let took_ms = start.elapsed().as_secs_f64() * 1e3;
             let answered = matches!(answer, Some((200, _, _)));
             let load = answer.and_then(|(_, load, _): (u16, Option<Load>, Bytes)| load);
             let _ = core.send(CoreEvent::Probed { worker, load, answered, took_ms }).await;
--- a/crates/router/src/core_tests.rs
+++ b/crates/router/src/core_tests.rs
@@ -1,4 +1,4 @@
-//! What the core does for effects that the present decisions seldom ask for.
+//! Tests of how the core performs effects that the decision core seldom produces.
 
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
     Rc::new(paddleproxy_settings::router::parse("router", text).unwrap())
 }
 
-/// Answers each connection's requests in turn with the given bodies, and gives out what it was asked.
+/// Starts a server that answers requests with the given bodies in turn. Returns its address and the requests.
 async fn server(bodies: &[(u16, &str)]) -> (std::net::SocketAddr, mpsc::Receiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (asked, heard) = mpsc::channel(16);
+    let (sender, requests) = mpsc::channel(16);
     let mut answers: Vec<_> = bodies
         .iter()
         .map(|(status, body)| format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n{body}", body.len()))
@@ -30,25 +30,25 @@
                 if read == 0 {
                     break;
                 }
-                asked.send(String::from_utf8_lossy(&buffer[..read]).into_owned()).await.unwrap();
+                sender.send(String::from_utf8_lossy(&buffer[..read]).into_owned()).await.unwrap();
                 let Some(answer) = answers.pop() else { return };
                 stream.write_all(answer.as_bytes()).await.unwrap();
             }
         }
     });
-    (address, heard)
+    (address, requests)
 }
 
-struct Stage {
+struct Fixture {
     core: Core,
-    told: mpsc::Receiver<CoreEvent>,
+    events: mpsc::Receiver<CoreEvent>,
     list: mpsc::Receiver<ListRequest>,
     worker: WorkerId,
 }
 
-fn stage(address: std::net::SocketAddr) -> Stage {
+fn fixture(address: std::net::SocketAddr) -> Fixture {
     let settings = settings();
-    let (own, told) = mpsc::channel(16);
+    let (event_sender, events) = mpsc::channel(16);
     let (list_sender, list) = mpsc::channel(8);
     let (saves, _) = watch::channel(None);
     let engines = Rc::new(Engines::new(settings.engines.clone()));
@@ -56,7 +56,7 @@
     let (state, _) =
         crate::state::State::open(dir.path(), 0, crate::steady::SteadyClock::open(dir.path())).unwrap();
     let mut core =
-        Core::new(settings, Clock::start(), 1, 7, engines, own, list_sender, saves, Rc::new(state));
+        Core::new(settings, Clock::start(), 1, 7, engines, event_sender, list_sender, saves, Rc::new(state));
     let entry = ServerEntry {
         name: "a".into(),
         address: address.to_string(),
@@ -68,33 +68,38 @@
         start: 1,
         age_ms: None,
     };
-    core.hear(
+    core.receive_list(
         SourceId::Service,
         &ServerList { epoch: 1, version: 1, after: None, servers: vec![entry] },
         None,
     );
-    Stage { core, told, list, worker: WorkerId(Arc::from("a")) }
+    Fixture { core, events, list, worker: WorkerId(Arc::from("a")) }
 }
 
-fn local(work: impl std::future::Future<Output = ()>) {
+fn run_local(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, work);
+    tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
 #[test]
-fn a_place_is_asked_for_and_its_answer_told() {
-    local(async {
-        let (address, mut heard) = server(&[(200, "{\"held\":true}"), (200, "{\"held\":false}")]).await;
-        let mut stage = stage(address);
+fn a_hold_request_is_sent_and_its_answer_reported() {
+    run_local(async {
+        let (address, mut requests) = server(&[(200, "{\"held\":true}"), (200, "{\"held\":false}")]).await;
+        let mut fixture = fixture(address);
         for expected in [true, false] {
             let (completion, seq) = (CompletionId(3), Seq(1));
-            stage.core.carry_out(Effect::Hold { worker: stage.worker.clone(), completion, seq, tokens: 9.0 });
-            let asked = heard.recv().await.unwrap();
+            fixture.core.perform_effect(Effect::Hold {
+                worker: fixture.worker.clone(),
+                completion,
+                seq,
+                tokens: 9.0,
+            });
+            let request = requests.recv().await.unwrap();
             assert!(
-                asked.starts_with("POST /x/hold ")
-                    && asked.contains("{\"request_id\":\"0.1.3.1\",\"tokens\":9}")
+                request.starts_with("POST /x/hold ")
+                    && request.contains("{\"request_id\":\"0.1.3.1\",\"tokens\":9}")
             );
-            let Some(CoreEvent::HoldAnswered { held, .. }) = stage.told.recv().await else {
+            let Some(CoreEvent::HoldAnswered { held, .. }) = fixture.events.recv().await else {
                 panic!("no answer")
             };
             assert_eq!(held, expected);
@@ -103,54 +108,56 @@
 }
 
 #[test]
-fn a_release_that_was_not_heard_is_told_again() {
-    local(async {
-        let (address, mut heard) = server(&[(500, ""), (500, ""), (200, "{}")]).await;
-        let mut stage = stage(address);
+fn a_release_without_acknowledgement_is_retried() {
+    run_local(async {
+        let (address, mut requests) = server(&[(500, ""), (500, ""), (200, "{}")]).await;
+        let mut fixture = fixture(address);
         let (completion, seq) = (CompletionId(3), Seq(0));
-        stage.core.carry_out(Effect::Release { worker: stage.worker.clone(), completion, seq });
+        fixture.core.perform_effect(Effect::Release { worker: fixture.worker.clone(), completion, seq });
         for _ in 0..3 {
-            assert!(heard.recv().await.unwrap().contains("{\"request_id\":\"0.1.3.0\"}"));
+            assert!(requests.recv().await.unwrap().contains("{\"request_id\":\"0.1.3.0\"}"));
         }
-        let more = tokio::time::timeout(duration(600.0), heard.recv()).await;
-        assert!(more.is_err(), "a release that was heard is not told again");
+        let extra = tokio::time::timeout(duration(600.0), requests.recv()).await;
+        assert!(extra.is_err(), "an acknowledged release is not retried");
     });
 }
 
 #[test]
-fn a_probe_brings_its_report_or_none() {
-    local(async {
-        let (address, mut heard) = server(&[(200, "{}"), (500, "")]).await;
-        let mut stage = stage(address);
+fn a_probe_reports_whether_it_was_answered() {
+    run_local(async {
+        let (address, mut requests) = server(&[(200, "{}"), (500, "")]).await;
+        let mut fixture = fixture(address);
         for expected in [true, false] {
-            stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
-            assert!(heard.recv().await.unwrap().starts_with("GET /x/probe "));
-            let Some(CoreEvent::Probed { answered, .. }) = stage.told.recv().await else {
+            fixture.core.perform_effect(Effect::Probe { worker: fixture.worker.clone() });
+            assert!(requests.recv().await.unwrap().starts_with("GET /x/probe "));
+            let Some(CoreEvent::Probed { answered, .. }) = fixture.events.recv().await else {
                 panic!("no answer")
             };
             assert_eq!(answered, expected);
         }
-        // One that never answers is told as silent within the time for a probe.
-        stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
-        let Some(CoreEvent::Probed { answered, .. }) = stage.told.recv().await else { panic!("no answer") };
+        // A server that never answers is reported as silent within the probe timeout.
+        fixture.core.perform_effect(Effect::Probe { worker: fixture.worker.clone() });
+        let Some(CoreEvent::Probed { answered, .. }) = fixture.events.recv().await else {
+            panic!("no answer")
+        };
         assert!(!answered);
     });
 }
 
 #[test]
-fn list_words_and_closed_connections_reach_their_tasks() {
-    local(async {
-        let (address, mut heard) = server(&[(200, "{}"), (200, "{}")]).await;
-        let mut stage = stage(address);
-        stage.core.carry_out(Effect::Subscribe);
-        stage.core.carry_out(Effect::FetchList);
-        assert_eq!(stage.list.recv().await, Some(ListRequest::Subscribe));
-        assert_eq!(stage.list.recv().await, Some(ListRequest::Fetch));
-        stage.core.carry_out(Effect::Probe { worker: stage.worker.clone() });
-        heard.recv().await.unwrap();
-        stage.told.recv().await.unwrap();
-        assert_eq!(stage.core.engines.kept_for(address), 1);
-        stage.core.carry_out(Effect::CloseIdle { worker: stage.worker.clone() });
-        assert_eq!(stage.core.engines.kept_for(address), 0);
+fn list_requests_are_forwarded_and_idle_connections_closed() {
+    run_local(async {
+        let (address, mut requests) = server(&[(200, "{}"), (200, "{}")]).await;
+        let mut fixture = fixture(address);
+        fixture.core.perform_effect(Effect::Subscribe);
+        fixture.core.perform_effect(Effect::FetchList);
+        assert_eq!(fixture.list.recv().await, Some(ListRequest::Subscribe));
+        assert_eq!(fixture.list.recv().await, Some(ListRequest::Fetch));
+        fixture.core.perform_effect(Effect::Probe { worker: fixture.worker.clone() });
+        requests.recv().await.unwrap();
+        fixture.events.recv().await.unwrap();
+        assert_eq!(fixture.core.engines.idle_count(address), 1);
+        fixture.core.perform_effect(Effect::CloseIdle { worker: fixture.worker.clone() });
+        assert_eq!(fixture.core.engines.idle_count(address), 0);
     });
 }
--- a/crates/router/src/dispatch_tests.rs
+++ b/crates/router/src/dispatch_tests.rs
@@ -1,4 +1,5 @@
-//! A test for each row of the table of outcomes: what a socket does, and what the decisions are told.
+//! A test for each row of the outcome table: how a socket ends, and the outcome that the decision core
+//! receives.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,24 +19,25 @@
 
 #[derive(Clone)]
 enum Step {
-    /// Waits for a whole request.
+    /// Waits for a complete request.
     Read,
     Write(String),
     Hang,
 }
 use Step::{Hang, Read, Write};
 
-fn http(status: u16, kind: &str, body: &str) -> Step {
+fn http_response(status: u16, kind: &str, body: &str) -> Step {
     let length = body.len();
     Write(format!("HTTP/1.1 {status} X\r\ncontent-type: {kind}\r\ncontent-length: {length}\r\n\r\n{body}"))
 }
 
-fn events(body: &str) -> Step {
+fn event_stream(body: &str) -> Step {
     Write(format!("HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n{body}"))
 }
 
-const WORD: &str = "data: {\"choices\":[{\"text\":\"w\"}]}\n\n";
-const LAST: &str = "data: {\"choices\":[{\"text\":\"w\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
+const TEXT_EVENT: &str = "data: {\"choices\":[{\"text\":\"w\"}]}\n\n";
+const END_EVENTS: &str =
+    "data: {\"choices\":[{\"text\":\"w\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n";
 
 async fn read_request(stream: &mut TcpStream) -> bool {
     let mut text = Vec::new();
@@ -43,7 +45,7 @@
     loop {
         match stream.read(&mut buffer).await {
             Ok(0) | Err(_) => return false,
-            Ok(read) => text.extend_from_slice(&buffer[..read]),
+            Ok(count) => text.extend_from_slice(&buffer[..count]),
         }
         let whole = String::from_utf8_lossy(&text).into_owned();
         let Some((head, body)) = whole.split_once("\r\n\r\n") else { continue };
@@ -58,7 +60,7 @@
     }
 }
 
-/// Plays the same steps on each connection, which closes after the last.
+/// Runs the same steps on each connection, and closes it after the last step.
 async fn server(steps: Vec<Step>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -93,7 +95,7 @@
     }))
 }
 
-fn ask(streamed: bool) -> Rc<ClientRequest> {
+fn client_request(streamed: bool) -> Rc<ClientRequest> {
     let (model, prompt) = ("m".to_owned(), "p".to_owned());
     let (client_id, effect_key) = (None, None);
     Rc::new(ClientRequest {
@@ -108,18 +110,18 @@
     })
 }
 
-async fn dispatched(
+async fn run_dispatch(
     engines: &Rc<Engines>,
     address: Option<SocketAddr>,
     stage: Stage,
     streamed: bool,
     stop: bool,
 ) -> DispatchEnd {
-    dispatched_as(|_| {}, engines, address, stage, streamed, stop).await
+    run_dispatch_with(|_| {}, engines, address, stage, streamed, stop).await
 }
 
-/// Runs one dispatch as the core would, which grants each stream that begins.
-async fn dispatched_as(
+/// Runs one dispatch in place of the core: grants the stream when it begins.
+async fn run_dispatch_with(
     change: impl Fn(&mut OutgoingDispatch),
     engines: &Rc<Engines>,
     address: Option<SocketAddr>,
@@ -128,9 +130,9 @@
     stop: bool,
 ) -> DispatchEnd {
     let clock = Clock::start();
-    let (core, mut told) = mpsc::channel(16);
-    let (words, heard) = mpsc::channel(2);
-    let mut sending = OutgoingDispatch {
+    let (core, mut events) = mpsc::channel(16);
+    let (command_sender, commands) = mpsc::channel(2);
+    let mut outgoing = OutgoingDispatch {
         completion: CompletionId(1),
         seq: Seq(0),
         worker: WorkerId(Arc::from("a")),
@@ -141,38 +143,38 @@
         write_by_ms: f64::INFINITY,
         repeat_by_ms: f64::INFINITY,
     };
-    change(&mut sending);
+    change(&mut outgoing);
     let dispatch = Dispatch {
-        sending,
+        outgoing,
         address,
         request_id: "0.0.1.0".into(),
-        ask: ask(streamed),
-        words: heard,
+        request: client_request(streamed),
+        commands,
         engines: engines.clone(),
         clock,
         core,
     };
     tokio::task::spawn_local(dispatch.run());
     if stop {
-        words.try_send(DispatchCommand::Stop).ok().unwrap();
+        command_sender.try_send(DispatchCommand::Stop).ok().unwrap();
     }
-    let (duty, client) = crate::pending_answer::PendingAnswer::new(Rc::default());
+    let (pending_answer, client) = crate::pending_answer::PendingAnswer::new(Rc::default());
     let (dialect, id, model) = (paddleproxy_messages::Dialect::published(), "i".into(), "m".into());
     let encoder = paddleproxy_messages::Encoder { dialect, id, model, created: 0, tells_usage: true };
-    let mut owed = Some(Owed::new(duty, None, encoder, 64, Rc::default()));
+    let mut reply = Some(Owed::new(pending_answer, None, encoder, 64, Rc::default()));
     let client = tokio::task::spawn_local(async move {
         if let Ok(crate::answer::Reply::Stream(mut pieces)) = client.await {
             while pieces.pieces.recv().await.is_some() {}
         }
     });
     loop {
-        match told.recv().await.unwrap() {
+        match events.recv().await.unwrap() {
             CoreEvent::Began { .. } => {
-                let stream = owed.take().expect("a stream begins once").begin();
-                words.try_send(DispatchCommand::Grant(stream)).ok().unwrap();
+                let stream = reply.take().expect("a stream begins once").begin();
+                command_sender.try_send(DispatchCommand::Grant(stream)).ok().unwrap();
             }
             CoreEvent::Ended { end, .. } => {
-                owed.into_iter().for_each(Owed::void);
+                reply.into_iter().for_each(Owed::void);
                 client.await.unwrap();
                 return end;
             }
@@ -181,25 +183,25 @@
     }
 }
 
-async fn ends(steps: Vec<Step>, stage: Stage) -> SocketEnd {
+async fn socket_end(steps: Vec<Step>, stage: Stage) -> SocketEnd {
     let address = server(steps).await;
-    dispatched(&engines(), Some(address), stage, true, false).await.end
+    run_dispatch(&engines(), Some(address), stage, true, false).await.end
 }
 
-/// Runs a test's body on one thread with local tasks.
-fn local(work: impl std::future::Future<Output = ()>) {
+/// Runs a test on a current-thread runtime with a `LocalSet`.
+fn run_local(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, work);
+    tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// The window for repeats ended while the connection was made: nothing is written on it.
+/// The time limit for repeats expired while the connection was being established: nothing may be written.
 #[test]
 fn a_repeat_past_its_window_is_not_written() {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
-        let past = |sending: &mut OutgoingDispatch| sending.repeat_by_ms = 0.0;
-        let end = dispatched_as(past, &engines(), Some(address), Stage::Whole, true, false).await.end;
+        let expired = |outgoing: &mut OutgoingDispatch| outgoing.repeat_by_ms = 0.0;
+        let end = run_dispatch_with(expired, &engines(), Some(address), Stage::Whole, true, false).await.end;
         assert_eq!(end, SocketEnd::Withdrawn(paddleproxy_routing::Withdrawal::RepeatTooLate));
         let (mut server, _) = listener.accept().await.unwrap();
         let mut written = Vec::new();
@@ -209,28 +211,28 @@
 }
 
 #[test]
-fn no_connection_never_ran() {
-    local(async {
+fn failed_connects_never_ran() {
+    run_local(async {
         let closed = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = closed.local_addr().unwrap();
         drop(closed);
-        let refused = dispatched(&engines(), Some(address), Stage::Whole, true, false).await.end;
+        let refused = run_dispatch(&engines(), Some(address), Stage::Whole, true, false).await.end;
         assert_eq!(refused, SocketEnd::ConnectRefused);
-        let nowhere = dispatched(&engines(), None, Stage::Whole, true, false).await.end;
-        assert_eq!(nowhere, SocketEnd::NoAddress);
-        // A full backlog that nobody takes from: the connection is never made.
+        let no_address = run_dispatch(&engines(), None, Stage::Whole, true, false).await.end;
+        assert_eq!(no_address, SocketEnd::NoAddress);
+        // The backlog is full and nothing accepts, so the connection is never established.
         let socket = TcpSocket::new_v4().unwrap();
         socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-        let full = socket.listen(0).unwrap();
-        let address = full.local_addr().unwrap();
-        let mut fill = Vec::new();
+        let full_listener = socket.listen(0).unwrap();
+        let address = full_listener.local_addr().unwrap();
+        let mut pending_connects = Vec::new();
         for _ in 0..4 {
             let connect = TcpStream::connect(address);
-            fill.push(tokio::time::timeout(std::time::Duration::from_millis(50), connect).await);
+            pending_connects.push(tokio::time::timeout(std::time::Duration::from_millis(50), connect).await);
         }
-        let late = dispatched(&engines(), Some(address), Stage::Whole, true, false).await.end;
-        assert_eq!(late, SocketEnd::ConnectTimedOut);
-        for end in [refused, nowhere, late, SocketEnd::Unreachable, SocketEnd::NeverWritten] {
+        let timed_out = run_dispatch(&engines(), Some(address), Stage::Whole, true, false).await.end;
+        assert_eq!(timed_out, SocketEnd::ConnectTimedOut);
+        for end in [refused, no_address, timed_out, SocketEnd::Unreachable, SocketEnd::NeverWritten] {
             assert!(never_ran(outcome(&end)), "{end:?}");
             assert_eq!(outcome(&end), Outcome::ConnectFailed, "{end:?}");
         }
@@ -238,39 +240,41 @@
 }
 
 #[test]
-fn turned_away_never_ran_and_only_in_so_many_words() {
-    local(async {
+fn a_rejection_proves_that_nothing_ran_only_with_its_status() {
+    run_local(async {
         for (refusal, result) in [
             (Refusal::Full, Outcome::Full),
             (Refusal::Draining, Outcome::Full),
             (Refusal::StateGone, Outcome::NoState),
         ] {
-            let answer = http(refusal.status(), "application/json", &refusal.body());
-            let end = ends(vec![Read, answer], Stage::Whole).await;
+            let answer = http_response(refusal.status(), "application/json", &refusal.body());
+            let end = socket_end(vec![Read, answer], Stage::Whole).await;
             assert_eq!((&end, outcome(&end)), (&SocketEnd::TurnedAway(refusal), result));
-            // The same words with another status prove nothing.
-            let end = ends(vec![Read, http(500, "application/json", &refusal.body())], Stage::Whole).await;
+            // The same body with another status proves nothing.
+            let end =
+                socket_end(vec![Read, http_response(500, "application/json", &refusal.body())], Stage::Whole)
+                    .await;
             assert_eq!((&end, outcome(&end)), (&SocketEnd::ErrorStatus(500), Outcome::Error));
         }
-        let end = ends(vec![Read, http(503, "text/html", "<p>busy</p>")], Stage::Whole).await;
+        let end = socket_end(vec![Read, http_response(503, "text/html", "<p>busy</p>")], Stage::Whole).await;
         assert_eq!((&end, never_ran(outcome(&end))), (&SocketEnd::ErrorStatus(503), false));
     });
 }
 
 #[test]
-fn what_breaks_may_have_run() {
-    local(async {
-        let before = ends(vec![Read], Stage::Whole).await;
+fn broken_connections_may_have_run() {
+    run_local(async {
+        let before = socket_end(vec![Read], Stage::Whole).await;
         assert_eq!(before, SocketEnd::BrokeBeforeAnswer);
-        let within = ends(vec![Read, events("")], Stage::Whole).await;
+        let within = socket_end(vec![Read, event_stream("")], Stage::Whole).await;
         assert_eq!(within, SocketEnd::BrokeWithinAnswer);
-        let after = ends(vec![Read, events(WORD)], Stage::Whole).await;
+        let after = socket_end(vec![Read, event_stream(TEXT_EVENT)], Stage::Whole).await;
         assert_eq!(after, SocketEnd::BrokeAfterFirst);
-        let stalled = ends(vec![Read, events(WORD), Hang], Stage::Whole).await;
+        let stalled = socket_end(vec![Read, event_stream(TEXT_EVENT), Hang], Stage::Whole).await;
         assert_eq!(stalled, SocketEnd::Stalled);
         let half =
             Write("HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 99\r\n\r\n{".into());
-        let read = ends(vec![Read, half], Stage::Read).await;
+        let read = socket_end(vec![Read, half], Stage::Read).await;
         assert_eq!(read, SocketEnd::BrokeWithinAnswer);
         for end in [before, within, after, stalled, read] {
             assert_eq!(outcome(&end), Outcome::Broken, "{end:?}");
@@ -280,20 +284,20 @@
 }
 
 #[test]
-fn a_kept_connection_that_closes_under_us_may_have_run() {
-    local(async {
+fn a_reused_connection_that_closes_may_have_run() {
+    run_local(async {
         let engines = engines();
-        let turned = http(503, "application/json", &Refusal::Full.body());
-        let address = server(vec![Read, turned.clone(), Read]).await;
-        let first = dispatched(&engines, Some(address), Stage::Whole, true, false).await.end;
+        let rejected = http_response(503, "application/json", &Refusal::Full.body());
+        let address = server(vec![Read, rejected.clone(), Read]).await;
+        let first = run_dispatch(&engines, Some(address), Stage::Whole, true, false).await.end;
         assert_eq!(first, SocketEnd::TurnedAway(Refusal::Full));
-        // The request goes out on the kept connection, which then closes without a byte.
-        let second = dispatched(&engines, Some(address), Stage::Whole, true, false).await.end;
+        // The request is sent on the reused connection, which closes without sending a byte.
+        let second = run_dispatch(&engines, Some(address), Stage::Whole, true, false).await.end;
         assert_eq!(second, SocketEnd::BrokeBeforeAnswer);
-        // One that closed while it was idle is not used: the request goes out on a new one.
-        let address = server(vec![Read, turned]).await;
+        // A connection that closed while idle is not reused: the request is sent on a new one.
+        let address = server(vec![Read, rejected]).await;
         for _ in 0..3 {
-            let end = dispatched(&engines, Some(address), Stage::Whole, true, false).await.end;
+            let end = run_dispatch(&engines, Some(address), Stage::Whole, true, false).await.end;
             assert_eq!(end, SocketEnd::TurnedAway(Refusal::Full));
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
@@ -301,39 +305,47 @@
 }
 
 #[test]
-fn silence_times_out_and_a_stop_is_a_cancel() {
-    local(async {
-        let silent = ends(vec![Read, Hang], Stage::Whole).await;
+fn silence_times_out_and_a_stop_cancels() {
+    run_local(async {
+        let silent = socket_end(vec![Read, Hang], Stage::Whole).await;
         assert_eq!((&silent, outcome(&silent)), (&SocketEnd::TimedOut, Outcome::TimedOut));
-        let headless = ends(vec![Read, events(""), Hang], Stage::Whole).await;
-        assert_eq!(headless, SocketEnd::TimedOut);
+        let no_event = socket_end(vec![Read, event_stream(""), Hang], Stage::Whole).await;
+        assert_eq!(no_event, SocketEnd::TimedOut);
         let address = server(vec![Read, Hang]).await;
-        let stopped = dispatched(&engines(), Some(address), Stage::Whole, true, true).await.end;
+        let stopped = run_dispatch(&engines(), Some(address), Stage::Whole, true, true).await.end;
         assert_eq!((&stopped, outcome(&stopped)), (&SocketEnd::Stopped, Outcome::Cancelled));
         assert!(!never_ran(outcome(&silent)) && !never_ran(outcome(&stopped)));
     });
 }
 
 #[test]
-fn nonsense_is_an_error_of_bounded_size() {
-    local(async {
+fn invalid_responses_are_errors_of_limited_size() {
+    run_local(async {
         let long_line = format!("data: {}", "x".repeat(5000));
-        let long_answer = WORD.replace('w', &"w".repeat(900)).repeat(3);
+        let long_answer = TEXT_EVENT.replace('w', &"w".repeat(900)).repeat(3);
         let no_state = "{\"choices\":[],\"kv_transfer_params\":{\"do_remote_prefill\":true}}";
-        for (stage, answer, what) in [
-            (Stage::Whole, http(200, "text/html", "<p>"), "content type text/html"),
-            (Stage::Whole, events("data: {oops\n\n"), "an event of an answer"),
-            (Stage::Whole, events("data: [DONE]\n\n"), "the stream ended without a reason"),
-            (Stage::Whole, events(&long_line), "a line longer than 1000 bytes"),
-            (Stage::Whole, events(&long_answer), "an answer longer than 2000 bytes"),
-            (Stage::Whole, Write("BREW /pot\r\n\r\n".into()), "the answer is not HTTP"),
-            (Stage::Read, http(200, "application/json", "[1,"), "the answer of a read"),
-            (Stage::Read, http(200, "application/json", no_state), "the state reference is none"),
-            (Stage::Read, http(200, "application/json", &" ".repeat(5000)), "the answer is too long"),
+        for (stage, answer, expected) in [
+            (Stage::Whole, http_response(200, "text/html", "<p>"), "content type text/html"),
+            (Stage::Whole, event_stream("data: {oops\n\n"), "invalid event in the response"),
+            (Stage::Whole, event_stream("data: [DONE]\n\n"), "the stream ended without a finish reason"),
+            (Stage::Whole, event_stream(&long_line), "a line longer than 1000 bytes"),
+            (Stage::Whole, event_stream(&long_answer), "response longer than 2000 bytes"),
+            (Stage::Whole, Write("BREW /pot\r\n\r\n".into()), "the response is not HTTP"),
+            (Stage::Read, http_response(200, "application/json", "[1,"), "invalid response to a read"),
+            (
+                Stage::Read,
+                http_response(200, "application/json", no_state),
+                "the response has no usable state reference",
+            ),
+            (
+                Stage::Read,
+                http_response(200, "application/json", &" ".repeat(5000)),
+                "the response body is too long",
+            ),
         ] {
-            match ends(vec![Read, answer, Hang], stage).await {
-                SocketEnd::Nonsense(said) => assert!(said.starts_with(what), "{said}"),
-                other => panic!("{what}: {other:?}"),
+            match socket_end(vec![Read, answer, Hang], stage).await {
+                SocketEnd::Nonsense(cause) => assert!(cause.starts_with(expected), "{cause}"),
+                other => panic!("{expected}: {other:?}"),
             }
         }
         assert_eq!(outcome(&SocketEnd::Nonsense("x".into())), Outcome::Error);
@@ -341,8 +353,8 @@
 }
 
 #[test]
-fn good_answers_bring_state_text_and_cached_tokens() {
-    local(async {
+fn valid_responses_yield_state_text_and_cached_tokens() {
+    run_local(async {
         let state = StateReference {
             do_remote_prefill: true,
             remote_engine_id: Some("r".into()),
@@ -353,14 +365,14 @@
         };
         let usage = "\"usage\":{\"prompt_tokens\":10,\"prompt_tokens_details\":{\"cached_tokens\":7}}";
         let body = format!("{{\"kv_transfer_params\":{},{usage}}}", serde_json::to_string(&state).unwrap());
-        let address = server(vec![Read, http(200, "application/json", &body)]).await;
-        let read = dispatched(&engines(), Some(address), Stage::Read, true, false).await;
+        let address = server(vec![Read, http_response(200, "application/json", &body)]).await;
+        let read = run_dispatch(&engines(), Some(address), Stage::Read, true, false).await;
         assert_eq!((read.end, read.cached_tokens, read.state), (SocketEnd::ReadDone, 7.0, Some(state)));
-        let text = format!("{WORD}data: {{\"choices\":[],{usage}}}\n\n{LAST}");
-        let address = server(vec![Read, events(&text)]).await;
-        let streamed = dispatched(&engines(), Some(address), Stage::Whole, true, false).await;
+        let text = format!("{TEXT_EVENT}data: {{\"choices\":[],{usage}}}\n\n{END_EVENTS}");
+        let address = server(vec![Read, event_stream(&text)]).await;
+        let streamed = run_dispatch(&engines(), Some(address), Stage::Whole, true, false).await;
         assert_eq!((streamed.end, streamed.cached_tokens), (SocketEnd::AnswerDone, 7.0));
-        let plain = dispatched(&engines(), Some(address), Stage::Whole, false, false).await;
+        let plain = run_dispatch(&engines(), Some(address), Stage::Whole, false, false).await;
         assert_eq!((plain.end, plain.answer.unwrap().text.as_str()), (SocketEnd::AnswerDone, "ww"));
     });
 }
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -1,4 +1,4 @@
-//! Connections to model servers: kept-alive ones by address, and the calls that are not completions.
+//! Connections to model servers, idle ones pooled by address, and the small calls other than completions.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -22,15 +22,15 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Idle connections kept for one server at most.
-const IDLE_MAX: usize = 256;
+/// Further idle connections to the same server are closed.
+const MAX_IDLE_PER_SERVER: usize = 256;
 
 pub struct Engines {
     pub settings: EngineSettings,
     idle: RefCell<BTreeMap<SocketAddr, Vec<(Sender, Instant)>>>,
 }
 
-/// A connection in use.
+/// A connection taken from the pool or newly established.
 pub struct Connection {
     sender: Sender,
     address: SocketAddr,
@@ -41,11 +41,11 @@
         Engines { settings, idle: RefCell::default() }
     }
 
-    fn kept(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.get_mut(&address)?;
+        let connections = idle.get_mut(&address)?;
         let oldest = Instant::now() - duration(self.settings.idle_ms);
-        while let Some((sender, since)) = kept.pop() {
+        while let Some((sender, since)) = connections.pop() {
             if since >= oldest && sender.is_ready() {
                 return Some(sender);
             }
@@ -53,15 +53,15 @@
         None
     }
 
-    /// Gives a connection back whose answer was read to its end.
-    pub fn keep(&self, connection: Connection) {
+    /// Returns a connection to the pool after its response was read to the end.
+    pub fn return_connection(&self, connection: Connection) {
         if connection.sender.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        let kept = idle.entry(connection.address).or_default();
-        if kept.len() < IDLE_MAX {
-            kept.push((connection.sender, Instant::now()));
+        let connections = idle.entry(connection.address).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push((connection.sender, Instant::now()));
         }
     }
 
@@ -69,41 +69,40 @@
         self.idle.borrow_mut().remove(&address);
     }
 
-    /// Connections kept for a server.
+    /// Number of idle connections to a server.
     #[cfg(test)]
-    pub fn kept_for(&self, address: SocketAddr) -> usize {
+    pub fn idle_count(&self, address: SocketAddr) -> usize {
         self.idle.borrow().get(&address).map_or(0, Vec::len)
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Sender, SocketEnd> {
-        let made = timeout(duration(self.settings.connect_ms), paddleproxy_sockets::connect(address)).await;
-        let stream = match made {
+        let result = timeout(duration(self.settings.connect_ms), paddleproxy_sockets::connect(address)).await;
+        let stream = match result {
             Err(_) => return Err(SocketEnd::ConnectTimedOut),
             Ok(Ok(stream)) => stream,
             Ok(Err(cause)) => {
                 return Err(match cause.kind() {
                     ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => SocketEnd::ConnectRefused,
                     ErrorKind::TimedOut => SocketEnd::ConnectTimedOut,
-                    // Nothing was wrong with the server.
+                    // The shortage is local, so the server is not to blame.
                     _ if Shortage::of(&cause).is_some() => SocketEnd::NoRoom,
                     _ => SocketEnd::Unreachable,
                 });
             }
         };
-        let shaken = http1::Builder::new().max_headers(64).handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = shaken.map_err(|_| SocketEnd::NeverWritten)?;
+        let handshake = http1::Builder::new().max_headers(64).handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = handshake.map_err(|_| SocketEnd::NeverWritten)?;
         tokio::task::spawn_local(async move {
-            // An error ends the connection; the request that was on it hears of it.
+            // An error ends the connection, and the request in flight on it fails.
             let _ = connection.await;
         });
         Ok(sender)
     }
 
-    /// Sends a request and waits for the head of its answer, on a kept connection or a new one.
+    /// Sends a request on an idle or a new connection and waits for the head of the response.
     ///
-    /// # Errors
-    /// How the socket ended, or why it must not be written now that the connection is there. Only what hyper hands back
-    /// unwritten is tried on a new connection.
+    /// # Errors How the socket ended, or why the request must not be written although the connection is
+    /// established. Only a request that hyper returns unwritten is retried on a new connection.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -111,7 +110,7 @@
         may_write: impl Fn() -> Result<(), Withdrawal>,
     ) -> Result<(Response<Incoming>, Connection), SocketEnd> {
         loop {
-            let (mut sender, fresh) = match self.kept(address) {
+            let (mut sender, new) = match self.take_idle(address) {
                 Some(sender) => (sender, false),
                 None => (self.connect(address).await?, true),
             };
@@ -119,10 +118,10 @@
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok((response, Connection { sender, address })),
                 Err(mut failed) => match failed.take_message() {
-                    Some(unwritten) if !fresh => request = unwritten,
+                    Some(unwritten) if !new => request = unwritten,
                     Some(_) => return Err(SocketEnd::NeverWritten),
                     None if failed.error().is_parse() => {
-                        return Err(SocketEnd::Nonsense("the answer is not HTTP".into()))
+                        return Err(SocketEnd::Nonsense("the response is not HTTP".into()))
                     }
                     None => return Err(SocketEnd::BrokeBeforeAnswer),
                 },
@@ -130,30 +129,30 @@
         }
     }
 
-    /// One small call with a whole answer, within a time.
+    /// Sends a small request and receives the complete response within `timeout_ms`.
     pub async fn call(
         &self,
         address: SocketAddr,
         method: Method,
         path: &str,
         body: String,
-        within_ms: f64,
-        answer_bytes: usize,
+        timeout_ms: f64,
+        max_response_bytes: usize,
     ) -> Result<(u16, Option<Load>, Bytes), SocketEnd> {
         let request = request(address, method, path, Bytes::from(body), &[])?;
         let exchange = async {
             let (response, connection) = self.send(address, request, || Ok(())).await?;
-            let (status, load) = (response.status().as_u16(), load(&response));
-            let body = Limited::new(response.into_body(), answer_bytes).collect().await;
+            let (status, load) = (response.status().as_u16(), load_report(&response));
+            let body = Limited::new(response.into_body(), max_response_bytes).collect().await;
             let body = body.map_err(|_| SocketEnd::BrokeWithinAnswer)?.to_bytes();
-            self.keep(connection);
+            self.return_connection(connection);
             Ok((status, load, body))
         };
-        timeout(duration(within_ms), exchange).await.unwrap_or(Err(SocketEnd::TimedOut))
+        timeout(duration(timeout_ms), exchange).await.unwrap_or(Err(SocketEnd::TimedOut))
     }
 }
 
-/// Builds a request; header values that HTTP does not allow are an end without a connection.
+/// Builds a request. A header value that HTTP doesn't allow fails before any connection is made.
 pub fn request(
     address: SocketAddr,
     method: Method,
@@ -169,7 +168,7 @@
     builder.body(Full::new(body)).map_err(|_| SocketEnd::NeverWritten)
 }
 
-/// The load report that came with an answer.
-pub fn load(response: &Response<Incoming>) -> Option<Load> {
+/// The load report in the headers of a response.
+pub fn load_report(response: &Response<Incoming>) -> Option<Load> {
     response.headers().get(LOAD_HEADER).and_then(|value| value.to_str().ok()).and_then(Load::from_header)
 }
--- a/crates/router/src/events.rs
+++ b/crates/router/src/events.rs
@@ -1,5 +1,5 @@
-//! The words between the tasks and the core: what the core is told and what it says to a dispatch. Tasks and core import
-//! these, not each other.
+//! Messages between the core and the other tasks: events for the core, commands for a dispatch. Tasks and
+//! core import these types instead of each other.
 
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 
 use crate::answer::{Owed, Stream};
 
-/// What the core is told.
+/// An event or a request that another task sends to the core.
 pub enum CoreEvent {
     Arrived {
         completion: CompletionId,
@@ -23,6 +23,7 @@
         request: Rc<ClientRequest>,
         pending_reply: Owed,
     },
+    /// The first event of a streamed answer arrived; the dispatch waits for a grant.
     Began {
         completion: CompletionId,
         seq: Seq,
@@ -53,62 +54,66 @@
         worker: WorkerId,
         held: bool,
     },
-    /// A version of a source; the one to ask on from goes back, none for the whole.
+    /// A source sent a version of the list. The reply is the position from which to continue polling; None
+    /// requests the complete list.
     ListReceived {
         source: SourceId,
         list: wire::ServerList,
         fingerprint: Option<u64>,
         next: oneshot::Sender<ListPosition>,
     },
+    /// The subscription to the list service failed.
     ListFailed,
-    /// A source is there and has nothing new.
+    /// A source is reachable and has no new version.
     ListUnchanged {
         source: SourceId,
     },
-    /// A version that could not even be read.
+    /// A source sent a version that can't be parsed.
     ListInvalid {
         source: SourceId,
         why: String,
     },
-    /// An operator's word on a server; the revision that results goes back, none where there is no such server.
+    /// An operator's command on a server. The reply is the resulting revision of the list, None for an
+    /// unknown server.
     OperatorCommand {
         server: String,
         command: OperatorCommand,
         done: oneshot::Sender<Option<u64>>,
     },
-    /// An operator takes a held version.
+    /// An operator accepts the held version. The reply is the resulting revision, None if no version is held.
     AcceptHeldList {
         done: oneshot::Sender<Option<u64>>,
     },
     GetMembership {
         status: oneshot::Sender<MembershipStatus>,
     },
-    /// A server was asked whether it is there.
+    /// Result of a reachability check of a server.
     ReachabilityChecked {
         worker: WorkerId,
         reachable: bool,
     },
-    /// Servers to ask whether they are there: no dispatch goes to their zone.
+    /// Servers to check for reachability, because no dispatch goes to their zone.
     CheckReachability {
         workers: Vec<WorkerId>,
     },
-    /// Other settings for the decisions from now on.
+    /// New settings for the decision core.
     SettingsChanged {
         decisions: Box<Settings>,
     },
-    /// What this router may use of what all share, and what is left to it once that lapses.
+    /// What this router may use of the resources that all routers share, and what it may use once that lease
+    /// ends.
     SharesGranted {
         granted: Granted,
         floor: Granted,
     },
-    /// All completions still open end now.
+    /// Ends all open completions now.
     Stop,
     GetStatus {
         status: oneshot::Sender<CoreStatus>,
     },
 }
 
-/// Epoch and version of the list to ask on from; None for the whole.
+/// Epoch and version of the list from which to continue polling; None requests the complete list.
 pub type ListPosition = Option<(u64, u64)>;
 
 pub type CoreSender = mpsc::Sender<CoreEvent>;
@@ -120,39 +125,42 @@
     pub servers: usize,
     pub version: Option<u64>,
     pub revision: u64,
-    /// Versions of the list that were held, and refused.
+    /// List versions that were held back for confirmation.
     pub held_total: u64,
+    /// List versions that were refused.
     pub refused_total: u64,
-    /// Releases that their server did not hear, by cause.
+    /// Releases that could not be delivered to their server, by cause.
     pub undelivered_releases: [(&'static str, u64); 3],
-    /// Routers reckoned with.
+    /// Number of routers that the decision core assumes.
     pub router_count: usize,
 }
 
-/// What a client asked for, as the servers need it.
+/// A client's request in the form that dispatches send to servers.
 pub struct ClientRequest {
     pub model: String,
     pub prompt: String,
     pub max_tokens: u32,
     pub stop: Vec<String>,
-    /// What the prompt is taken to hold until its server says so.
+    /// Estimated tokens of the prompt, until the server reports the count.
     pub prompt_tokens: u64,
     pub streamed: bool,
     pub client_id: Option<String>,
     pub effect_key: Option<String>,
 }
 
-/// What the core tells a dispatch that is out.
+/// A command from the core to a dispatch in flight.
 pub enum DispatchCommand {
+    /// The stream that began becomes the answer to the client.
     Grant(Stream),
     Stop,
 }
 
-/// How it ended, with what it brought.
+/// How a dispatch ended, with its results.
 pub struct DispatchEnd {
     pub end: SocketEnd,
     pub cached_tokens: f64,
     pub state: Option<StateReference>,
+    /// The complete answer, where it was not streamed to the client.
     pub answer: Option<Answer>,
 }
 
