--- a/crates/router/src/list.rs
+++ b/crates/router/src/list.rs
@@ -1,4 +1,4 @@
-//! Asks the list service by long poll, and keeps the last good list on disk for the next start.
+//! Polls the list service (long poll), and saves the last valid list on disk for the next start.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -17,60 +17,69 @@
 use crate::events::{CoreEvent, CoreSender, ListPosition};
 use crate::files::write_whole;
 
-/// What the decisions want of the list.
+/// A request of the decision core concerning the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListRequest {
+    /// Follow all changes from now on.
     Subscribe,
-    /// The whole list once.
+    /// Fetch the complete list once.
     Fetch,
 }
 
-const FILE: &str = "servers.json";
-const LIST_BYTES: usize = 16 << 20;
+const SAVED_LIST_FILE: &str = "servers.json";
+const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// Polls as long as the router runs. Where changes are not automatic, only once the decisions subscribe, and a
-/// failure ends the subscription and is told.
+/// Polls the list service as long as the router runs. Where the settings require a subscription, it polls
+/// only after the decision core has subscribed; a failure then ends the subscription and is reported to the
+/// core.
 pub async fn follow(
     settings: Rc<RouterSettings>,
     engines: Rc<Engines>,
     core: CoreSender,
-    mut words: mpsc::Receiver<ListRequest>,
-    mut after: ListPosition,
+    mut requests: mpsc::Receiver<ListRequest>,
+    mut position: ListPosition,
 ) {
-    let asked = settings.decisions.must_subscribe;
+    let must_subscribe = settings.decisions.must_subscribe;
     let seed = settings.seed.unwrap_or(0) ^ settings.decisions.own_number as u64;
     let mut backoff = Backoff::new(settings.list.retry_ms, settings.list.poll_ms, seed);
-    let mut subscribed = !asked;
+    let mut subscribed = !must_subscribe;
     let mut wait = subscribed;
     loop {
-        let mut whole = false;
+        let mut complete = false;
         if !subscribed {
-            match words.recv().await {
+            match requests.recv().await {
                 Some(ListRequest::Subscribe) => (subscribed, wait) = (true, false),
-                Some(ListRequest::Fetch) => (whole, wait) = (true, false),
+                Some(ListRequest::Fetch) => (complete, wait) = (true, false),
                 None => return,
             }
         }
-        while let Ok(word) = words.try_recv() {
-            whole |= word == ListRequest::Fetch;
-            subscribed |= word == ListRequest::Subscribe;
+        while let Ok(request) = requests.try_recv() {
+            complete |= request == ListRequest::Fetch;
+            subscribed |= request == ListRequest::Subscribe;
         }
-        let began = Instant::now();
-        match poll(&settings, &engines, after.filter(|_| !whole), wait && after.is_some() && !whole).await {
+        let start = Instant::now();
+        match poll(
+            &settings,
+            &engines,
+            position.filter(|_| !complete),
+            wait && position.is_some() && !complete,
+        )
+        .await
+        {
             Ok(list) => {
-                let (next, answer) = oneshot::channel();
+                let (next, next_position) = oneshot::channel();
                 backoff.answered();
-                let told =
+                let event =
                     CoreEvent::ListReceived { source: SourceId::Service, list, fingerprint: None, next };
-                if core.send(told).await.is_err() {
+                if core.send(event).await.is_err() {
                     return;
                 }
-                after = answer.await.ok().flatten();
+                position = next_position.await.ok().flatten();
                 wait = true;
             }
             Err(cause) => {
-                debug!(cause, "list service");
-                if asked {
+                debug!(cause, "list service request failed");
+                if must_subscribe {
                     subscribed = false;
                     if core.send(CoreEvent::ListFailed).await.is_err() {
                         return;
@@ -80,10 +89,10 @@
                 }
             }
         }
-        // A service that answers at once with nothing new must not be asked in a tight loop.
-        let least = duration(settings.list.retry_ms / 10.0);
-        if began.elapsed() < least {
-            sleep(least - began.elapsed()).await;
+        // Avoids a busy loop with a service that answers at once although nothing is new.
+        let min_interval = duration(settings.list.retry_ms / 10.0);
+        if start.elapsed() < min_interval {
+            sleep(min_interval - start.elapsed()).await;
         }
     }
 }
@@ -91,16 +100,18 @@
 async fn poll(
     settings: &RouterSettings,
     engines: &Engines,
-    after: ListPosition,
+    position: ListPosition,
     wait: bool,
 ) -> Result<wire::ServerList, String> {
     let wait_ms = if wait { settings.list.poll_ms } else { 0.0 };
-    let after = after.map(|(epoch, version)| format!("&epoch={epoch}&after={version}")).unwrap_or_default();
-    let number = settings.decisions.own_number;
-    let path = format!("{}?router={number}&wait_ms={wait_ms}{after}", wire::SERVERS);
-    let within_ms = wait_ms + engines.settings.connect_ms + settings.list.retry_ms;
-    let answer =
-        engines.call(settings.list.service, Method::GET, &path, String::new(), within_ms, LIST_BYTES).await;
+    let position =
+        position.map(|(epoch, version)| format!("&epoch={epoch}&after={version}")).unwrap_or_default();
+    let own_number = settings.decisions.own_number;
+    let path = format!("{}?router={own_number}&wait_ms={wait_ms}{position}", wire::SERVERS);
+    let timeout_ms = wait_ms + engines.settings.connect_ms + settings.list.retry_ms;
+    let answer = engines
+        .call(settings.list.service, Method::GET, &path, String::new(), timeout_ms, MAX_LIST_BYTES)
+        .await;
     match answer {
         Ok((200, _, body)) => serde_json::from_slice(&body).map_err(|cause| cause.to_string()),
         Ok((status, _, _)) => Err(format!("status {status}")),
@@ -108,30 +119,30 @@
     }
 }
 
-/// The list of an earlier run, if there is a readable one.
+/// Loads the list that an earlier run saved, if there is a readable one.
 pub fn load_saved(dir: &Path) -> Option<Saved> {
-    let bytes = std::fs::read(dir.join(FILE)).ok()?;
+    let bytes = std::fs::read(dir.join(SAVED_LIST_FILE)).ok()?;
     match serde_json::from_slice(&bytes) {
         Ok(saved) => Some(saved),
         Err(cause) => {
-            warn!(%cause, file = FILE, "the saved list can't be read; starting without one");
+            warn!(%cause, file = SAVED_LIST_FILE, "the saved list can't be read; starting without one");
             None
         }
     }
 }
 
-/// Writes each list that the core gives out, the newest at a time, whole or not at all.
+/// Saves each list that the core publishes, atomically; skips a list if a newer one is already there.
 pub async fn save(dir: PathBuf, mut lists: watch::Receiver<Option<Saved>>) {
     while lists.changed().await.is_ok() {
         let Some(list) = lists.borrow_and_update().clone() else { continue };
         let dir = dir.clone();
-        let written = tokio::task::spawn_blocking(move || write(&dir, &list)).await;
-        if let Ok(Err(cause)) = written {
+        let result = tokio::task::spawn_blocking(move || write(&dir, &list)).await;
+        if let Ok(Err(cause)) = result {
             warn!(%cause, "the list could not be saved");
         }
     }
 }
 
 fn write(dir: &Path, list: &Saved) -> std::io::Result<()> {
-    write_whole(&dir.join(FILE), &serde_json::to_vec(list)?)
+    write_whole(&dir.join(SAVED_LIST_FILE), &serde_json::to_vec(list)?)
 }
--- a/crates/router/src/pending_answer.rs
+++ b/crates/router/src/pending_answer.rs
@@ -1,17 +1,17 @@
-//! The duty to give one answer: consumed by giving it, so that a second one does not compile; one that is forgotten is
-//! caught by its drop, which gives the answer that stands for that and counts it.
+//! One answer that a client waits for. Sending it consumes the `PendingAnswer`, so that a second answer
+//! doesn't compile. If it is dropped without an answer, its destructor sends a substitute and counts it.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
 use tokio::sync::oneshot;
 
-/// Answers that were dropped instead of given; 0 in a router without a fault.
+/// Number of pending answers that were dropped without being sent; 0 unless the router has a bug.
 pub type DroppedAnswers = Rc<Cell<u64>>;
 
-/// What can be owed.
+/// A type of answer with a substitute for an answer that was dropped.
 pub trait LostReply {
-    /// What is given where nothing was.
+    /// The answer that the client receives if none was sent.
     fn lost() -> Self;
 }
 
@@ -22,16 +22,16 @@
 
 impl<R: LostReply> PendingAnswer<R> {
     pub fn new(dropped: DroppedAnswers) -> (Self, oneshot::Receiver<R>) {
-        let (reply, waits) = oneshot::channel();
-        (PendingAnswer { reply: Some(reply), dropped }, waits)
+        let (reply, receiver) = oneshot::channel();
+        (PendingAnswer { reply: Some(reply), dropped }, receiver)
     }
 
     pub fn send(mut self, reply: R) {
-        // A client that has left takes no answer.
+        // Fails if the client has left, which needs no handling.
         let _ = self.reply.take().map(|sender| sender.send(reply));
     }
 
-    /// For a client who has left: nobody waits for an answer.
+    /// Discards the answer without counting it as dropped, because the client has left.
     pub fn cancel(mut self) {
         self.reply = None;
     }
--- a/crates/router/src/pending_answer/tests.rs
+++ b/crates/router/src/pending_answer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `duty`.
+//! Tests of the module `pending_answer`.
 
 use super::*;
 
@@ -9,16 +9,16 @@
 }
 
 #[test]
-fn a_forgotten_answer_is_given_and_counted() {
+fn a_dropped_answer_is_replaced_and_counted() {
     let dropped = DroppedAnswers::default();
-    let (duty, mut waits) = PendingAnswer::new(dropped.clone());
-    duty.send("here");
-    assert_eq!((waits.try_recv(), dropped.get()), (Ok("here"), 0));
-    let (duty, mut waits) = PendingAnswer::<&'static str>::new(dropped.clone());
-    drop(duty);
-    assert_eq!((waits.try_recv(), dropped.get()), (Ok("lost"), 1));
-    let (duty, mut waits) = PendingAnswer::<&'static str>::new(dropped.clone());
-    duty.cancel();
-    assert!(waits.try_recv().is_err());
+    let (pending, mut receiver) = PendingAnswer::new(dropped.clone());
+    pending.send("here");
+    assert_eq!((receiver.try_recv(), dropped.get()), (Ok("here"), 0));
+    let (pending, mut receiver) = PendingAnswer::<&'static str>::new(dropped.clone());
+    drop(pending);
+    assert_eq!((receiver.try_recv(), dropped.get()), (Ok("lost"), 1));
+    let (pending, mut receiver) = PendingAnswer::<&'static str>::new(dropped.clone());
+    pending.cancel();
+    assert!(receiver.try_recv().is_err());
     assert_eq!(dropped.get(), 1);
 }
--- a/crates/router/src/release.rs
+++ b/crates/router/src/release.rs
@@ -1,4 +1,4 @@
-//! Carries out one release as `ReleaseDelivery` says it: the calls side by side, and the waiting between them.
+//! Delivers one release as `ReleaseDelivery` plans it: makes the calls concurrently and waits between them.
 
 use std::future::Future;
 
@@ -9,24 +9,24 @@
 
 use crate::clock::Clock;
 
-/// What one call came to.
+/// Result of one call.
 pub enum CallResult {
     Acknowledged,
     Failed(DeliveryFailure),
-    /// Nothing is held there any more, so that nobody has to be told.
+    /// The worker no longer holds the state, so no further call is needed.
     NothingHeld(DeliveryFailure),
 }
 
-/// Who heard it; none where it is given up or over.
+/// Returns the worker that acknowledged the release; None if delivery was abandoned or is no longer needed.
 pub async fn deliver<C: Future<Output = (WorkerId, CallResult)>>(
-    telling: &mut ReleaseDelivery,
+    delivery: &mut ReleaseDelivery,
     clock: Clock,
-    next: impl Fn(&mut ReleaseDelivery, f64) -> DeliveryStep,
+    next_step: impl Fn(&mut ReleaseDelivery, f64) -> DeliveryStep,
     call: impl Fn(WorkerId) -> C,
 ) -> Option<WorkerId> {
     let mut calls = FuturesUnordered::new();
     loop {
-        let until_ms = match next(telling, clock.now_ms()) {
+        let until_ms = match next_step(delivery, clock.now_ms()) {
             DeliveryStep::Call(workers) => {
                 calls.extend(workers.into_iter().map(&call));
                 continue;
@@ -34,16 +34,16 @@
             DeliveryStep::Wait { until_ms } => until_ms,
             DeliveryStep::Undelivered => return None,
         };
-        let (worker, answer) = tokio::select! {
+        let (worker, result) = tokio::select! {
             biased;
-            Some(ended) = calls.next() => ended,
+            Some(finished) = calls.next() => finished,
             () = sleep_until(clock.at(until_ms)) => continue,
         };
-        match answer {
+        match result {
             CallResult::Acknowledged => return Some(worker),
-            CallResult::Failed(deaf) => telling.failed(&worker, deaf),
-            CallResult::NothingHeld(deaf) => {
-                telling.failed(&worker, deaf);
+            CallResult::Failed(failure) => delivery.failed(&worker, failure),
+            CallResult::NothingHeld(failure) => {
+                delivery.failed(&worker, failure);
                 return None;
             }
         }
--- a/crates/router/src/timed_ledger.rs
+++ b/crates/router/src/timed_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger with its clock and timers: what a core task is built around, whatever its wire.
+//! The ledger with its clock and timers: the part that core tasks share, whatever protocol their servers use.
 
 use futures_util::StreamExt;
 use paddleproxy::interface::{CompletionId, Seq, WorkerId};
@@ -7,7 +7,7 @@
 
 use crate::clock::{duration, Clock};
 
-/// Lives as long as the router.
+/// Lives as long as the router runs.
 pub struct TimedLedger {
     pub clock: Clock,
     ledger: Ledger,
@@ -19,7 +19,8 @@
         TimedLedger { clock, ledger, timers: DelayQueue::new() }
     }
 
-    /// Takes in what happened now; what the sockets are to do, in order. Timers are set already.
+    /// Handles an input at the present time. Returns the effects to perform, in order, without `Effect::Arm`,
+    /// whose timers are set here.
     pub fn handle(&mut self, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
         self.ledger.handle(self.clock.now_ms(), input, &mut effects);
@@ -33,15 +34,15 @@
         effects
     }
 
-    /// Waits for the next timer; for ever where none is set.
+    /// Waits for the next timer to expire; never returns if none is set.
     pub async fn due(&mut self) -> LedgerTimer {
         match self.timers.next().await {
-            Some(due) => due.into_inner(),
+            Some(expired) => expired.into_inner(),
             None => std::future::pending().await,
         }
     }
 
-    /// Where a dispatch that is out went.
+    /// The worker of a dispatch in flight.
     pub fn worker(&self, completion: CompletionId, seq: Seq) -> Option<&WorkerId> {
         self.ledger.worker(completion, seq)
     }
@@ -50,7 +51,7 @@
         self.ledger.counts()
     }
 
-    /// Completions that are not over or still have a dispatch out.
+    /// Number of completions that are not finished or still have a dispatch in flight.
     pub fn open(&self) -> usize {
         self.ledger.open()
     }
