--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A router and a fleet of stand-ins on free local ports, in this process.
-#![allow(dead_code)] // Each test file uses its part.
+//! Test bench: a router and a fleet of emulated servers on free local ports, in this process.
+#![allow(dead_code)] // Each test file uses only some of the items.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -20,6 +20,7 @@
 pub const ROUTER: &str = include_str!("../../../../examples/router.kdl");
 pub const FLEET: &str = include_str!("../../../../examples/fleet.kdl");
 
+/// A running router with its emulated servers.
 pub struct Bench {
     pub fleet: Fleet,
     pub record: Record,
@@ -27,23 +28,25 @@
     pub admin: SocketAddr,
     pub stop: watch::Sender<bool>,
     pub router: JoinHandle<anyhow::Result<()>>,
-    /// Holds the router's settings, its state and whatever else it watches.
+    /// Contains the router's settings, its state and the other files that it watches.
     pub dir: tempfile::TempDir,
 }
 
-/// Runs a test's body on one thread with local tasks; a test that hangs fails after a minute.
-pub fn local(work: impl Future<Output = ()>) {
-    local_for(Duration::from_secs(60), work);
+/// Runs a test on a current-thread runtime with a `LocalSet`; fails a test that hangs after a minute.
+pub fn local(test: impl Future<Output = ()>) {
+    local_for(Duration::from_secs(60), test);
 }
 
-pub fn local_for(longest: Duration, work: impl Future<Output = ()>) {
+pub fn local_for(limit: Duration, test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    let bounded = async { tokio::time::timeout(longest, work).await.expect("it hangs") };
-    tokio::task::LocalSet::new().block_on(&runtime, bounded);
+    let limited =
+        async { tokio::time::timeout(limit, test).await.expect("the test must end within its time limit") };
+    tokio::task::LocalSet::new().block_on(&runtime, limited);
 }
 
-/// A test that is about probes says so. Elsewhere a busy machine would decide: a server whose answer to a probe takes over
-/// 4% of the latency target is passed by, and where no other is left the completion is rate-limited.
+/// Enables probes; for the tests that need them. Other tests run without probes, as their results would
+/// depend on the load of the machine: a server whose answer to a probe takes over 4% of the latency target is
+/// skipped, and if no other server is left, the completion is rate-limited.
 pub const WITH_PROBES: (&str, &str) = ("probes #true", "probes #true");
 const WITHOUT_PROBES: (&str, &str) = ("probes #true", "probes #false");
 
@@ -65,14 +68,14 @@
     let probes = if changes.contains(&WITH_PROBES) { WITH_PROBES } else { WITHOUT_PROBES };
     let changes = [&[probes], changes].concat();
     let mut text = ROUTER.to_owned();
-    let own = [
+    let replacements = [
         ("127.0.0.1:8080", "127.0.0.1:0".to_owned()),
         ("127.0.0.1:8081", "127.0.0.1:0".to_owned()),
         ("127.0.0.1:8090", list.to_string()),
         ("state/router-0", dir.path().display().to_string()),
     ];
     let changes = changes.into_iter().map(|(from, to)| (from, to.to_owned()));
-    for (from, to) in own.into_iter().chain(changes) {
+    for (from, to) in replacements.into_iter().chain(changes) {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, &to.replace("{dir}", &dir.path().display().to_string()));
     }
@@ -90,43 +93,43 @@
 }
 
 impl Bench {
-    /// Waits until the admin port says so.
-    pub async fn until(&self, path: &str, said: &str) {
+    /// Polls a path of the admin port until the response contains `expected`.
+    pub async fn until(&self, path: &str, expected: &str) {
         for _ in 0..1000 {
-            if get(self.admin, path).await.contains(said) {
+            if get(self.admin, path).await.contains(expected) {
                 return;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("{path} never said {said}: {}", get(self.admin, path).await);
+        panic!("{path} never contained {expected}: {}", get(self.admin, path).await);
     }
 
-    /// One figure of the metrics.
+    /// Value of one metric.
     pub async fn metric(&self, name: &str) -> u64 {
         let text = get(self.admin, "/metrics").await;
         let line = text.lines().find_map(|line| line.strip_prefix(&format!("paddleproxy_{name} ")));
         line.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
     }
 
-    /// Everything a client saw of one request.
+    /// Sends a request and returns everything that the client saw.
     pub async fn ask(&self, asking: &Asking) -> Vec<Seen> {
         self.ask_and(asking, std::future::ready(())).await
     }
 
-    /// The same, and something else is done as soon as the answer's first text is there.
+    /// Like `ask`, and runs `then` as soon as the first text of the answer has arrived.
     pub async fn ask_and(&self, asking: &Asking, then: impl Future<Output = ()>) -> Vec<Seen> {
         let seen = Rc::new(RefCell::new(Vec::new()));
-        let (noted, (begun, begins)) = (seen.clone(), tokio::sync::oneshot::channel());
-        let mut begun = Some(begun);
+        let (recorded, (started, start)) = (seen.clone(), tokio::sync::oneshot::channel());
+        let mut started = Some(started);
         let until = Instant::now() + Duration::from_secs(20);
         let asks = ask(self.clients, asking, until, move |what| {
             if matches!(what, Seen::Text(_)) {
-                begun.take().into_iter().for_each(|begun| _ = begun.send(()));
+                started.take().into_iter().for_each(|started| _ = started.send(()));
             }
-            noted.borrow_mut().push(what);
+            recorded.borrow_mut().push(what);
         });
         let then = async {
-            if begins.await.is_ok() {
+            if start.await.is_ok() {
                 then.await;
             }
         };
@@ -134,13 +137,13 @@
         seen.take()
     }
 
-    /// Asks and is gone once the answer's first text is there.
+    /// Sends a request and disconnects once the first text of the answer has arrived.
     pub async fn ask_and_leave(&self, asking: &Asking) {
-        let (begun, begins) = tokio::sync::oneshot::channel();
-        let asks = self.ask_and(asking, async { _ = begun.send(()) });
+        let (started, start) = tokio::sync::oneshot::channel();
+        let asks = self.ask_and(asking, async { _ = started.send(()) });
         tokio::select! {
-            seen = asks => panic!("it ended: {seen:?}"),
-            _ = begins => {}
+            seen = asks => panic!("the answer ended too early: {seen:?}"),
+            _ = start => {}
         }
     }
 }
@@ -173,10 +176,10 @@
     raw(address, format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes()).await
 }
 
-/// Sends bytes as they are and reads to the end of the connection.
+/// Sends raw bytes and returns what arrives until the connection closes.
 pub async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    // A peer that has answered may close before it has read all.
+    // The router may answer and close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -1,4 +1,5 @@
-//! The whole path on loopback: clients, a router, stand-ins. Final answers are counted for each request.
+//! End-to-end tests on loopback: clients, a router and emulated servers. They count the final answers to each
+//! request.
 
 mod common;
 
@@ -27,32 +28,32 @@
 }
 
 #[test]
-fn streamed_and_plain_answers_are_the_same_text() {
+fn streamed_and_complete_answers_have_the_same_text() {
     local(async {
         let bench = start(&[]).await;
         for tokens in [10, 4000] {
-            let mut asked = asking("a", "chat-large", tokens, true);
-            asked.effect_key = format!("streamed {tokens}");
-            let streamed = bench.ask(&asked).await;
-            asked.effect_key = format!("plain {tokens}");
-            asked.body = asked.body.replace("\"stream\":true", "\"stream\":false");
-            let plain = bench.ask(&asked).await;
+            let mut request = asking("a", "chat-large", tokens, true);
+            request.effect_key = format!("streamed {tokens}");
+            let streamed = bench.ask(&request).await;
+            request.effect_key = format!("plain {tokens}");
+            request.body = request.body.replace("\"stream\":true", "\"stream\":false");
+            let plain = bench.ask(&request).await;
             assert_eq!((finals(&streamed), finals(&plain)), (vec!["finished"], vec!["finished"]));
             assert!(text(&streamed).starts_with(" wort"));
             assert_eq!(text(&streamed), text(&plain));
         }
         let reads =
             bench.record.lines().iter().filter(|line| matches!(line.what, What::State { .. })).count();
-        assert!(reads > 0, "a long prompt is read at a reader");
+        assert!(reads > 0, "a long prompt must be read at a reader");
         assert_eq!(bench.metric("completions_finished_total").await, 4);
     });
 }
 
 #[test]
-fn a_server_that_answers_when_asked_is_sent_to() {
+fn a_server_that_answers_probes_is_used() {
     local(async {
         let bench = start(&[WITH_PROBES]).await;
-        // A busy machine may answer too late; then a client comes again, as it was told it may.
+        // On a busy machine the probe may take too long; the client then retries, as the rate limit permits.
         for number in 0..20 {
             let seen = bench.ask(&asking(&format!("a{number}"), "chat-large", 40, true)).await;
             match finals(&seen)[..] {
@@ -65,13 +66,13 @@
 }
 
 #[test]
-fn wrong_requests_get_a_clear_error_and_harm_no_other() {
+fn invalid_requests_get_a_clear_error_and_affect_no_other() {
     local(async {
         let bench = start(&[("body-bytes 4000000", "body-bytes 100000")]).await;
         let turn = "\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]";
-        let good = format!("{{\"model\":\"chat-large\",\"max_tokens\":3,{turn}}}");
-        let unknown = good.replace("chat-large", "chat-none");
-        let wrong: [(&str, Vec<u8>, &str, &str); 10] = [
+        let valid = format!("{{\"model\":\"chat-large\",\"max_tokens\":3,{turn}}}");
+        let unknown = valid.replace("chat-large", "chat-none");
+        let invalid: [(&str, Vec<u8>, &str, &str); 10] = [
             ("not JSON", post(b"{", ""), "400", "invalid_request_error"),
             ("not UTF-8", post(b"{\"model\":\"\xff\"}", ""), "400", "not UTF-8 at byte 10"),
             (
@@ -84,8 +85,8 @@
             ("too large", post(&vec![b' '; 200_000], ""), "413", "request_too_large"),
             ("unknown model", post(unknown.as_bytes(), ""), "404", "'chat-none' is not served here"),
             (
-                "a time that is none",
-                post(good.as_bytes(), "x-client-timeout-ms: soon\r\n"),
+                "invalid timeout",
+                post(valid.as_bytes(), "x-client-timeout-ms: soon\r\n"),
                 "400",
                 "x-client-timeout-ms",
             ),
@@ -95,21 +96,21 @@
                 "404",
                 "not_found_error",
             ),
-            ("no key", post(good.as_bytes(), "").replace_key(""), "401", "header is required"),
-            ("wrong key", post(good.as_bytes(), "").replace_key("x-api-key: none\r\n"), "401", "not known"),
+            ("no key", post(valid.as_bytes(), "").replace_key(""), "401", "header is required"),
+            ("wrong key", post(valid.as_bytes(), "").replace_key("x-api-key: none\r\n"), "401", "not known"),
         ];
-        for (name, bytes, status, said) in wrong {
+        for (name, bytes, status, expected) in invalid {
             let answer = raw(bench.clients, &bytes).await;
             assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {answer}");
-            assert!(answer.contains(said) && answer.contains("\"type\":\"error\""), "{name}: {answer}");
+            assert!(answer.contains(expected) && answer.contains("\"type\":\"error\""), "{name}: {answer}");
         }
-        let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(500));
-        for bytes in ["BREW /v1/messages\r\n\r\n", "\u{1}\u{2}\r\n\r\n", &many] {
+        let many_headers = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(500));
+        for bytes in ["BREW /v1/messages\r\n\r\n", "\u{1}\u{2}\r\n\r\n", &many_headers] {
             let malformed = raw(bench.clients, bytes.as_bytes()).await;
             assert!(malformed.starts_with("HTTP/1.1 400 "), "{malformed}");
             assert!(malformed.contains("\"type\":\"invalid_request_error\""), "{malformed}");
         }
-        assert!(raw(bench.clients, &post(good.as_bytes(), "")).await.contains("end_turn"));
+        assert!(raw(bench.clients, &post(valid.as_bytes(), "")).await.contains("end_turn"));
         assert_eq!(bench.metric("completions_arrived_total").await, 1);
     });
 }
@@ -125,30 +126,30 @@
 }
 
 #[test]
-fn trickled_heads_and_bodies_are_cut() {
+fn slowly_sent_heads_and_bodies_time_out() {
     local(async {
-        let short =
+        let changes =
             [("header-time \"5s\"", "header-time \"150ms\""), ("body-time \"5s\"", "body-time \"150ms\"")];
-        let bench = start(&short).await;
+        let bench = start(&changes).await;
         let head = raw(bench.clients, b"POST /v1/messages HTTP/1.1\r\nhost:").await;
         assert!(head.is_empty() || head.starts_with("HTTP/1.1 408"), "{head}");
         let mut body = post(b"{\"model\":", "");
         let length =
             String::from_utf8(body.clone()).unwrap().replace("content-length: 9", "content-length: 99");
         body = length.into_bytes();
-        let cut = raw(bench.clients, &body).await;
-        assert!(cut.starts_with("HTTP/1.1 504 ") && cut.contains("timeout_error"), "{cut}");
+        let response = raw(bench.clients, &body).await;
+        assert!(response.starts_with("HTTP/1.1 504 ") && response.contains("timeout_error"), "{response}");
         assert_eq!(finals(&bench.ask(&asking("a", "chat-large", 5, true)).await), ["finished"]);
     });
 }
 
 #[test]
-fn a_server_that_dies_mid_stream_is_one_abort_and_the_next_goes_elsewhere() {
+fn a_server_that_dies_mid_stream_aborts_once_and_is_avoided() {
     local(async {
         let bench = start(&[]).await;
-        let mut asked = asking("a", "chat-large", 5, true);
-        asked.body = asked.body.replace("\"max_tokens\":8", "\"max_tokens\":400");
-        let seen = bench.ask_and(&asked, bench.fleet.kill("n-mixed1", Dead::Reset)).await;
+        let mut request = asking("a", "chat-large", 5, true);
+        request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":400");
+        let seen = bench.ask_and(&request, bench.fleet.kill("n-mixed1", Dead::Reset)).await;
         assert!(text(&seen).starts_with(" wort"));
         assert_eq!(finals(&seen), ["aborted"]);
         let next = bench.ask(&asking("b", "chat-large", 5, true)).await;
@@ -161,9 +162,9 @@
 fn a_client_who_leaves_mid_stream_ends_the_work() {
     local(async {
         let bench = start(&[]).await;
-        let mut asked = asking("a", "chat-large", 5, true);
-        asked.body = asked.body.replace("\"max_tokens\":8", "\"max_tokens\":4000");
-        bench.ask_and_leave(&asked).await;
+        let mut request = asking("a", "chat-large", 5, true);
+        request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":4000");
+        bench.ask_and_leave(&request).await;
         bench.until("/metrics", "completions_open 0").await;
         assert_eq!(bench.metric("completions_left_total").await, 1);
         for _ in 0..200 {
@@ -172,12 +173,12 @@
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("the server still writes");
+        panic!("the server is still writing the answer");
     });
 }
 
 #[test]
-fn a_stopped_router_lets_answers_end_and_takes_nothing_new() {
+fn a_stopping_router_finishes_its_answers() {
     local(async {
         let bench = start(&[]).await;
         let mut long = asking("a", "chat-large", 5, true);
@@ -189,7 +190,7 @@
 }
 
 #[test]
-fn a_stop_aborts_what_does_not_end_in_time() {
+fn a_stop_aborts_answers_that_exceed_the_time_limit() {
     local(async {
         let bench = start(&[("stop-within \"3s\"", "stop-within \"200ms\"")]).await;
         let mut long = asking("a", "chat-large", 5, true);
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn a_server_of_nonsense_harms_no_other() {
+fn a_server_that_sends_garbage_affects_no_completion() {
     local(async {
         let bench = start(&[]).await;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -212,7 +213,7 @@
         ]
         .concat();
         tokio::task::spawn_local(paddleproxy_fleet::http::listen_raw(listener, endless));
-        // The list now names the mixed server at the address of one that talks nonsense.
+        // The list now has the mixed server at the address of a server that sends garbage.
         bench.fleet.server("n-mixed1").unwrap().address.set(address);
         bench.fleet.server("n-mixed1").unwrap().list("ready");
         bench.until("/metrics", "list_version 4").await;
@@ -224,18 +225,18 @@
 }
 
 #[test]
-fn the_last_good_list_serves_the_next_start() {
+fn the_saved_list_serves_the_next_start() {
     local(async {
         let bench = start(&[]).await;
         let dir = tempfile::tempdir().unwrap();
         let state = dir.path().display().to_string();
-        let nowhere = "127.0.0.1:1".parse().unwrap();
-        let save = |list| {
+        let unreachable = "127.0.0.1:1".parse().unwrap();
+        let run_router = |list| {
             let state = state.clone();
-            // What stood there is commented out.
+            // The trailing `//` comments out the original value.
             async move { start_router(list, &[("state-dir", &format!("state-dir \"{state}\" // "))]).await }
         };
-        let (_, _, stop, router, _dir) = save(bench.fleet.list_address).await;
+        let (_, _, stop, router, _dir) = run_router(bench.fleet.list_address).await;
         for _ in 0..500 {
             if dir.path().join("servers.json").exists() {
                 break;
@@ -244,16 +245,16 @@
         }
         stop.send_replace(true);
         router.await.unwrap().unwrap();
-        // The list service is gone: the saved list alone carries this start.
-        let (clients, _admin, _stop, _router, _dir) = save(nowhere).await;
-        let asked = asking("a", "chat-large", 5, false);
-        let body = asked.body.as_bytes();
+        // The list service is unreachable: this start depends on the saved list alone.
+        let (clients, _admin, _stop, _router, _dir) = run_router(unreachable).await;
+        let request = asking("a", "chat-large", 5, false);
+        let body = request.body.as_bytes();
         assert!(raw(clients, &post(body, "")).await.contains("end_turn"));
     });
 }
 
 #[test]
-fn a_subscription_that_breaks_is_asked_for_again() {
+fn a_broken_subscription_is_renewed() {
     local(async {
         let subscribe = "list {\n    changes \"subscribe\"\n    must-ask-in \"500ms\"";
         let bench = start(&[("list {", subscribe), ("poll \"20s\"", "poll \"300ms\"")]).await;
