--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -37,6 +37,7 @@
 use crate::state::{Left, State};
 use crate::timed_ledger::TimedLedger;
 
+/// State of the core task.
 pub struct Core {
     settings: Rc<RouterSettings>,
     /// Start time of this process; distinguishes its dispatches from those of earlier runs.
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -25,7 +25,7 @@
 /// Further idle connections to the same server are closed.
 const MAX_IDLE_PER_SERVER: usize = 256;
 
-pub struct Engines {
+/// Client of the model servers
     pub settings: EngineSettings,
     idle: RefCell<BTreeMap<SocketAddr, Vec<(Sender, Instant)>>>,
 }
