--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -25,7 +25,8 @@
 /// Further idle connections to the same server are closed.
 const MAX_IDLE_PER_SERVER: usize = 256;
 
-/// Client of the model servers
+/// Client of the model servers, with a pool of idle connections.
+pub struct Engines {
     pub settings: EngineSettings,
     idle: RefCell<BTreeMap<SocketAddr, Vec<(Sender, Instant)>>>,
 }
