--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -17,10 +17,10 @@
 use tokio::sync::oneshot;
 
 use crate::clock::duration;
+use crate::events::{CoreEvent, CoreStatus};
 use crate::failover::CommandRequest;
 use crate::front::Front;
 use crate::peers::{self, PeerSender};
-use crate::words::{Status, Told};
 
 /// How long an operator's zone command holds if the request has no `for_ms`.
 const DEFAULT_COMMAND_MS: f64 = 3_600_000.0;
@@ -47,7 +47,7 @@
     request: Request<hyper::body::Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (sender, receiver) = oneshot::channel();
-    let sent = front.core.send(Told::Ask { status: sender }).await;
+    let sent = front.core.send(CoreEvent::GetStatus { status: sender }).await;
     let status = match sent {
         Ok(()) => receiver.await.ok(),
         Err(_) => None,
@@ -82,7 +82,7 @@
     Ok(response)
 }
 
-/// Answers operator requests: `GET /status`, `GET /peers`, `/failover`, `POST
+/// LostReply operator requests: `GET /status`, `GET /peers`, `/failover`, `POST
 /// /workers/drain|undrain|quarantine?name=...` and `POST /list/accept`; `None` for any other path.
 async fn operator_request(
     front: &Front,
@@ -97,7 +97,7 @@
     let stopping = || json(StatusCode::SERVICE_UNAVAILABLE, json!({ "error": "the router stops" }));
     if path == "/status" {
         let (sender, receiver) = oneshot::channel();
-        let sent = front.core.send(Told::Members { status: sender }).await;
+        let sent = front.core.send(CoreEvent::GetMembership { status: sender }).await;
         let Some(list) = (match sent {
             Ok(()) => receiver.await.ok(),
             Err(_) => None,
@@ -159,8 +159,8 @@
     let query = request.uri().query().unwrap_or_default();
     let name = query.split('&').find_map(|part| part.strip_prefix("name=")).unwrap_or_default().to_owned();
     let event = match command {
-        Some(command) => Told::Say { server: name.clone(), word: command, done },
-        None => Told::Accept { done },
+        Some(command) => CoreEvent::OperatorCommand { server: name.clone(), command, done },
+        None => CoreEvent::AcceptHeldList { done },
     };
     if front.core.send(event).await.is_err() {
         return stopping();
@@ -276,7 +276,7 @@
 #[cfg(not(feature = "allocations"))]
 fn allocations(_: &mut String) {}
 
-fn metrics(front: &Front, status: &Status) -> String {
+fn metrics(front: &Front, status: &CoreStatus) -> String {
     let counts = &status.counts;
     let rows: [(&str, u64); 28] = [
         ("completions_arrived_total", counts.arrived),
@@ -299,18 +299,18 @@
         ("completions_open", status.open as u64),
         ("connections_open", front.connections.get() as u64),
         ("servers_listed", status.servers as u64),
-        ("routers_reckoned", status.reckoned as u64),
+        ("routers_reckoned", status.router_count as u64),
         ("list_version", status.version.unwrap_or(0)),
         ("list_revision", status.revision),
         ("lists_held_total", status.held_total),
-        ("lists_refused_total", status.refused),
+        ("lists_refused_total", status.refused_total),
         ("store_writes_skipped_total", front.state.writes_skipped.get()),
         ("store_writes_failed_total", front.state.writes_failed.get()),
         ("settings_refused_total", front.settings_rejected.borrow().0),
     ];
     let mut text: String = rows.iter().map(|(name, value)| format!("paddleproxy_{name} {value}\n")).collect();
     allocations(&mut text);
-    for (cause, count) in status.unheard {
+    for (cause, count) in status.undelivered_releases {
         text.push_str(&format!("paddleproxy_releases_unheard_total{{cause=\"{cause}\"}} {count}\n"));
     }
     for reason in RejectReason::ALL {
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -9,7 +9,7 @@
 use paddleproxy_routing::{IdempotencyKeys, Key};
 use tokio::sync::mpsc;
 
-use crate::duty::{Answers, Dropped, Duty};
+use crate::pending_answer::{DroppedAnswers, LostReply, PendingAnswer};
 use crate::state::State;
 
 /// What the client's connection receives.
@@ -26,7 +26,7 @@
     pub ended: Rc<Cell<bool>>,
 }
 
-impl Answers for Reply {
+impl LostReply for Reply {
     fn lost() -> Self {
         Reply::Error(ApiError::new(ErrorKind::Api, "the answer was lost inside the router"))
     }
@@ -70,11 +70,11 @@
 
 /// The reply that a completion still has to get, with the guard of its idempotency key.
 pub struct PendingReply {
-    pending: Option<Duty<Reply>>,
+    pending: Option<PendingAnswer<Reply>>,
     guard: Option<IdempotencyGuard>,
     encoder: Encoder,
     max_pieces: usize,
-    dropped_answers: Dropped,
+    dropped_answers: DroppedAnswers,
 }
 
 /// Longer texts are split into pieces of at most this size, so that the limit on pieces limits bytes too.
@@ -82,18 +82,18 @@
 
 impl PendingReply {
     pub fn new(
-        pending: Duty<Reply>,
+        pending: PendingAnswer<Reply>,
         guard: Option<IdempotencyGuard>,
         encoder: Encoder,
         max_pieces: usize,
-        dropped_answers: Dropped,
+        dropped_answers: DroppedAnswers,
     ) -> Self {
         PendingReply { pending: Some(pending), guard, encoder, max_pieces, dropped_answers }
     }
 
     fn give(&mut self, reply: Reply) {
         if let Some(pending) = self.pending.take() {
-            pending.give(reply);
+            pending.send(reply);
         }
     }
 
@@ -119,7 +119,7 @@
     /// The client has disconnected: no answer is sent.
     pub fn discard(mut self) {
         self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
-        self.pending.take().into_iter().for_each(Duty::void);
+        self.pending.take().into_iter().for_each(PendingAnswer::cancel);
     }
 
     pub fn start_stream(mut self) -> AnswerStream {
@@ -157,7 +157,7 @@
     /// The whole text so far, if an idempotency key needs it for replays.
     text_so_far: String,
     encoder: Encoder,
-    dropped_answers: Dropped,
+    dropped_answers: DroppedAnswers,
 }
 
 impl AnswerStream {
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -15,8 +15,8 @@
 use tracing::{info, warn};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::events::{CoreEvent, CoreSender};
 use crate::front::Front;
-use crate::words::{ToCore, Told};
 use crate::WatchedSettings;
 
 /// How often a file is read even without a change event.
@@ -94,20 +94,25 @@
 }
 
 /// Sends changes of the operators' list of servers to the core as long as the router runs.
-pub async fn watch_servers(path: PathBuf, core: ToCore) {
+pub async fn watch_servers(path: PathBuf, core: CoreSender) {
     let mut file = WatchedFile::new(path);
     let name = file.path.display().to_string();
     loop {
         let event = match file.next().await {
-            None if matches!(file.last, Some(Ok(_))) => Told::ListSpoke { source: SourceId::File },
+            None if matches!(file.last, Some(Ok(_))) => CoreEvent::ListUnchanged { source: SourceId::File },
             None => continue,
             // The file may be missing for a moment during a rename; the current list stays in force.
-            Some(Err(why)) => Told::ListUnreadable { source: SourceId::File, why },
+            Some(Err(why)) => CoreEvent::ListInvalid { source: SourceId::File, why },
             Some(Ok((text, fingerprint))) => match documents::servers::parse(&name, &text) {
-                Err(problems) => Told::ListUnreadable { source: SourceId::File, why: problems.to_string() },
+                Err(problems) => CoreEvent::ListInvalid { source: SourceId::File, why: problems.to_string() },
                 Ok(list) => {
                     let (next, _) = oneshot::channel();
-                    Told::List { source: SourceId::File, list, fingerprint: Some(fingerprint), next }
+                    CoreEvent::ListReceived {
+                        source: SourceId::File,
+                        list,
+                        fingerprint: Some(fingerprint),
+                        next,
+                    }
                 }
             },
         };
@@ -152,7 +157,7 @@
             let (settings, rows) = (&applied.settings, applied.settings.workload_rows.clone());
             let workloads = applied.decisions.workloads.clone();
             // The core first: no request may reach it with a workload row that it doesn't have yet.
-            let event = Told::Settings { decisions: Box::new(applied.decisions.clone()) };
+            let event = CoreEvent::SettingsChanged { decisions: Box::new(applied.decisions.clone()) };
             if front.core.send(event).await.is_err() {
                 return;
             }
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -32,12 +32,12 @@
 
 use crate::answer::{AnswerPieces, IdempotencyGuard, PendingReply, Reply};
 use crate::clock::{duration, wall_ms, Clock};
-use crate::duty::{Dropped, Duty};
+use crate::events::ClientRequest;
+use crate::events::{CoreEvent, CoreSender};
 use crate::http_errors::HttpErrorStream;
 use crate::peers::PeerSender;
+use crate::pending_answer::{DroppedAnswers, PendingAnswer};
 use crate::state::{RecoveredState, State};
-use crate::words::Ask;
-use crate::words::{ToCore, Told};
 
 /// State shared by all client connections.
 pub struct Front {
@@ -49,12 +49,12 @@
     /// API dialects by request path.
     pub dialects: Vec<(String, Dialect)>,
     pub clock: Clock,
-    pub core: ToCore,
+    pub core: CoreSender,
     pub next_completion: Cell<u32>,
     pub connections: Cell<usize>,
     /// Prefix of all request ids of this process: router number and start time.
     pub id_prefix: String,
-    pub dropped_answers: Dropped,
+    pub dropped_answers: DroppedAnswers,
     /// Connections closed on accept because the connection limit was reached.
     pub connections_refused: Cell<u64>,
     /// Requests answered with the stored answer of an earlier request with the same idempotency key.
@@ -88,13 +88,13 @@
 /// complete.
 struct DisconnectGuard {
     completion: CompletionId,
-    core: Option<ToCore>,
+    core: Option<CoreSender>,
 }
 
 impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         let Some(core) = self.core.take() else { return };
-        let event = Told::Left { completion: self.completion };
+        let event = CoreEvent::ClientLeft { completion: self.completion };
         if let Err(mpsc::error::TrySendError::Full(event)) = core.try_send(event) {
             tokio::task::spawn_local(async move {
                 let _ = core.send(event).await;
@@ -371,7 +371,7 @@
             return Err(refused);
         }
         let client_id = header(&head, wire::REQUEST_ID)?.filter(|text| text.len() <= 256).map(str::to_owned);
-        let ask = Ask {
+        let client_request = ClientRequest {
             prompt,
             max_tokens: parsed.max_tokens,
             stop: parsed.stop_sequences,
@@ -382,7 +382,7 @@
             effect_key: key.map(|key| self.classifier.borrow().effect_key(customer, key)),
             model: parsed.model,
         };
-        let (pending, answer) = Duty::new(self.dropped_answers.clone());
+        let (pending, answer) = PendingAnswer::new(self.dropped_answers.clone());
         let reply = PendingReply::new(
             pending,
             guard,
@@ -391,7 +391,13 @@
             self.dropped_answers.clone(),
         );
         let mut disconnect = DisconnectGuard { completion, core: Some(self.core.clone()) };
-        let event = Told::Arrived { completion, facts, received_ms, ask: Rc::new(ask), owed: reply };
+        let event = CoreEvent::Arrived {
+            completion,
+            facts,
+            received_ms,
+            request: Rc::new(client_request),
+            pending_reply: reply,
+        };
         if self.core.send(event).await.is_err() {
             return Err(ApiError::new(ErrorKind::Api, "the router stops"));
         }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -4,22 +4,22 @@
 
 mod admin;
 mod answer;
-pub mod book;
 pub mod clock;
 mod core;
 mod dispatch;
-pub mod duty;
 mod engines;
+mod events;
 mod failover;
 mod files;
 mod front;
 mod http_errors;
-pub mod letgo;
 mod list;
 mod peers;
+pub mod pending_answer;
+pub mod release;
 mod state;
 mod steady_clock;
-mod words;
+pub mod timed_ledger;
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -38,9 +38,9 @@
 use crate::clock::{duration, Clock};
 use crate::core::Core;
 use crate::engines::Engines;
+use crate::events::CoreEvent;
 use crate::front::Front;
 use crate::steady_clock::SteadyClock;
-use crate::words::Told;
 
 /// Addresses on which a running router listens.
 #[derive(Clone, Copy, Debug)]
@@ -116,16 +116,16 @@
         Core::new(settings.clone(), clock, boot, seed, shared.0, shared.1, list, saves, store.clone());
     let controller = failover::controller(&settings, clock);
     if let Some(controller) = &controller {
-        core_task.sit_at(controller.clone());
+        core_task.set_failover_controller(controller.clone());
     }
-    let known_list = core_task.recover(list::saved(&dir), &recovered);
+    let known_list = core_task.recover(list::load_saved(&dir), &recovered);
     let admission = Rc::new(RefCell::new(Admission::new(AdmissionLimits::from_settings(&settings))));
     let (peer_sender, peer_requests) = mpsc::channel(8);
     let peer_task = match peer_sockets {
         Some((sockets, row)) => {
             let (rules, floor) = peers::initial_grant(&settings, &row);
             admission.borrow_mut().set_shares(&floor.shares[1..], &floor.shares[1..], f64::INFINITY);
-            core_task.begin_with(floor);
+            core_task.start_without_lease(floor);
             let (settings, core, admission) = (settings.clone(), core.clone(), admission.clone());
             Some(peers::PeerTaskParts {
                 sockets,
@@ -233,7 +233,7 @@
             connections = front.connections.get(),
             "stop time is over; ending open answers"
         );
-        let _ = core.send(Told::Stop).await;
+        let _ = core.send(CoreEvent::Stop).await;
         let until = tokio::time::Instant::now() + duration(settings.front.slow_client_ms);
         while open() && tokio::time::Instant::now() < until {
             tokio::time::sleep(duration(5.0)).await;
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -22,10 +22,10 @@
 use tracing::{info, warn};
 
 use crate::clock::{duration, Clock};
+use crate::events::{CoreEvent, CoreSender};
 use crate::failover::{self, CommandRequest, SharedController};
 use crate::files::write_atomic;
 use crate::steady_clock::SteadyClock;
-use crate::words::{ToCore, Told};
 
 /// Calls that may be open at once in each direction; further incoming ones are closed, and their callers
 /// retry.
@@ -137,7 +137,7 @@
     pub seed: u64,
     pub clock: Clock,
     pub steady_clock: SteadyClock,
-    pub core: ToCore,
+    pub core: CoreSender,
     pub admission: Rc<RefCell<Admission>>,
     pub controller: Option<SharedController>,
 }
@@ -148,7 +148,7 @@
     own_address: SocketAddr,
     call_timeout_ms: f64,
     clock: Clock,
-    core: ToCore,
+    core: CoreSender,
     admission: Rc<RefCell<Admission>>,
     call_events: mpsc::Sender<CallEvent>,
     generation_file: PathBuf,
@@ -341,7 +341,7 @@
         };
         if !data.probes.is_empty() {
             // If the core's queue is full, these probes can be skipped.
-            let _ = self.core.try_send(Told::Look { workers: data.probes });
+            let _ = self.core.try_send(CoreEvent::CheckReachability { workers: data.probes });
         }
         let event = Event::SetExtra { row: data.row, allocation: data.allocation, after: data.after };
         self.handle(event).await;
@@ -384,7 +384,7 @@
         let floor = self.peers.floor();
         let until_ms = granted.until_ms;
         self.admission.borrow_mut().set_shares(&granted.shares[1..], &floor.shares[1..], until_ms);
-        let event = Told::Shared { granted: granted.clone(), floor };
+        let event = CoreEvent::SharesGranted { granted: granted.clone(), floor };
         if self.core.send(event).await.is_ok() {
             self.last_granted = Some(granted);
         }
