--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -188,7 +188,7 @@
 pub fn day(file: &Path, varied: DayVaried, as_json: bool) -> Result<bool> {
     let DayVaried { out, decides, faults } = varied;
     let mut day = settings::day::load(file)?;
-    day.deciding(decides);
+    day.set_failover_mode(decides);
     let dir =
         out.unwrap_or_else(|| std::env::temp_dir().join(format!("paddleproxy-day-{}", std::process::id())));
     std::fs::create_dir_all(&dir).with_context(|| format!("making {}", dir.display()))?;
--- a/crates/cli/tests/zones.rs
+++ b/crates/cli/tests/zones.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
 
-use paddleproxy_settings::day::{parse, Own};
+use paddleproxy_settings::day::{parse, RouterOverrides};
 
 struct Router(Child);
 
@@ -24,7 +24,7 @@
     );
     let common = include_str!("../../../days/fellows-common.kdl").to_owned();
     let day = parse(&[("d.kdl".into(), own), ("common.kdl".into(), common)]).unwrap();
-    let text = day.router_document(&Own {
+    let text = day.router_document(&RouterOverrides {
         number: 0,
         zone: "north",
         list: "127.0.0.1:1",
@@ -33,7 +33,7 @@
         state_dir: &dir.join("state").display().to_string(),
         seed: 1,
         peers: Some(("127.0.0.1:0".into(), None, vec!["127.0.0.1:1".into()])),
-        places: None,
+        router_count: None,
     });
     let file = dir.join("router.kdl");
     std::fs::write(&file, text).unwrap();
--- a/crates/day/src/audit.rs
+++ b/crates/day/src/audit.rs
@@ -89,7 +89,7 @@
                 .map(|router| day.shape_of(router).to_owned())
                 .collect(),
             zones: day.router.failover.as_ref().map(|failover| ZonesFacts {
-                expects: day.expects.clone(),
+                expects: day.expected_plans.clone(),
                 reserve: failover.reserve,
                 common: !failover.alone,
             }),
--- a/crates/day/src/load.rs
+++ b/crates/day/src/load.rs
@@ -89,7 +89,7 @@
         let hot = self.mood.hot.get().filter(|(share, _)| chance.f64() < *share).map(|(_, tokens)| tokens);
         let beginning = match hot {
             Some(tokens) => text("hot beginning", tokens),
-            None => text(&format!("beginning {}", load.beginning_at(chance.f64())), load.shared_tokens),
+            None => text(&format!("beginning {}", load.prefix_at(chance.f64())), load.shared_tokens),
         };
         let mut turns = Vec::new();
         for turn in 0..load.turns {
--- a/crates/day/src/random/tests.rs
+++ b/crates/day/src/random/tests.rs
@@ -20,7 +20,7 @@
         let (day, _) = room.write(&script, "one").unwrap();
         assert_eq!(day.troubles.len(), script.troubles.len());
         assert_eq!(day.router.failover.is_some(), script.failover);
-        kinds.extend(day.troubles.iter().map(|trouble| trouble.what.name().to_owned()));
+        kinds.extend(day.troubles.iter().map(|trouble| trouble.kind.name().to_owned()));
         // Everything has to be over in time for healing to be judged.
         assert!(day.troubles.iter().all(|trouble| trouble.at_ms + trouble.for_ms <= 24_000.0));
     }
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -11,7 +11,7 @@
 use anyhow::{bail, Context, Result};
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_fleet::Fleet;
-use paddleproxy_settings::day::{DaySettings, Own};
+use paddleproxy_settings::day::{DaySettings, RouterOverrides};
 use paddleproxy_settings::rig::Carries;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
@@ -172,7 +172,7 @@
 
     /// Starts a process with a router's number, at a node of the mesh; what it says when it is ready.
     async fn process(&self, router: usize, node: usize, name: &str) -> Result<(Child, serde_json::Value)> {
-        let own = Own {
+        let own = RouterOverrides {
             number: router,
             zone: self.zone(router),
             list: &self.lists.borrow()[router].to_string(),
@@ -181,7 +181,7 @@
             state_dir: &self.dir.join(name).display().to_string(),
             seed: self.day.seed.wrapping_add(node as u64) & u64::from(u32::MAX),
             peers: self.mesh.as_ref().map(|mesh| mesh.own(node)),
-            places: self.places.borrow()[router],
+            router_count: self.places.borrow()[router],
         };
         let config = self.dir.join(format!("{name}.kdl"));
         std::fs::write(&config, self.day.router_document(&own))?;
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -6,7 +6,7 @@
 use paddleproxy_emulator::troubles::Ramp;
 use paddleproxy_fleet::record::What as Line;
 use paddleproxy_fleet::server::Server;
-use paddleproxy_settings::day::{Dead, Trouble, What};
+use paddleproxy_settings::day::{FailureMode, Trouble, TroubleKind};
 use tokio::time::{sleep, sleep_until};
 
 use crate::rig;
@@ -19,13 +19,13 @@
 /// One trouble, from its beginning to its end.
 pub async fn befall(stage: Rc<Stage>, trouble: Trouble) {
     sleep_until(stage.record.at(trouble.at_ms)).await;
-    let name = match &trouble.what {
-        What::Dead { how: Dead::Unreachable, .. } => "unreachable",
+    let name = match &trouble.kind {
+        TroubleKind::Dead { how: FailureMode::Unreachable, .. } => "unreachable",
         what => what.name(),
     };
     let note = |begins| stage.record.add(Line::Trouble { name: name.to_owned(), begins });
     note(true);
-    if let What::Rig(fault) = &trouble.what {
+    if let TroubleKind::Rig(fault) = &trouble.kind {
         rig::befall(&stage, &trouble, fault).await;
         note(false);
         return;
@@ -42,30 +42,30 @@
 
 async fn begin(stage: &Rc<Stage>, trouble: &Trouble) {
     let now_ms = stage.record.now_ms();
-    match &trouble.what {
-        What::Dead { servers, how, .. } => {
+    match &trouble.kind {
+        TroubleKind::Dead { servers, how, .. } => {
             for name in servers {
                 stage.fleet.kill(name, *how).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = true)),
-        What::Slow { servers, factor } => each(stage, servers, |s| s.befalls(|t| t.slow = *factor)),
-        What::Ageing { servers, factor } => {
+        TroubleKind::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = true)),
+        TroubleKind::Slow { servers, factor } => each(stage, servers, |s| s.befalls(|t| t.slow = *factor)),
+        TroubleKind::Ageing { servers, factor } => {
             each(stage, servers, |s| s.befalls(|t| t.ageing = Some((now_ms, *factor))))
         }
-        What::Erring { servers, share, model } => each(stage, servers, |s| {
+        TroubleKind::Erring { servers, share, model } => each(stage, servers, |s| {
             s.change_trouble(|t| (t.erring, t.erring_model) = (*share, model.clone()));
         }),
-        What::AnswerLost { servers, share } => {
+        TroubleKind::AnswerLost { servers, share } => {
             each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = *share))
         }
-        What::Pausing { servers, pause_ms, every_ms } => {
+        TroubleKind::Pausing { servers, pause_ms, every_ms } => {
             each(stage, servers, |s| s.befalls(|t| t.pausing = Some((*pause_ms, *every_ms))));
         }
-        What::Flush { servers } => {
+        TroubleKind::Flush { servers } => {
             servers.iter().filter_map(|name| stage.fleet.server(name)).for_each(|server| server.flush());
         }
-        What::Drain { servers, notice_ms } => {
+        TroubleKind::Drain { servers, notice_ms } => {
             each(stage, servers, |s| s.befalls(|t| t.draining = true));
             servers
                 .iter()
@@ -73,34 +73,34 @@
                 .for_each(|server| server.list("draining"));
             wait(*notice_ms).await;
             for name in servers {
-                stage.fleet.kill(name, Dead::Refuse).await;
+                stage.fleet.kill(name, FailureMode::Refuse).await;
             }
         }
-        What::Links { cell, factor } => {
+        TroubleKind::Links { cell, factor } => {
             stage.fleet.shared.links.slow(*cell, *factor);
         }
-        What::ZoneLost { zone, routers } => {
+        TroubleKind::ZoneLost { zone, routers } => {
             for name in stage.fleet.in_zone(zone) {
-                stage.fleet.kill(&name, Dead::Unreachable).await;
+                stage.fleet.kill(&name, FailureMode::Unreachable).await;
             }
             for router in stage.routers_of(zone).into_iter().filter(|_| *routers) {
                 stage.kill_router(router).await;
             }
         }
-        What::ListBehind { by_ms } => stage.fleet.shared.list.behind_ms.set(*by_ms),
-        What::ListDown => stage.fleet.shared.list.down.set(true),
-        What::ListLies { share } => stage.fleet.shared.list.anew(*share),
-        What::RouterKilled { router } => stage.kill_router(*router).await,
-        What::RouterStopped { router } => stage.stop_router(*router).await,
-        What::Ramp { key, factor } => {
+        TroubleKind::ListBehind { by_ms } => stage.fleet.shared.list.behind_ms.set(*by_ms),
+        TroubleKind::ListDown => stage.fleet.shared.list.down.set(true),
+        TroubleKind::ListLies { share } => stage.fleet.shared.list.anew(*share),
+        TroubleKind::RouterKilled { router } => stage.kill_router(*router).await,
+        TroubleKind::RouterStopped { router } => stage.stop_router(*router).await,
+        TroubleKind::Ramp { key, factor } => {
             let (key, for_ms) = (key.clone(), trouble.for_ms);
             *stage.mood.ramp.borrow_mut() = Some(Ramp { key, from_ms: now_ms, for_ms, factor: *factor });
         }
-        What::Burst { key, factor } => *stage.mood.burst.borrow_mut() = Some((key.clone(), *factor)),
-        What::LongPrompts { share, factor } => stage.mood.long.set(Some((*share, *factor))),
-        What::HotBeginning { share, tokens } => stage.mood.hot.set(Some((*share, *tokens))),
-        What::GiveUp { share } => stage.mood.gives_up.set(*share),
-        What::Rig(_) => {}
+        TroubleKind::Burst { key, factor } => *stage.mood.burst.borrow_mut() = Some((key.clone(), *factor)),
+        TroubleKind::LongPrompts { share, factor } => stage.mood.long.set(Some((*share, *factor))),
+        TroubleKind::HotPrefix { share, tokens } => stage.mood.hot.set(Some((*share, *tokens))),
+        TroubleKind::GiveUp { share } => stage.mood.gives_up.set(*share),
+        TroubleKind::Rig(_) => {}
     }
 }
 
@@ -112,36 +112,38 @@
             }
         }
     };
-    match &trouble.what {
-        What::Dead { servers, back_as_new, .. } => back(servers.clone(), *back_as_new).await,
-        What::Drain { servers, .. } => back(servers.clone(), false).await,
-        What::ZoneLost { zone, routers } => {
+    match &trouble.kind {
+        TroubleKind::Dead { servers, back_as_new, .. } => back(servers.clone(), *back_as_new).await,
+        TroubleKind::Drain { servers, .. } => back(servers.clone(), false).await,
+        TroubleKind::ZoneLost { zone, routers } => {
             back(stage.fleet.in_zone(zone), false).await;
             for router in stage.routers_of(zone).into_iter().filter(|_| *routers) {
                 stage.start_router(router).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = false)),
-        What::Slow { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.slow = 1.0)),
-        What::Ageing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.ageing = None)),
-        What::Erring { servers, .. } => each(stage, servers, |s| s.change_trouble(|t| t.erring = 0.0)),
-        What::AnswerLost { servers, .. } => {
+        TroubleKind::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = false)),
+        TroubleKind::Slow { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.slow = 1.0)),
+        TroubleKind::Ageing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.ageing = None)),
+        TroubleKind::Erring { servers, .. } => each(stage, servers, |s| s.change_trouble(|t| t.erring = 0.0)),
+        TroubleKind::AnswerLost { servers, .. } => {
             each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = 0.0))
         }
-        What::Pausing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.pausing = None)),
-        What::Flush { .. } => {}
-        What::Links { cell, .. } => {
+        TroubleKind::Pausing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.pausing = None)),
+        TroubleKind::Flush { .. } => {}
+        TroubleKind::Links { cell, .. } => {
             stage.fleet.shared.links.slow(*cell, 1.0);
         }
-        What::ListBehind { .. } => stage.fleet.shared.list.behind_ms.set(0.0),
-        What::ListDown => stage.fleet.shared.list.down.set(false),
-        What::ListLies { .. } => stage.fleet.shared.list.anew(0.0),
-        What::RouterKilled { router } | What::RouterStopped { router } => stage.start_router(*router).await,
-        What::Ramp { .. } => *stage.mood.ramp.borrow_mut() = None,
-        What::Burst { .. } => *stage.mood.burst.borrow_mut() = None,
-        What::LongPrompts { .. } => stage.mood.long.set(None),
-        What::HotBeginning { .. } => stage.mood.hot.set(None),
-        What::GiveUp { .. } => stage.mood.gives_up.set(0.0),
-        What::Rig(_) => {}
+        TroubleKind::ListBehind { .. } => stage.fleet.shared.list.behind_ms.set(0.0),
+        TroubleKind::ListDown => stage.fleet.shared.list.down.set(false),
+        TroubleKind::ListLies { .. } => stage.fleet.shared.list.anew(0.0),
+        TroubleKind::RouterKilled { router } | TroubleKind::RouterStopped { router } => {
+            stage.start_router(*router).await
+        }
+        TroubleKind::Ramp { .. } => *stage.mood.ramp.borrow_mut() = None,
+        TroubleKind::Burst { .. } => *stage.mood.burst.borrow_mut() = None,
+        TroubleKind::LongPrompts { .. } => stage.mood.long.set(None),
+        TroubleKind::HotPrefix { .. } => stage.mood.hot.set(None),
+        TroubleKind::GiveUp { .. } => stage.mood.gives_up.set(0.0),
+        TroubleKind::Rig(_) => {}
     }
 }
--- a/crates/emulator/src/world/befalls.rs
+++ b/crates/emulator/src/world/befalls.rs
@@ -23,7 +23,7 @@
         self.list_change(server, readiness);
     }
 
-    pub(super) fn kill(&mut self, server: usize, how: Dead) {
+    pub(super) fn kill(&mut self, server: usize, how: FailureMode) {
         if !self.nodes[server].up {
             return;
         }
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -82,7 +82,7 @@
             Some((_, tokens)) => (seed(7, 0, tokens as u64) >> 11, tokens),
             None if row.shared_tokens == 0 => (0, 0.0),
             None => {
-                let number = row.beginning_at(chance.share()) as u64;
+                let number = row.prefix_at(chance.share()) as u64;
                 (seed(load as u64, 1, number) >> 11, row.shared_tokens as f64)
             }
         };
--- a/crates/emulator/src/world/dispatches.rs
+++ b/crates/emulator/src/world/dispatches.rs
@@ -40,7 +40,7 @@
         let (up, mode) = (self.nodes[server].up, self.nodes[server].mode);
         match (up, mode) {
             (true, _) => self.heap.put(self.now_ms + net_ms, Ev::Arrive { dispatch }),
-            (false, Dead::Unreachable) => {
+            (false, FailureMode::Unreachable) => {
                 let at_ms = self.now_ms + self.day.router.engines.connect_ms;
                 self.heap.put(at_ms, Ev::End { dispatch, end: SocketEnd::ConnectTimedOut });
             }
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -20,7 +20,7 @@
     Admission, AdmissionLimits, Counts, Decisions, Effect, Input, Ledger, OutgoingDispatch, Permit,
     SocketEnd, Stage,
 };
-use paddleproxy_settings::day::{DaySettings, Dead, Trouble};
+use paddleproxy_settings::day::{DaySettings, FailureMode, Trouble};
 use paddleproxy_store::retention::{self, Text};
 
 use crate::chance::{seed, Chance};
@@ -220,7 +220,7 @@
     pub kind: usize,
     pub cell: u32,
     pub up: bool,
-    pub mode: Dead,
+    pub mode: FailureMode,
     pub start: u64,
     pub started_ms: Option<f64>,
     pub erring: (f64, Option<String>),
@@ -353,7 +353,7 @@
                     kind: row.kind,
                     cell: row.cell + copy * cells,
                     up: true,
-                    mode: Dead::Refuse,
+                    mode: FailureMode::Refuse,
                     start: 0,
                     started_ms: None,
                     erring: (0.0, None),
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -1,6 +1,6 @@
 //! Brings about what the script says.
 
-use paddleproxy_settings::day::{Dead, What as Befalls};
+use paddleproxy_settings::day::{FailureMode, TroubleKind as Befalls};
 
 use crate::record::What;
 use crate::troubles::Ramp;
@@ -10,9 +10,9 @@
 impl World {
     pub(super) fn trouble(&mut self, row: usize, begins: bool) {
         let troubles = self.troubles.clone();
-        let what = &troubles[row].what;
+        let what = &troubles[row].kind;
         let name = match what {
-            Befalls::Dead { how: Dead::Unreachable, .. } => "unreachable",
+            Befalls::Dead { how: FailureMode::Unreachable, .. } => "unreachable",
             what => what.name(),
         };
         self.record(What::Trouble { name: name.to_owned(), begins });
@@ -68,7 +68,7 @@
             Befalls::Links { cell, factor } => self.slow_links(*cell, *factor),
             Befalls::ZoneLost { zone, routers } => {
                 for server in self.in_zone(zone) {
-                    self.kill(server, Dead::Unreachable);
+                    self.kill(server, FailureMode::Unreachable);
                 }
                 for router in self.routers_of(zone).into_iter().filter(|_| *routers) {
                     self.kill_router(router);
@@ -85,7 +85,7 @@
             }
             Befalls::Burst { key, factor } => self.mood.burst = Some((key.clone(), *factor)),
             Befalls::LongPrompts { share, factor } => self.mood.long = Some((*share, *factor)),
-            Befalls::HotBeginning { share, tokens } => self.mood.hot = Some((*share, *tokens as f64)),
+            Befalls::HotPrefix { share, tokens } => self.mood.hot = Some((*share, *tokens as f64)),
             Befalls::GiveUp { share } => self.mood.gives_up = *share,
             // Links and processes of routers are played on real ones.
             Befalls::Rig(_) => {}
@@ -95,10 +95,10 @@
     /// The notice of a drain is over: its servers' processes end. They come back when the trouble does, if later.
     pub(super) fn drain_ends(&mut self, row: usize) {
         let troubles = self.troubles.clone();
-        if let Befalls::Drain { servers, .. } = &troubles[row].what {
+        if let Befalls::Drain { servers, .. } = &troubles[row].kind {
             for server in self.named(servers) {
-                self.kill(server, Dead::Refuse);
-                let (trouble, back) = (&troubles[row], &troubles[row].what);
+                self.kill(server, FailureMode::Refuse);
+                let (trouble, back) = (&troubles[row], &troubles[row].kind);
                 if trouble.at_ms + trouble.for_ms <= self.now_ms {
                     self.trouble_ends(back);
                 }
@@ -160,7 +160,7 @@
             Befalls::Burst { .. } => self.mood.burst = None,
             Befalls::Ramp { .. } => self.mood.ramp = None,
             Befalls::LongPrompts { .. } => self.mood.long = None,
-            Befalls::HotBeginning { .. } => self.mood.hot = None,
+            Befalls::HotPrefix { .. } => self.mood.hot = None,
             Befalls::GiveUp { .. } => self.mood.gives_up = 0.0,
             Befalls::Rig(_) => {}
         }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -6,7 +6,7 @@
 use paddleproxy_emulator::record::What;
 use paddleproxy_emulator::troubles::spread;
 use paddleproxy_emulator::{run, Options, Policy, Run};
-use paddleproxy_settings::day::{load, DaySettings, Trouble, What as TroubleKind};
+use paddleproxy_settings::day::{load, DaySettings, Trouble, TroubleKind};
 
 fn day(name: &str) -> Rc<DaySettings> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(format!("{name}.kdl"));
@@ -116,7 +116,7 @@
     };
     let asked = |run: &Run| run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
     let calm = run(&with(&|_| {}), &Options::default());
-    let trouble = |what| Trouble { at_ms: 0.0, for_ms: base.length_ms, every_ms: None, what };
+    let trouble = |kind| Trouble { at_ms: 0.0, for_ms: base.length_ms, every_ms: None, kind };
     // Twice as many at the end is half as many again over the day, of the one key.
     let ramp = trouble(TroubleKind::Ramp { key: "app-key".into(), factor: 2.0 });
     let grown = run(&with(&|day| day.troubles = vec![ramp.clone()]), &Options::default());
@@ -136,10 +136,10 @@
     assert!(all.iter().zip(spread(&often, 1)).all(|(one, again)| one.at_ms == again.at_ms));
     // A law of Zipf makes the first beginning the most frequent.
     let zipf = with(&|day| day.clients[0].zipf = 1.0);
-    let drawn: Vec<_> = (0..1000).map(|n| zipf.clients[0].beginning_at(n as f64 / 1000.0)).collect();
+    let drawn: Vec<_> = (0..1000).map(|n| zipf.clients[0].prefix_at(n as f64 / 1000.0)).collect();
     let of = |number| drawn.iter().filter(|drawn| **drawn == number).count();
     assert!(of(0) > of(1) && of(1) > of(5) && of(5) > 0, "{} {} {}", of(0), of(1), of(5));
-    assert_eq!(base.clients[0].beginning_at(0.999), base.clients[0].beginnings - 1);
+    assert_eq!(base.clients[0].prefix_at(0.999), base.clients[0].prefix_count - 1);
     // Wrong reports change decisions where there is some load to report; a far network makes first tokens later.
     let loaded = |noise: f64| {
         let loaded = with(&|day| {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 use anyhow::{Context, Result};
-use paddleproxy_settings::day::Dead;
+use paddleproxy_settings::day::FailureMode;
 use paddleproxy_settings::fleet::FleetSettings;
 use socket2::{Domain, Socket, Type};
 use tokio::net::{TcpListener, TcpStream};
@@ -92,7 +92,7 @@
     }
 
     /// A server's process ends; the list hears of it as late as of anything.
-    pub async fn kill(&self, name: &str, how: Dead) {
+    pub async fn kill(&self, name: &str, how: FailureMode) {
         let Some(post) = self.posts.get(name) else { return };
         if !post.server.up.get() {
             return;
@@ -108,10 +108,12 @@
         }
         let address = post.server.address.get();
         let dead = match how {
-            Dead::Refuse => None,
-            Dead::Reset => bind(address, 64).ok().map(|listener| tokio::task::spawn_local(reset(listener))),
+            FailureMode::Refuse => None,
+            FailureMode::Reset => {
+                bind(address, 64).ok().map(|listener| tokio::task::spawn_local(reset(listener)))
+            }
             // A full backlog that nobody takes from: connections are never made.
-            Dead::Unreachable => {
+            FailureMode::Unreachable => {
                 bind(address, 0).ok().map(|listener| tokio::task::spawn_local(fill(listener)))
             }
         };
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -7,7 +7,7 @@
 use common::{asking, finals, local, raw, start, start_router, WITH_PROBES};
 use paddleproxy_day::client::Seen;
 use paddleproxy_fleet::record::What;
-use paddleproxy_settings::day::Dead;
+use paddleproxy_settings::day::FailureMode;
 
 fn text(seen: &[Seen]) -> String {
     seen.iter()
@@ -148,7 +148,7 @@
         let bench = start(&[]).await;
         let mut asked = asking("a", "chat-large", 5, true);
         asked.body = asked.body.replace("\"max_tokens\":8", "\"max_tokens\":400");
-        let seen = bench.ask_and(&asked, bench.fleet.kill("n-mixed1", Dead::Reset)).await;
+        let seen = bench.ask_and(&asked, bench.fleet.kill("n-mixed1", FailureMode::Reset)).await;
         assert!(text(&seen).starts_with(" wort"));
         assert_eq!(finals(&seen), ["aborted"]);
         let next = bench.ask(&asking("b", "chat-large", 5, true)).await;
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -33,7 +33,7 @@
     pub network_ms: (f64, f64),
     pub troubles: Vec<Trouble>,
     /// What plans are expected to say.
-    pub expects: Vec<Expect>,
+    pub expected_plans: Vec<Expect>,
 }
 
 /// Routers in which some of the template's rules are switched.
@@ -58,7 +58,7 @@
     pub think_ms: f64,
     /// Tokens of the shared beginning (0: none), and how many different ones there are.
     pub shared_tokens: usize,
-    pub beginnings: usize,
+    pub prefix_count: usize,
     /// Exponent of the Zipf law by which beginnings are chosen; 0 where all are equally likely.
     pub zipf: f64,
     pub adds_tokens: usize,
@@ -75,16 +75,16 @@
 
 impl ClientLoad {
     /// The beginning that a draw from 0 to below 1 stands for.
-    pub fn beginning_at(&self, draw: f64) -> usize {
+    pub fn prefix_at(&self, draw: f64) -> usize {
         let weight = |number: usize| (number as f64 + 1.0).powf(-self.zipf);
-        let mut left = draw * (0..self.beginnings).map(weight).sum::<f64>();
-        for number in 0..self.beginnings {
+        let mut left = draw * (0..self.prefix_count).map(weight).sum::<f64>();
+        for number in 0..self.prefix_count {
             left -= weight(number);
             if left < 0.0 {
                 return number;
             }
         }
-        self.beginnings.saturating_sub(1)
+        self.prefix_count.saturating_sub(1)
     }
 }
 
@@ -95,11 +95,11 @@
     pub for_ms: f64,
     /// Where it comes again by chance: the mean time from one to the next, in ms.
     pub every_ms: Option<f64>,
-    pub what: What,
+    pub kind: TroubleKind,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dead {
+pub enum FailureMode {
     Refuse,
     Reset,
     Unreachable,
@@ -107,10 +107,10 @@
 
 /// What befalls whom. Servers are named as in the fleet.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum TroubleKind {
     Dead {
         servers: Vec<String>,
-        how: Dead,
+        how: FailureMode,
         back_as_new: bool,
     },
     Silent {
@@ -180,7 +180,7 @@
         share: f64,
         factor: f64,
     },
-    HotBeginning {
+    HotPrefix {
         share: f64,
         tokens: usize,
     },
@@ -191,32 +191,32 @@
     Rig(Fault),
 }
 
-impl What {
+impl TroubleKind {
     /// One word for tables and records.
     pub fn name(&self) -> &'static str {
         match self {
-            What::Dead { .. } => "dead",
-            What::Silent { .. } => "silent",
-            What::Slow { .. } => "slow",
-            What::Ageing { .. } => "ageing",
-            What::Erring { .. } => "erring",
-            What::AnswerLost { .. } => "answer-lost",
-            What::Pausing { .. } => "pausing",
-            What::Flush { .. } => "flush",
-            What::Drain { .. } => "drain",
-            What::Links { .. } => "links",
-            What::ZoneLost { .. } => "zone-lost",
-            What::ListBehind { .. } => "list-behind",
-            What::ListDown => "list-down",
-            What::ListLies { .. } => "list-lies",
-            What::RouterKilled { .. } => "router-killed",
-            What::RouterStopped { .. } => "router-stopped",
-            What::Burst { .. } => "burst",
-            What::Ramp { .. } => "ramp",
-            What::LongPrompts { .. } => "long-prompts",
-            What::HotBeginning { .. } => "hot-beginning",
-            What::GiveUp { .. } => "give-up",
-            What::Rig(fault) => fault.name(),
+            TroubleKind::Dead { .. } => "dead",
+            TroubleKind::Silent { .. } => "silent",
+            TroubleKind::Slow { .. } => "slow",
+            TroubleKind::Ageing { .. } => "ageing",
+            TroubleKind::Erring { .. } => "erring",
+            TroubleKind::AnswerLost { .. } => "answer-lost",
+            TroubleKind::Pausing { .. } => "pausing",
+            TroubleKind::Flush { .. } => "flush",
+            TroubleKind::Drain { .. } => "drain",
+            TroubleKind::Links { .. } => "links",
+            TroubleKind::ZoneLost { .. } => "zone-lost",
+            TroubleKind::ListBehind { .. } => "list-behind",
+            TroubleKind::ListDown => "list-down",
+            TroubleKind::ListLies { .. } => "list-lies",
+            TroubleKind::RouterKilled { .. } => "router-killed",
+            TroubleKind::RouterStopped { .. } => "router-stopped",
+            TroubleKind::Burst { .. } => "burst",
+            TroubleKind::Ramp { .. } => "ramp",
+            TroubleKind::LongPrompts { .. } => "long-prompts",
+            TroubleKind::HotPrefix { .. } => "hot-beginning",
+            TroubleKind::GiveUp { .. } => "give-up",
+            TroubleKind::Rig(fault) => fault.name(),
         }
     }
 }
@@ -247,7 +247,7 @@
 
 /// What a router gets in place of the template's own lines.
 #[derive(Clone, Debug)]
-pub struct Own<'a> {
+pub struct RouterOverrides<'a> {
     pub number: usize,
     pub zone: &'a str,
     pub list: &'a str,
@@ -258,7 +258,7 @@
     /// Where it listens for fellows, where they reach it, and whom it asks first; none where the day has no fellows.
     pub peers: Option<(String, Option<String>, Vec<String>)>,
     /// Places in its settings, if not the day's routers.
-    pub places: Option<usize>,
+    pub router_count: Option<usize>,
 }
 
 /// Time one exchange between routers takes, after which the true state is told, in ms.
@@ -266,13 +266,13 @@
 
 impl DaySettings {
     /// The same day with another way to decide on failover.
-    pub fn deciding(&mut self, decides: Decides) {
+    pub fn set_failover_mode(&mut self, decides: Decides) {
         if decides == Decides::Strangers {
             self.router_nodes
                 .nodes_mut()
                 .retain(|node| !["peers", "failover"].contains(&node.name().value()));
             (self.router.peers, self.router.failover) = (None, None);
-            self.expects.clear();
+            self.expected_plans.clear();
             return;
         }
         let block = self.router_nodes.get_mut("failover").and_then(|block| block.children_mut().as_mut());
@@ -291,24 +291,24 @@
                 self.troubles.extend(told);
             }
         }
-        self.expects.clear();
+        self.expected_plans.clear();
     }
 
     /// Words that tell a trouble's true state.
     fn told(&self, trouble: &Trouble) -> Vec<Trouble> {
         let all = |zone: &String| {
             let mut servers = self.fleet.servers.iter().filter(|row| row.zone == *zone);
-            match &trouble.what {
-                What::ZoneLost { zone: lost, .. } => lost == zone,
-                What::Dead { servers: of, .. }
-                | What::Silent { servers: of }
-                | What::Slow { servers: of, .. } => servers.all(|row| of.contains(&row.name)),
+            match &trouble.kind {
+                TroubleKind::ZoneLost { zone: lost, .. } => lost == zone,
+                TroubleKind::Dead { servers: of, .. }
+                | TroubleKind::Silent { servers: of }
+                | TroubleKind::Slow { servers: of, .. } => servers.all(|row| of.contains(&row.name)),
                 _ => false,
             }
         };
         let says = |zone: &String, at_ms: f64, word: &str| {
             let said = Fault::Said { zone: zone.clone(), word: word.to_owned(), for_ms: 600_000.0 };
-            Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, what: What::Rig(said) }
+            Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, kind: TroubleKind::Rig(said) }
         };
         let zones = self.router.names.zones.iter().filter(|zone| all(zone));
         let words = zones.flat_map(|zone| {
@@ -337,10 +337,10 @@
     }
 
     /// The document of one router of this day.
-    pub fn router_document(&self, own: &Own) -> String {
+    pub fn router_document(&self, own: &RouterOverrides) -> String {
         let mut document = self.router_nodes.clone();
         set(&mut document, "number", own.number as i128);
-        set(&mut document, "routers", own.places.unwrap_or(self.routers) as i128);
+        set(&mut document, "routers", own.router_count.unwrap_or(self.routers) as i128);
         set(&mut document, "zone", own.zone);
         set(&mut document, "listen", own.listen);
         set(&mut document, "state-dir", own.state_dir);
@@ -443,7 +443,7 @@
         clients,
         network_ms: network.unwrap_or((NETWORK_MS, NETWORK_MS)),
         troubles,
-        expects: top.blocks("expect").into_iter().map(rooms::expect).collect(),
+        expected_plans: top.blocks("expect").into_iter().map(rooms::expect).collect(),
     };
     agrees(top, &settings);
     Some(settings)
@@ -499,24 +499,26 @@
         }
     }
     for trouble in &day.troubles {
-        let servers = match &trouble.what {
-            What::Dead { servers, .. }
-            | What::Silent { servers }
-            | What::Slow { servers, .. }
-            | What::Ageing { servers, .. }
-            | What::Erring { servers, .. }
-            | What::AnswerLost { servers, .. }
-            | What::Pausing { servers, .. }
-            | What::Flush { servers }
-            | What::Drain { servers, .. } => servers.as_slice(),
-            What::RouterKilled { router } | What::RouterStopped { router } if *router >= day.routers => {
+        let servers = match &trouble.kind {
+            TroubleKind::Dead { servers, .. }
+            | TroubleKind::Silent { servers }
+            | TroubleKind::Slow { servers, .. }
+            | TroubleKind::Ageing { servers, .. }
+            | TroubleKind::Erring { servers, .. }
+            | TroubleKind::AnswerLost { servers, .. }
+            | TroubleKind::Pausing { servers, .. }
+            | TroubleKind::Flush { servers }
+            | TroubleKind::Drain { servers, .. } => servers.as_slice(),
+            TroubleKind::RouterKilled { router } | TroubleKind::RouterStopped { router }
+                if *router >= day.routers =>
+            {
                 top.problem(format!(
                     "trouble '{}' names router {router}, which is not there",
-                    trouble.what.name()
+                    trouble.kind.name()
                 ));
                 continue;
             }
-            What::Rig(fault) => {
+            TroubleKind::Rig(fault) => {
                 rig_agrees(top, day, fault);
                 continue;
             }
@@ -526,7 +528,7 @@
             if !day.fleet.servers.iter().any(|row| row.name == *server) {
                 top.problem(format!(
                     "trouble '{}' names \"{server}\", which is not there",
-                    trouble.what.name()
+                    trouble.kind.name()
                 ));
             }
         }
@@ -572,7 +574,7 @@
         turns: block.need::<Count>("turns").0.max(1) as usize,
         think_ms: block.need::<Millis>("think").0,
         shared_tokens: block.need::<Count>("shared").0 as usize,
-        beginnings: block.maybe::<Count>("beginnings").map_or(1, |count| count.0.max(1)) as usize,
+        prefix_count: block.maybe::<Count>("beginnings").map_or(1, |count| count.0.max(1)) as usize,
         zipf: block.maybe::<f64>("zipf").unwrap_or(0.0).clamp(0.0, 10.0),
         adds_tokens: block.need::<Count>("adds").0.max(1) as usize,
         answer_tokens: block.need::<Count>("answer").0.max(1) as usize,
@@ -588,7 +590,7 @@
 }
 
 fn trouble(block: Block) -> Option<Trouble> {
-    let kind: String = block.argument()?;
+    let name: String = block.argument()?;
     let at_ms = block.need_property::<Millis>("at").0;
     let for_ms = block.property::<Millis>("for").map_or(0.0, |time| time.0);
     let factor = || block.need_property::<f64>("factor").max(1.0);
@@ -600,50 +602,61 @@
         }
         names
     };
-    let what = match kind.as_str() {
+    let kind = match name.as_str() {
         "dead" => {
             let how = match block.property::<String>("how").as_deref() {
-                None | Some("refuse") => Dead::Refuse,
-                Some("reset") => Dead::Reset,
-                Some("unreachable") => Dead::Unreachable,
+                None | Some("refuse") => FailureMode::Refuse,
+                Some("reset") => FailureMode::Reset,
+                Some("unreachable") => FailureMode::Unreachable,
                 Some(other) => {
                     block.problem(format!("how=\"{other}\"; allowed is refuse, reset, unreachable"));
-                    Dead::Refuse
+                    FailureMode::Refuse
                 }
             };
             let back_as_new = block.property::<bool>("back-as-new").unwrap_or(false);
-            What::Dead { servers: servers(), how, back_as_new }
+            TroubleKind::Dead { servers: servers(), how, back_as_new }
         }
-        "silent" => What::Silent { servers: servers() },
-        "slow" => What::Slow { servers: servers(), factor: factor() },
-        "ageing" => What::Ageing { servers: servers(), factor: factor() },
-        "erring" => What::Erring { servers: servers(), share: share(), model: block.property("model") },
-        "answer-lost" => What::AnswerLost { servers: servers(), share: share() },
-        "pausing" => What::Pausing {
+        "silent" => TroubleKind::Silent { servers: servers() },
+        "slow" => TroubleKind::Slow { servers: servers(), factor: factor() },
+        "ageing" => TroubleKind::Ageing { servers: servers(), factor: factor() },
+        "erring" => {
+            TroubleKind::Erring { servers: servers(), share: share(), model: block.property("model") }
+        }
+        "answer-lost" => TroubleKind::AnswerLost { servers: servers(), share: share() },
+        "pausing" => TroubleKind::Pausing {
             servers: servers(),
             pause_ms: block.need_property::<Millis>("pause").0,
             every_ms: block.need_property::<Millis>("every").0.max(1.0),
         },
-        "flush" => What::Flush { servers: servers() },
-        "drain" => What::Drain { servers: servers(), notice_ms: block.need_property::<Millis>("notice").0 },
-        "links" => What::Links { cell: block.need_property::<Count>("cell").0 as u32, factor: factor() },
-        "zone-lost" => What::ZoneLost {
+        "flush" => TroubleKind::Flush { servers: servers() },
+        "drain" => {
+            TroubleKind::Drain { servers: servers(), notice_ms: block.need_property::<Millis>("notice").0 }
+        }
+        "links" => {
+            TroubleKind::Links { cell: block.need_property::<Count>("cell").0 as u32, factor: factor() }
+        }
+        "zone-lost" => TroubleKind::ZoneLost {
             zone: block.need_property("zone"),
             routers: block.property("routers").unwrap_or(false),
         },
-        "list-behind" => What::ListBehind { by_ms: block.need_property::<Millis>("by").0 },
-        "list-down" => What::ListDown,
-        "list-lies" => What::ListLies { share: share() },
-        "router-killed" => What::RouterKilled { router: block.need_property::<Count>("router").0 as usize },
-        "router-stopped" => What::RouterStopped { router: block.need_property::<Count>("router").0 as usize },
-        "burst" => What::Burst { key: block.need_property("key"), factor: factor() },
-        "ramp" => What::Ramp { key: block.need_property("key"), factor: factor() },
-        "long-prompts" => What::LongPrompts { share: share(), factor: factor() },
-        "hot-beginning" => {
-            What::HotBeginning { share: share(), tokens: block.need_property::<Count>("tokens").0 as usize }
+        "list-behind" => TroubleKind::ListBehind { by_ms: block.need_property::<Millis>("by").0 },
+        "list-down" => TroubleKind::ListDown,
+        "list-lies" => TroubleKind::ListLies { share: share() },
+        "router-killed" => {
+            TroubleKind::RouterKilled { router: block.need_property::<Count>("router").0 as usize }
         }
-        "give-up" => What::GiveUp { share: share() },
-        other if rig::KINDS.contains(&other) => What::Rig(rig::read(&block, other)?),
+        "router-stopped" => {
+            TroubleKind::RouterStopped { router: block.need_property::<Count>("router").0 as usize }
+        }
+        "burst" => TroubleKind::Burst { key: block.need_property("key"), factor: factor() },
+        "ramp" => TroubleKind::Ramp { key: block.need_property("key"), factor: factor() },
+        "long-prompts" => TroubleKind::LongPrompts { share: share(), factor: factor() },
+        "hot-beginning" => TroubleKind::HotPrefix {
+            share: share(),
+            tokens: block.need_property::<Count>("tokens").0 as usize,
+        },
+        "give-up" => TroubleKind::GiveUp { share: share() },
+        other if rig::KINDS.contains(&other) => TroubleKind::Rig(rig::read(&block, other)?),
         other => {
             block.problem(format!("trouble \"{other}\" is not known; known are {KNOWN}"));
             return None;
@@ -651,7 +664,7 @@
     };
     let every_ms = block.property::<Millis>("every-about").map(|time| time.0.max(1.0));
     block.done();
-    Some(Trouble { at_ms, for_ms, every_ms, what })
+    Some(Trouble { at_ms, for_ms, every_ms, kind })
 }
 
 const KNOWN: &str =
--- a/crates/settings/tests/documents.rs
+++ b/crates/settings/tests/documents.rs
@@ -1,6 +1,6 @@
 //! Wrong documents: every problem is found, with its place, what stood there and what is allowed.
 
-use paddleproxy_settings::day::Own;
+use paddleproxy_settings::day::RouterOverrides;
 use paddleproxy_settings::{fleet, router};
 
 const ROUTER: &str = include_str!("router.kdl");
@@ -122,7 +122,7 @@
     };
     for (number, on) in [(0, true), (1, false)] {
         let (zone, list, listen) = ("north", "127.0.0.1:9", "127.0.0.1:0");
-        let own = Own {
+        let own = RouterOverrides {
             number,
             zone,
             list,
@@ -131,7 +131,7 @@
             state_dir: "s",
             seed: 1,
             peers: None,
-            places: None,
+            router_count: None,
         };
         let read = router::parse("r.kdl", &all.router_document(&own)).unwrap();
         assert_eq!((shape(&all.router_of(number)), shape(&read)), ([on; 5], [on; 5]));
--- a/crates/settings/tests/zones.rs
+++ b/crates/settings/tests/zones.rs
@@ -64,7 +64,7 @@
 #[test]
 fn a_day_is_played_in_other_ways_by_its_own_document() {
     let own = |day: &DaySettings| {
-        day.router_document(&paddleproxy_settings::day::Own {
+        day.router_document(&paddleproxy_settings::day::RouterOverrides {
             number: 0,
             zone: "north",
             list: "127.0.0.1:9",
@@ -73,13 +73,13 @@
             state_dir: "s",
             seed: 1,
             peers: None,
-            places: None,
+            router_count: None,
         })
     };
     let text = format!("{GOOD}\ntrouble \"zone-lost\" at=\"100ms\" for=\"200ms\" zone=\"west\"");
     let way = |decides| {
         let mut day = day(&text).unwrap();
-        day.deciding(decides);
+        day.set_failover_mode(decides);
         let document = own(&day);
         paddleproxy_settings::router::parse("r.kdl", &document).unwrap();
         (document, day.troubles.len())
