--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,7 +13,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand, ValueEnum};
-use paddleproxy_settings::rooms::Decides;
+use paddleproxy_settings::day_failover::FailoverMode;
 
 /// Routes completions over readers, writers and mixed model servers.
 #[derive(Parser)]
@@ -109,13 +109,13 @@
 }
 
 impl DayFailover {
-    fn decides(self) -> Decides {
+    fn decides(self) -> FailoverMode {
         match self {
-            DayFailover::Common => Decides::Common,
-            DayFailover::Off => Decides::Off,
-            DayFailover::Strangers => Decides::Strangers,
-            DayFailover::Alone => Decides::Alone,
-            DayFailover::Told => Decides::Told,
+            DayFailover::Common => FailoverMode::Configured,
+            DayFailover::Off => FailoverMode::NoFailover,
+            DayFailover::Strangers => FailoverMode::NoPeers,
+            DayFailover::Alone => FailoverMode::OwnEvidence,
+            DayFailover::Told => FailoverMode::TrueState,
         }
     }
 
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -10,7 +10,7 @@
 use paddleproxy_fleet::record::Record;
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings as settings;
-use paddleproxy_settings::rooms::Decides;
+use paddleproxy_settings::day_failover::FailoverMode;
 use serde_json::json;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
@@ -156,7 +156,7 @@
 /// How a day differs from its document.
 pub struct DayVaried {
     pub out: Option<PathBuf>,
-    pub decides: Decides,
+    pub decides: FailoverMode,
     /// System calls of routers that fail: each with the part of its calls.
     pub faults: Vec<(Fault, f64)>,
 }
--- a/crates/day/src/load.rs
+++ b/crates/day/src/load.rs
@@ -9,7 +9,7 @@
 use paddleproxy_emulator::troubles::Ramp;
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_settings::day::{ClientLoad, DaySettings};
-use paddleproxy_settings::rig::Carries;
+use paddleproxy_settings::rig::Traffic;
 use serde_json::json;
 use tokio::time::{sleep, sleep_until};
 
@@ -168,7 +168,7 @@
             let until = self.record.at(now_ms + load.client_timeout_ms + 60_000.0);
             // A link that is cut takes no connection; one that is up when it is made stays so.
             let cut = self.mesh.as_ref().is_some_and(|mesh| {
-                mesh.weather(&End::Clients, &End::Router(router), Carries::Clients).cut.is_some()
+                mesh.weather(&End::Clients, &End::Router(router), Traffic::Clients).cut.is_some()
             });
             let address = if cut { SocketAddr::from(([127, 0, 0, 1], 1)) } else { address };
             let asked = ask(address, &asking, until, seeing);
--- a/crates/day/src/mesh.rs
+++ b/crates/day/src/mesh.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use paddleproxy_settings::rig::{Carries, Cut, Weather, Who};
+use paddleproxy_settings::rig::{Cut, EndpointSelector, LinkCondition, Traffic};
 use tokio::io::Interest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -28,11 +28,11 @@
 /// A fault of links that is on.
 struct On {
     id: u64,
-    from: Vec<Who>,
-    to: Vec<Who>,
+    from: Vec<EndpointSelector>,
+    to: Vec<EndpointSelector>,
     both: bool,
-    carries: Carries,
-    weather: Weather,
+    carries: Traffic,
+    weather: LinkCondition,
 }
 
 /// The place of a process in the mesh: a router, or a namesake of one after all routers.
@@ -137,7 +137,14 @@
         self.nodes[node].real.get()
     }
 
-    pub fn begin(&self, from: &[Who], to: &[Who], both: bool, carries: Carries, weather: Weather) -> u64 {
+    pub fn begin(
+        &self,
+        from: &[EndpointSelector],
+        to: &[EndpointSelector],
+        both: bool,
+        carries: Traffic,
+        weather: LinkCondition,
+    ) -> u64 {
         let id = self.next.replace(self.next.get() + 1);
         let (from, to) = (from.to_vec(), to.to_vec());
         self.on.borrow_mut().push(On { id, from, to, both, carries, weather });
@@ -150,23 +157,34 @@
         self.changed.notify_waiters();
     }
 
-    fn is(&self, end: &End, who: &Who) -> bool {
+    fn is(&self, end: &End, who: &EndpointSelector) -> bool {
         let zone = |router: usize| self.zones.get(router % self.routers.max(1)).map(String::as_str);
         match (who, end) {
-            (Who::All, _) => true,
-            (Who::Routers, End::Router(_)) | (Who::Workers, End::Worker { .. }) => true,
-            (Who::List, End::List) | (Who::Clients, End::Clients) => true,
-            (Who::Router(number), End::Router(router)) => number == router,
-            (Who::Zone(of) | Who::RoutersOf(of), End::Router(router)) => zone(*router) == Some(of),
-            (Who::Zone(of) | Who::WorkersOf(of), End::Worker { zone, .. }) => zone == of,
-            (Who::Server(of), End::Worker { name, .. }) => name == of,
+            (EndpointSelector::All, _) => true,
+            (EndpointSelector::Routers, End::Router(_)) | (EndpointSelector::Workers, End::Worker { .. }) => {
+                true
+            }
+            (EndpointSelector::List, End::List) | (EndpointSelector::Clients, End::Clients) => true,
+            (EndpointSelector::Router(number), End::Router(router)) => number == router,
+            (EndpointSelector::Zone(of) | EndpointSelector::RoutersOf(of), End::Router(router)) => {
+                zone(*router) == Some(of)
+            }
+            (EndpointSelector::Zone(of) | EndpointSelector::WorkersOf(of), End::Worker { zone, .. }) => {
+                zone == of
+            }
+            (EndpointSelector::Server(of), End::Worker { name, .. }) => name == of,
             _ => false,
         }
     }
 
     /// Routers that fellows may come to think gone by a fault between such ends.
-    pub fn touched(&self, from: &[Who], to: &[Who], carries: Carries) -> Vec<usize> {
-        if !matches!(carries, Carries::All | Carries::Datagrams | Carries::Calls) {
+    pub fn touched(
+        &self,
+        from: &[EndpointSelector],
+        to: &[EndpointSelector],
+        carries: Traffic,
+    ) -> Vec<usize> {
+        if !matches!(carries, Traffic::All | Traffic::Datagrams | Traffic::Calls) {
             return Vec::new();
         }
         let named = |router: &usize| {
@@ -177,15 +195,15 @@
     }
 
     /// What the link does now to that kind of traffic.
-    pub fn weather(&self, from: &End, to: &End, what: Carries) -> Weather {
-        let any = |ends: &[Who], end: &End| ends.iter().any(|who| self.is(end, who));
+    pub fn weather(&self, from: &End, to: &End, what: Traffic) -> LinkCondition {
+        let any = |ends: &[EndpointSelector], end: &End| ends.iter().any(|who| self.is(end, who));
         let on = self.on.borrow();
         let fits = |on: &&On| {
             let forth = any(&on.from, from) && any(&on.to, to);
             let back = on.both && any(&on.from, to) && any(&on.to, from);
-            (on.carries == Carries::All || on.carries == what) && (forth || back)
+            (on.carries == Traffic::All || on.carries == what) && (forth || back)
         };
-        on.iter().filter(fits).fold(Weather::default(), |sum, on| sum.and(on.weather))
+        on.iter().filter(fits).fold(LinkCondition::default(), |sum, on| sum.and(on.weather))
     }
 
     fn node_of(&self, address: SocketAddr) -> Option<usize> {
@@ -197,7 +215,7 @@
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 
-    fn late_ms(&self, weather: &Weather) -> f64 {
+    fn late_ms(&self, weather: &LinkCondition) -> f64 {
         weather.delay_ms + weather.jitter_ms * self.rng.borrow_mut().f64()
     }
 
@@ -210,12 +228,12 @@
                 continue;
             };
             let Some(from) = self.node_of(source) else { continue };
-            let weather = self.weather(&End::Router(from), &End::Router(to), Carries::Datagrams);
+            let weather = self.weather(&End::Router(from), &End::Router(to), Traffic::Datagrams);
             if weather.cut.is_some() || self.chance(weather.loss) {
                 continue;
             }
             let mut letter = bytes[..count].to_vec();
-            if self.chance(weather.spoilt) && !letter.is_empty() {
+            if self.chance(weather.corrupted) && !letter.is_empty() {
                 let at = self.rng.borrow_mut().usize(..letter.len());
                 letter[at] ^= 1 << self.rng.borrow_mut().u8(..8);
             }
@@ -227,7 +245,7 @@
                 busy.insert(from, until);
                 wait_ms += until.duration_since(Instant::now()).as_secs_f64() * 1e3;
             }
-            let times = 1 + usize::from(self.chance(weather.twice));
+            let times = 1 + usize::from(self.chance(weather.duplicated));
             for time in 0..times {
                 // Sent on from where the sender is known, so that the answer finds the way back.
                 let relay = self.nodes[from].relay.clone();
@@ -253,7 +271,7 @@
             let real = self.nodes[to].real.get();
             if let (Some(from), Some(real)) = (from, real) {
                 let ends = (End::Router(from), End::Router(to));
-                tokio::task::spawn_local(self.clone().link(stream, real, ends, Carries::Calls));
+                tokio::task::spawn_local(self.clone().link(stream, real, ends, Traffic::Calls));
             }
         }
     }
@@ -267,7 +285,7 @@
         from: End,
         to: End,
         real: SocketAddr,
-        what: Carries,
+        what: Traffic,
     ) -> Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("a relay's port")?;
         let address = listener.local_addr()?;
@@ -283,7 +301,7 @@
     }
 
     /// Waits while a link swallows what it is given; false where it resets.
-    async fn open(&self, from: &End, to: &End, what: Carries) -> bool {
+    async fn open(&self, from: &End, to: &End, what: Traffic) -> bool {
         loop {
             let changed = self.changed.notified();
             match self.weather(from, to, what).cut {
@@ -295,7 +313,7 @@
     }
 
     /// Passes once either way of a link is one that resets.
-    async fn resets(&self, from: &End, to: &End, what: Carries) {
+    async fn resets(&self, from: &End, to: &End, what: Traffic) {
         loop {
             let changed = self.changed.notified();
             let cut = |a: &End, b: &End| self.weather(a, b, what).cut == Some(Cut::Reset);
@@ -306,7 +324,7 @@
         }
     }
 
-    async fn link(self: Rc<Self>, client: TcpStream, real: SocketAddr, ends: (End, End), what: Carries) {
+    async fn link(self: Rc<Self>, client: TcpStream, real: SocketAddr, ends: (End, End), what: Traffic) {
         let (from, to) = ends;
         let _ = client.set_nodelay(true);
         let reset = |stream: &TcpStream| {
@@ -349,7 +367,7 @@
         mut sink: OwnedWriteHalf,
         from: &End,
         to: &End,
-        what: Carries,
+        what: Traffic,
     ) -> std::io::Result<()> {
         let broke = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         let mut bytes = vec![0; 16 << 10];
--- a/crates/day/src/rig.rs
+++ b/crates/day/src/rig.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use paddleproxy_fleet::record::What as Line;
 use paddleproxy_settings::day::Trouble;
-use paddleproxy_settings::rig::{Fault, State};
+use paddleproxy_settings::rig::{Fault, RestartState};
 use rustix::process::Signal;
 use serde_json::Value;
 use tokio::net::{TcpStream, UdpSocket};
@@ -45,8 +45,8 @@
     note(true);
     let ends = Instant::now() + duration(trouble.for_ms);
     match fault {
-        Fault::Link { from, to, both, carries, weather } => {
-            let id = mesh.begin(from, to, *both, *carries, *weather);
+        Fault::Link { from, to, both, carries, condition } => {
+            let id = mesh.begin(from, to, *both, *carries, *condition);
             sleep_until(ends).await;
             mesh.end(id);
         }
@@ -73,11 +73,11 @@
                 sleep(duration(*runs_ms)).await;
             }
         }
-        Fault::Restarted { routers, every_ms, places } => {
+        Fault::Restarted { routers, every_ms, router_count } => {
             for router in routers {
                 let next = Instant::now() + duration(*every_ms);
-                if places.is_some() {
-                    stage.places.borrow_mut()[*router] = *places;
+                if router_count.is_some() {
+                    stage.places.borrow_mut()[*router] = *router_count;
                 }
                 stage.stop_router(*router).await;
                 stage.start_router(*router).await;
@@ -85,18 +85,18 @@
             }
             sleep_until(ends).await;
         }
-        Fault::Namesake { router } => {
+        Fault::DuplicateRouter { router } => {
             let extra = stage.start_namesake(*router).await;
             sleep_until(ends).await;
             drop(extra);
         }
         Fault::Noise { routers, per_s } => noise(stage, routers, *per_s, ends).await,
-        Fault::Said { zone, word, for_ms } => {
-            let path = format!("/failover/{word}?zone={zone}&for_ms={for_ms}");
+        Fault::OperatorCommand { zone, command, for_ms } => {
+            let path = format!("/failover/{command}?zone={zone}&for_ms={for_ms}");
             let until = Instant::now() + duration(TOLD_WITHIN_MS);
             while !told(stage, &path).await {
                 if Instant::now() >= until {
-                    stage.fail(format!("nobody took '{word}' of zone '{zone}'"));
+                    stage.fail(format!("nobody took '{command}' of zone '{zone}'"));
                     break;
                 }
                 sleep(duration(ASKS_MS)).await;
@@ -239,12 +239,12 @@
     }
 
     /// What a router that is down finds in its state directory.
-    fn with_state(&self, router: usize, state: State) {
+    fn with_state(&self, router: usize, state: RestartState) {
         let own = self.state_dir(router);
         let replaced = match state {
-            State::Own => Ok(()),
-            State::Empty => std::fs::remove_dir_all(&own),
-            State::Others => {
+            RestartState::Own => Ok(()),
+            RestartState::Empty => std::fs::remove_dir_all(&own),
+            RestartState::Others => {
                 let other = self.state_dir((router + 1) % self.day.routers);
                 std::fs::copy(other.join("life"), own.join("life")).map(drop)
             }
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -12,7 +12,7 @@
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings::day::{DaySettings, RouterOverrides};
-use paddleproxy_settings::rig::Carries;
+use paddleproxy_settings::rig::Traffic;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
@@ -290,12 +290,12 @@
     let mut ways = BTreeMap::new();
     for (router, list) in lists.iter_mut().enumerate() {
         let from = End::Router(router);
-        *list = mesh.relay(from.clone(), End::List, *list, Carries::List).await?;
+        *list = mesh.relay(from.clone(), End::List, *list, Traffic::List).await?;
         for name in fleet.names() {
             let Some(server) = fleet.server(name) else { continue };
             let real = server.address.get();
             let to = End::Worker { name: name.clone(), zone: server.row.zone.clone() };
-            let relay = mesh.relay(from.clone(), to, real, Carries::Work).await?;
+            let relay = mesh.relay(from.clone(), to, real, Traffic::Work).await?;
             ways.insert((router, real.to_string()), relay.to_string());
         }
     }
--- a/crates/day/src/zones.rs
+++ b/crates/day/src/zones.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use paddleproxy_fleet::record::{Line, What};
-use paddleproxy_settings::rooms::Expect;
+use paddleproxy_settings::day_failover::ExpectedPlan;
 use serde::{Deserialize, Serialize};
 
 use crate::audit::Rule;
@@ -11,7 +11,7 @@
 /// The figures by which plans are judged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZonesFacts {
-    pub expects: Vec<Expect>,
+    pub expects: Vec<ExpectedPlan>,
     pub reserve: f64,
     /// Whether they agree at all; each by itself is only compared with.
     pub common: bool,
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -4,11 +4,11 @@
 
 use kdl::{KdlDocument, KdlEntry, KdlNode, KdlValue};
 
+use crate::day_failover::{self, ExpectedPlan, FailoverMode};
 use crate::failover;
 use crate::fleet::{fleet, FleetSettings};
 use crate::reader::{Block, Count, Millis, Problems, Share, Source};
 use crate::rig::{self, Fault};
-use crate::rooms::{self, Decides, Expect};
 use crate::router::{router, RouterSettings, Switch, SWITCHES};
 use crate::{text_of, Error};
 
@@ -33,7 +33,7 @@
     pub network_ms: (f64, f64),
     pub troubles: Vec<Trouble>,
     /// What plans are expected to say.
-    pub expected_plans: Vec<Expect>,
+    pub expected_plans: Vec<ExpectedPlan>,
 }
 
 /// Routers in which some of the template's rules are switched.
@@ -266,8 +266,8 @@
 
 impl DaySettings {
     /// The same day with another way to decide on failover.
-    pub fn set_failover_mode(&mut self, decides: Decides) {
-        if decides == Decides::Strangers {
+    pub fn set_failover_mode(&mut self, decides: FailoverMode) {
+        if decides == FailoverMode::NoPeers {
             self.router_nodes
                 .nodes_mut()
                 .retain(|node| !["peers", "failover"].contains(&node.name().value()));
@@ -277,13 +277,13 @@
         }
         let block = self.router_nodes.get_mut("failover").and_then(|block| block.children_mut().as_mut());
         match (decides, block) {
-            (Decides::Common | Decides::Strangers, _) | (_, None) => return,
-            (Decides::Off, _) => {
+            (FailoverMode::Configured | FailoverMode::NoPeers, _) | (_, None) => return,
+            (FailoverMode::NoFailover, _) => {
                 self.router_nodes.nodes_mut().retain(|node| node.name().value() != "failover");
                 self.router.failover = None;
             }
-            (Decides::Alone, Some(block)) => set(block, "decides", "alone"),
-            (Decides::Told, Some(block)) => {
+            (FailoverMode::OwnEvidence, Some(block)) => set(block, "decides", "alone"),
+            (FailoverMode::TrueState, Some(block)) => {
                 set(block, "decides", "told");
                 set(block, "out", 1.0);
                 let told: Vec<Trouble> =
@@ -307,7 +307,8 @@
             }
         };
         let says = |zone: &String, at_ms: f64, word: &str| {
-            let said = Fault::Said { zone: zone.clone(), word: word.to_owned(), for_ms: 600_000.0 };
+            let said =
+                Fault::OperatorCommand { zone: zone.clone(), command: word.to_owned(), for_ms: 600_000.0 };
             Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, kind: TroubleKind::Rig(said) }
         };
         let zones = self.router.names.zones.iter().filter(|zone| all(zone));
@@ -443,7 +444,7 @@
         clients,
         network_ms: network.unwrap_or((NETWORK_MS, NETWORK_MS)),
         troubles,
-        expected_plans: top.blocks("expect").into_iter().map(rooms::expect).collect(),
+        expected_plans: top.blocks("expect").into_iter().map(day_failover::expect).collect(),
     };
     agrees(top, &settings);
     Some(settings)
@@ -544,19 +545,23 @@
     if let Some(router) = fault.routers().iter().find(|router| **router >= day.routers) {
         top.problem(format!("trouble '{name}' names router {router}, which is not there"));
     }
-    if matches!(fault, Fault::Said { zone, .. } if !day.router.names.zones.contains(zone)) {
+    if matches!(fault, Fault::OperatorCommand { zone, .. } if !day.router.names.zones.contains(zone)) {
         top.problem("trouble 'said' names a zone that is not there");
     }
-    if matches!(fault, Fault::Said { .. }) && day.router.failover.is_none() {
+    if matches!(fault, Fault::OperatorCommand { .. }) && day.router.failover.is_none() {
         top.problem("trouble 'said' needs the day's 'failover'");
     }
     if let Fault::Link { from, to, .. } = fault {
         for who in from.iter().chain(to) {
             let zone = |zone: &String| day.router.names.zones.contains(zone);
             let there = match who {
-                rig::Who::Router(router) => *router < day.routers,
-                rig::Who::Zone(of) | rig::Who::RoutersOf(of) | rig::Who::WorkersOf(of) => zone(of),
-                rig::Who::Server(server) => day.fleet.servers.iter().any(|row| row.name == *server),
+                rig::EndpointSelector::Router(router) => *router < day.routers,
+                rig::EndpointSelector::Zone(of)
+                | rig::EndpointSelector::RoutersOf(of)
+                | rig::EndpointSelector::WorkersOf(of) => zone(of),
+                rig::EndpointSelector::Server(server) => {
+                    day.fleet.servers.iter().any(|row| row.name == *server)
+                }
                 _ => true,
             };
             if !there {
--- a/crates/settings/src/rooms.rs
+++ b/crates/settings/src/day_failover.rs
@@ -6,7 +6,7 @@
 
 /// What share of a zone's sessions the plans in force move, at all routers that hear a majority, throughout a time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Expect {
+pub struct ExpectedPlan {
     pub zone: String,
     pub from_ms: f64,
     pub to_ms: f64,
@@ -16,22 +16,22 @@
 
 /// Who decides in a day, beside the design.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Decides {
+pub enum FailoverMode {
     /// As the settings say.
-    Common,
+    Configured,
     /// Routers have no `failover` at all: as before there was one.
-    Off,
+    NoFailover,
     /// Nor `peers`: they don't know each other, and no relays stand between them.
-    Strangers,
+    NoPeers,
     /// Each router by its own evidence.
-    Alone,
+    OwnEvidence,
     /// The true state of every zone, told as operators' words one exchange late.
-    Told,
+    TrueState,
 }
 
-pub(crate) fn expect(block: Block) -> Expect {
+pub(crate) fn expect(block: Block) -> ExpectedPlan {
     let share = |name, otherwise| block.property::<Share>(name).map_or(otherwise, |share| share.0);
-    let expect = Expect {
+    let expect = ExpectedPlan {
         zone: block.need_property("zone"),
         from_ms: block.need_property::<Millis>("from").0,
         to_ms: block.need_property::<Millis>("to").0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,13 +2,13 @@
 //! reported with file, line and column, and a document with one is not used.
 
 pub mod day;
+pub mod day_failover;
 pub mod experiment;
 pub mod failover;
 pub mod fleet;
 pub mod peers;
 pub mod reader;
 pub mod rig;
-pub mod rooms;
 pub mod router;
 pub mod servers;
 
--- a/crates/settings/src/rig.rs
+++ b/crates/settings/src/rig.rs
@@ -4,7 +4,7 @@
 
 /// One end of a link, or some of them.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum EndpointSelector {
     All,
     Routers,
     Workers,
@@ -20,7 +20,7 @@
 
 /// What kind of traffic of a link a fault is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carries {
+pub enum Traffic {
     All,
     /// Routers' datagrams to each other, and their calls.
     Datagrams,
@@ -41,24 +41,24 @@
 
 /// What a link does to what it carries.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkCondition {
     pub loss: f64,
-    pub twice: f64,
-    pub spoilt: f64,
+    pub duplicated: f64,
+    pub corrupted: f64,
     pub delay_ms: f64,
     pub jitter_ms: f64,
     pub bytes_per_s: Option<f64>,
     pub cut: Option<Cut>,
 }
 
-impl Weather {
+impl LinkCondition {
     /// Both at once.
-    pub fn and(self, other: Weather) -> Weather {
+    pub fn and(self, other: LinkCondition) -> LinkCondition {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-        Weather {
+        LinkCondition {
             loss: either(self.loss, other.loss),
-            twice: either(self.twice, other.twice),
-            spoilt: either(self.spoilt, other.spoilt),
+            duplicated: either(self.duplicated, other.duplicated),
+            corrupted: either(self.corrupted, other.corrupted),
             delay_ms: self.delay_ms + other.delay_ms,
             jitter_ms: self.jitter_ms + other.jitter_ms,
             bytes_per_s: match (self.bytes_per_s, other.bytes_per_s) {
@@ -75,7 +75,7 @@
 
 /// With which state directory a router comes back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RestartState {
     Own,
     Empty,
     /// The next router's, by number.
@@ -85,48 +85,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     Link {
-        from: Vec<Who>,
-        to: Vec<Who>,
+        from: Vec<EndpointSelector>,
+        to: Vec<EndpointSelector>,
         both: bool,
-        carries: Carries,
-        weather: Weather,
+        carries: Traffic,
+        condition: LinkCondition,
     },
     /// Killed outright; started again at the end.
-    Killed {
-        routers: Vec<usize>,
-        state: State,
-    },
+    Killed { routers: Vec<usize>, state: RestartState },
     /// Stopped for the time (SIGSTOP) and woken.
-    Paused {
-        routers: Vec<usize>,
-    },
+    Paused { routers: Vec<usize> },
     /// Runs for so long in each so long.
-    Starved {
-        routers: Vec<usize>,
-        runs_ms: f64,
-        of_ms: f64,
-    },
+    Starved { routers: Vec<usize>, runs_ms: f64, of_ms: f64 },
     /// Told to stop and started again, one after the other.
-    Restarted {
-        routers: Vec<usize>,
-        every_ms: f64,
-        places: Option<usize>,
-    },
+    Restarted { routers: Vec<usize>, every_ms: f64, router_count: Option<usize> },
     /// A second process under the place of a router, from another directory.
-    Namesake {
-        router: usize,
-    },
+    DuplicateRouter { router: usize },
     /// An operator says something of a zone, to any router that is up.
-    Said {
-        zone: String,
-        word: String,
-        for_ms: f64,
-    },
+    OperatorCommand { zone: String, command: String, for_ms: f64 },
     /// Bytes that mean nothing, to a router's port for its fellows.
-    Noise {
-        routers: Vec<usize>,
-        per_s: f64,
-    },
+    Noise { routers: Vec<usize>, per_s: f64 },
 }
 
 impl Fault {
@@ -137,22 +115,22 @@
             Fault::Paused { .. } => "routers-paused",
             Fault::Starved { .. } => "routers-starved",
             Fault::Restarted { .. } => "routers-restarted",
-            Fault::Namesake { .. } => "namesake",
+            Fault::DuplicateRouter { .. } => "namesake",
             Fault::Noise { .. } => "noise",
-            Fault::Said { .. } => "said",
+            Fault::OperatorCommand { .. } => "said",
         }
     }
 
     /// Routers that it names; a link's ends are found where the day is played.
     pub fn routers(&self) -> &[usize] {
         match self {
-            Fault::Link { .. } | Fault::Said { .. } => &[],
+            Fault::Link { .. } | Fault::OperatorCommand { .. } => &[],
             Fault::Killed { routers, .. }
             | Fault::Paused { routers }
             | Fault::Starved { routers, .. }
             | Fault::Restarted { routers, .. }
             | Fault::Noise { routers, .. } => routers,
-            Fault::Namesake { router } => std::slice::from_ref(router),
+            Fault::DuplicateRouter { router } => std::slice::from_ref(router),
         }
     }
 }
@@ -186,12 +164,12 @@
         "link" => link(block),
         "routers-killed" => {
             let state = match block.property::<String>("state").as_deref() {
-                None | Some("own") => State::Own,
-                Some("empty") => State::Empty,
-                Some("others") => State::Others,
+                None | Some("own") => RestartState::Own,
+                Some("empty") => RestartState::Empty,
+                Some("others") => RestartState::Others,
                 Some(other) => {
                     block.problem(format!("state=\"{other}\"; allowed is own, empty, others"));
-                    State::Own
+                    RestartState::Own
                 }
             };
             Fault::Killed { routers: routers(), state }
@@ -205,13 +183,13 @@
         "routers-restarted" => Fault::Restarted {
             routers: routers(),
             every_ms: block.need_property::<Millis>("every").0,
-            places: block.property::<Count>("places").map(|count| count.0 as usize),
+            router_count: block.property::<Count>("places").map(|count| count.0 as usize),
         },
-        "namesake" => Fault::Namesake { router: block.need_property::<Count>("router").0 as usize },
+        "namesake" => Fault::DuplicateRouter { router: block.need_property::<Count>("router").0 as usize },
         "noise" => Fault::Noise { routers: routers(), per_s: block.need_property("per-s") },
-        "said" => Fault::Said {
+        "said" => Fault::OperatorCommand {
             zone: block.need_property("zone"),
-            word: block.need_property("word"),
+            command: block.need_property("word"),
             for_ms: block.need_property::<Millis>("holds").0,
         },
         _ => return None,
@@ -235,48 +213,48 @@
         }
     };
     let carries = match block.property::<String>("carries").as_deref() {
-        None | Some("all") => Carries::All,
-        Some("datagrams") => Carries::Datagrams,
-        Some("calls") => Carries::Calls,
-        Some("work") => Carries::Work,
-        Some("list") => Carries::List,
-        Some("clients") => Carries::Clients,
+        None | Some("all") => Traffic::All,
+        Some("datagrams") => Traffic::Datagrams,
+        Some("calls") => Traffic::Calls,
+        Some("work") => Traffic::Work,
+        Some("list") => Traffic::List,
+        Some("clients") => Traffic::Clients,
         Some(other) => {
             block.problem(format!(
                 "carries=\"{other}\"; allowed is all, datagrams, calls, work, list, clients"
             ));
-            Carries::All
+            Traffic::All
         }
     };
-    let weather = Weather {
+    let condition = LinkCondition {
         loss: share("loss"),
-        twice: share("twice"),
-        spoilt: share("spoilt"),
+        duplicated: share("twice"),
+        corrupted: share("spoilt"),
         delay_ms: time("delay"),
         jitter_ms: time("jitter"),
         bytes_per_s: block.property::<Count>("bytes-per-s").map(|count| (count.0 as f64).max(1.0)),
         cut,
     };
-    if weather == Weather::default() {
+    if condition == LinkCondition::default() {
         block.problem("a link's fault needs one of cut, loss, twice, spoilt, delay, jitter, bytes-per-s");
     }
     let both = block.property::<bool>("both").unwrap_or(false);
-    Fault::Link { from: ends("from"), to: ends("to"), both, carries, weather }
+    Fault::Link { from: ends("from"), to: ends("to"), both, carries, condition }
 }
 
-fn who(block: &Block, name: &str, word: &str) -> Option<Who> {
+fn who(block: &Block, name: &str, word: &str) -> Option<EndpointSelector> {
     let named = word.split_once(':');
     let who = match (word, named) {
-        ("all", _) => Some(Who::All),
-        ("routers", _) => Some(Who::Routers),
-        ("workers", _) => Some(Who::Workers),
-        ("list", _) => Some(Who::List),
-        ("clients", _) => Some(Who::Clients),
-        (_, Some(("router", number))) => number.parse().ok().map(Who::Router),
-        (_, Some(("zone", zone))) => Some(Who::Zone(zone.to_owned())),
-        (_, Some(("routers", zone))) => Some(Who::RoutersOf(zone.to_owned())),
-        (_, Some(("workers", zone))) => Some(Who::WorkersOf(zone.to_owned())),
-        (_, Some(("server", server))) => Some(Who::Server(server.to_owned())),
+        ("all", _) => Some(EndpointSelector::All),
+        ("routers", _) => Some(EndpointSelector::Routers),
+        ("workers", _) => Some(EndpointSelector::Workers),
+        ("list", _) => Some(EndpointSelector::List),
+        ("clients", _) => Some(EndpointSelector::Clients),
+        (_, Some(("router", number))) => number.parse().ok().map(EndpointSelector::Router),
+        (_, Some(("zone", zone))) => Some(EndpointSelector::Zone(zone.to_owned())),
+        (_, Some(("routers", zone))) => Some(EndpointSelector::RoutersOf(zone.to_owned())),
+        (_, Some(("workers", zone))) => Some(EndpointSelector::WorkersOf(zone.to_owned())),
+        (_, Some(("server", server))) => Some(EndpointSelector::Server(server.to_owned())),
         _ => None,
     };
     if who.is_none() {
--- a/crates/settings/tests/zones.rs
+++ b/crates/settings/tests/zones.rs
@@ -1,7 +1,7 @@
 //! The block `failover`: what it comes to, and what is wrong with it, each with its place.
 
 use paddleproxy_settings::day::{parse, DaySettings};
-use paddleproxy_settings::rooms::Decides;
+use paddleproxy_settings::day_failover::FailoverMode;
 
 fn day(block: &str) -> Result<DaySettings, String> {
     let own = format!(
@@ -84,13 +84,13 @@
         paddleproxy_settings::router::parse("r.kdl", &document).unwrap();
         (document, day.troubles.len())
     };
-    assert!(way(Decides::Common).0.contains("failover {"));
-    assert!(!way(Decides::Off).0.contains("failover {"));
-    assert!(way(Decides::Off).0.contains("peers {"));
-    assert!(!way(Decides::Strangers).0.contains("peers {"));
-    assert!(way(Decides::Alone).0.contains("decides alone"));
+    assert!(way(FailoverMode::Configured).0.contains("failover {"));
+    assert!(!way(FailoverMode::NoFailover).0.contains("failover {"));
+    assert!(way(FailoverMode::NoFailover).0.contains("peers {"));
+    assert!(!way(FailoverMode::NoPeers).0.contains("peers {"));
+    assert!(way(FailoverMode::OwnEvidence).0.contains("decides alone"));
     // The true state is told when it changes: twice for one trouble.
-    let (told, troubles) = way(Decides::Told);
+    let (told, troubles) = way(FailoverMode::TrueState);
     assert!(told.contains("decides told"));
     assert_eq!(troubles, 3);
 }
