--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -42,7 +42,7 @@
 }
 
 pub fn serve(config: &Path, log: paddleproxy_router::LogSetter) -> Result<bool> {
-    let text = settings::text_of(config)?;
+    let text = settings::read_text(config)?;
     let settings = settings::router::parse(&config.display().to_string(), &text)?;
     on_one_thread(async move {
         let stop = stopped()?;
@@ -76,7 +76,7 @@
         if as_json {
             let problems = match &checked {
                 Ok(_) => Vec::new(),
-                Err(settings::Error::Wrong(problems)) => {
+                Err(settings::Error::Invalid(problems)) => {
                     let row = |p: &settings::Problem| json!({ "file": p.file, "line": p.line, "column": p.column, "message": p.message });
                     problems.list.iter().map(row).collect()
                 }
@@ -101,7 +101,7 @@
 }
 
 pub fn fleet(config: &Path) -> Result<bool> {
-    let text = settings::text_of(config)?;
+    let text = settings::read_text(config)?;
     let settings = settings::fleet::parse(&config.display().to_string(), &text)?;
     on_one_thread(async move {
         let mut stop = stopped()?;
--- a/crates/day/src/audit.rs
+++ b/crates/day/src/audit.rs
@@ -91,7 +91,7 @@
             zones: day.router.failover.as_ref().map(|failover| ZonesFacts {
                 expects: day.expected_plans.clone(),
                 reserve: failover.reserve,
-                common: !failover.alone,
+                common: !failover.own_evidence_only,
             }),
             fellows: day.router.peers.as_ref().map(|peers| FellowsFacts {
                 routers: day.routers,
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -8,7 +8,7 @@
 
 use paddleproxy::interface::Role;
 use paddleproxy_engine::Refusal;
-use paddleproxy_settings::fleet::{FleetSettings, KindOfServer};
+use paddleproxy_settings::fleet::{FleetSettings, ServerKind};
 
 pub use memory::Kept;
 
@@ -31,7 +31,7 @@
 }
 
 impl Kind {
-    pub fn of(fleet: &FleetSettings, kind: &KindOfServer) -> Self {
+    pub fn of(fleet: &FleetSettings, kind: &ServerKind) -> Self {
         Kind {
             role: kind.role,
             slots: kind.slots,
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -83,7 +83,7 @@
             (d.server, d.op, d.arrived_ms.unwrap_or(self.now_ms))
         };
         let model = &self.ops[op].model;
-        let Some(rule) = self.day.fleet.repeats.iter().find(|rule| rule.model == *model) else {
+        let Some(rule) = self.day.fleet.dedup_rules.iter().find(|rule| rule.model == *model) else {
             return false;
         };
         let group = repeats::group(rule.group, &self.nodes[server].zone, self.nodes[server].cell);
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -10,7 +10,7 @@
 use paddleproxy_emulator::repeats::{self, Seen};
 use paddleproxy_emulator::server::{Befalls, Did, Kind, Prompt, Server as Model, Work};
 use paddleproxy_engine::{Load, Refusal, ServerEntry, IN_HAND, QUEUE, WAITING_TOKENS};
-use paddleproxy_settings::fleet::{FleetSettings, KindOfServer, ServerRow};
+use paddleproxy_settings::fleet::{FleetSettings, ServerKind, ServerRow};
 use tokio::sync::{mpsc, Notify};
 use tokio::time::sleep_until;
 
@@ -144,7 +144,7 @@
         })
     }
 
-    pub fn kind(&self) -> &KindOfServer {
+    pub fn kind(&self) -> &ServerKind {
         &self.shared.settings.kinds[self.row.kind]
     }
 
@@ -431,7 +431,7 @@
 
     /// Work takes its effect, once for each key in the group of servers that drops repeats.
     pub fn effect(&self, request: &str, key: &str, model: &str, arrived_ms: f64) {
-        let rule = self.shared.settings.repeats.iter().find(|rule| rule.model == model);
+        let rule = self.shared.settings.dedup_rules.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
             let group = repeats::group(rule.group, &self.row.zone, self.row.cell);
             self.shared.seen.borrow_mut().repeats(group, key, arrived_ms, self.now_ms(), rule.window_ms)
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -33,16 +33,16 @@
     let (failover, peers) = settings.failover.as_ref().zip(settings.peers.as_ref())?;
     let decisions = &settings.decisions;
     let rules = Rules {
-        topology: failover.map.clone(),
+        topology: failover.topology.clone(),
         own_zone: Zone(decisions.zone.map_or(0, |zone| zone.0 as u8)),
         router_index: decisions.own_number as u16,
         lease_ms: peers.lease_ms,
         reserve: failover.reserve,
-        max_step_out: failover.out,
-        max_step_back: failover.back,
+        max_step_out: failover.max_step_out,
+        max_step_back: failover.max_step_back,
         weights_act: decisions.weights_act,
-        own_evidence_only: failover.alone,
-        commands_only: failover.told,
+        own_evidence_only: failover.own_evidence_only,
+        commands_only: failover.commands_only,
         roles: decisions.kinds.iter().map(|kind| kind.role).collect(),
     };
     Some(Rc::new(RefCell::new(FailoverController::new(clock.now_ms(), rules))))
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -63,7 +63,7 @@
     async fn read(&self) -> Seen {
         let path = self.path.clone();
         // A disk that hangs must not hold up the router.
-        let read = tokio::task::spawn_blocking(move || documents::text_of(&path)).await;
+        let read = tokio::task::spawn_blocking(move || documents::read_text(&path)).await;
         let text = read.map_err(|cause| cause.to_string())?.map_err(|cause| cause.to_string())?;
         let fingerprint = xxh3_64(text.as_bytes());
         Ok((text, fingerprint))
--- a/crates/routing/src/facts.rs
+++ b/crates/routing/src/facts.rs
@@ -5,7 +5,7 @@
     Arrival, CompletionId, CustomerId, Effect, Group, PrefixId, SessionId, WorkloadId, WorkloadSettings,
 };
 use paddleproxy_messages::{ApiError, ErrorKind, Request};
-use paddleproxy_settings::router::{Names, Rules};
+use paddleproxy_settings::router::{Names, RequestRules};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Hash seeds that keep session and prefix ids apart.
@@ -17,7 +17,7 @@
 /// The names, rules and workloads by which requests are classified.
 pub struct RequestClassifier {
     names: Names,
-    rules: Rules,
+    rules: RequestRules,
     workloads: Vec<WorkloadSettings>,
     /// Row in the decision module's settings of each workload in `names`.
     rows: Vec<usize>,
@@ -67,7 +67,7 @@
 impl RequestClassifier {
     pub fn new(
         names: Names,
-        rules: Rules,
+        rules: RequestRules,
         workloads: Vec<WorkloadSettings>,
         default_key_window_ms: f64,
     ) -> Self {
@@ -103,7 +103,7 @@
         (WorkloadId(row), KeyRule { window_ms, may_repeat, remembered })
     }
 
-    pub fn rules(&self) -> &Rules {
+    pub fn rules(&self) -> &RequestRules {
         &self.rules
     }
 
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -10,7 +10,7 @@
 use crate::reader::{Block, Count, Millis, Problems, Share, Source};
 use crate::rig::{self, Fault};
 use crate::router::{router, RouterSettings, Switch, SWITCHES};
-use crate::{text_of, Error};
+use crate::{read_text, Error};
 
 #[derive(Clone, Debug)]
 pub struct DaySettings {
@@ -234,13 +234,13 @@
 /// # Errors
 /// A file that can't be read, or all problems found.
 pub fn load(path: &Path) -> Result<DaySettings, Error> {
-    let text = text_of(path)?;
+    let text = read_text(path)?;
     let document = KdlDocument::parse(&text).ok();
     let include = document.and_then(|document| Some(document.get_arg("include")?.as_string()?.to_owned()));
     let mut parts = vec![(path.display().to_string(), text)];
     if let Some(name) = include {
         let other = path.parent().unwrap_or(Path::new("")).join(name);
-        parts.push((other.display().to_string(), text_of(&other)?));
+        parts.push((other.display().to_string(), read_text(&other)?));
     }
     Ok(parse(&parts)?)
 }
@@ -410,7 +410,7 @@
     if let (Some(block), Some(router)) = (top.block("failover"), &mut read_router) {
         let read = failover::read(&block, &router.names.zones);
         block.done();
-        router.decisions.zone_distances = read.map.distance_ranks();
+        router.decisions.zone_distances = read.topology.distance_ranks();
         router.failover = Some(read);
         router_nodes.iter_mut().for_each(|nodes| nodes.nodes_mut().extend(block.node().cloned()));
         if router.peers.is_none() {
--- a/crates/settings/src/experiment.rs
+++ b/crates/settings/src/experiment.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use crate::reader::{Block, Count, Millis, Problems, Share, Source};
-use crate::{text_of, Error};
+use crate::{read_text, Error};
 
 #[derive(Clone, Debug)]
 pub struct ExperimentSettings {
@@ -47,7 +47,7 @@
 /// # Errors
 /// A file that can't be read, or all problems found.
 pub fn load(path: &Path) -> Result<ExperimentSettings, Error> {
-    let read = parse(&path.display().to_string(), &text_of(path)?)?;
+    let read = parse(&path.display().to_string(), &read_text(path)?)?;
     let day = path.parent().unwrap_or(Path::new("")).join(&read.day);
     Ok(ExperimentSettings { day, ..read })
 }
--- a/crates/settings/src/failover.rs
+++ b/crates/settings/src/failover.rs
@@ -6,16 +6,16 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
-    pub map: Topology,
+    pub topology: Topology,
     /// Part of a zone's room beyond its own demand that is never given to others.
     pub reserve: f64,
     /// Most of a zone's sessions that one step moves out, and back.
-    pub out: f64,
-    pub back: f64,
+    pub max_step_out: f64,
+    pub max_step_back: f64,
     /// Each router by its own evidence, without a page: to compare with.
-    pub alone: bool,
+    pub own_evidence_only: bool,
     /// By operators' words only, whatever is seen: to compare with.
-    pub told: bool,
+    pub commands_only: bool,
 }
 
 /// Cost of a pair that is not named: inside a region, and across.
@@ -76,14 +76,14 @@
     }
     let share = |name, otherwise| block.maybe::<Share>(name).map_or(otherwise, |share| share.0);
     let settings = FailoverSettings {
-        map: Topology { regions, costs },
+        topology: Topology { regions, costs },
         reserve: share("reserve", 0.25),
-        out: share("out", 0.5),
-        back: share("back", 0.1),
-        alone: decides.as_deref() == Some("alone"),
-        told: decides.as_deref() == Some("told"),
+        max_step_out: share("out", 0.5),
+        max_step_back: share("back", 0.1),
+        own_evidence_only: decides.as_deref() == Some("alone"),
+        commands_only: decides.as_deref() == Some("told"),
     };
-    for (name, value) in [("out", settings.out), ("back", settings.back)] {
+    for (name, value) in [("out", settings.max_step_out), ("back", settings.max_step_back)] {
         if value < 0.01 {
             block.problem_of(
                 name,
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use paddleproxy::interface::{Group, Role};
 
-use crate::reader::{Block, Count, Local, Millis, Problems, Share, Source};
+use crate::reader::{Block, Count, LoopbackAddress, Millis, Problems, Share, Source};
 use crate::router::ROLES;
 
 #[derive(Clone, Debug)]
@@ -30,21 +30,21 @@
     pub lease_ms: f64,
     /// Whether work stops once nobody waits for it.
     pub cancel_stops: bool,
-    pub repeats: Vec<Repeats>,
-    pub kinds: Vec<KindOfServer>,
+    pub dedup_rules: Vec<DedupRule>,
+    pub kinds: Vec<ServerKind>,
     pub servers: Vec<ServerRow>,
 }
 
 /// Which servers together drop repeats of a model's tokened work, and for how long.
 #[derive(Clone, Debug)]
-pub struct Repeats {
+pub struct DedupRule {
     pub model: String,
     pub group: Group,
     pub window_ms: f64,
 }
 
 #[derive(Clone, Debug)]
-pub struct KindOfServer {
+pub struct ServerKind {
     pub name: String,
     pub role: Role,
     pub slots: usize,
@@ -78,7 +78,7 @@
     let list = top.need_block("list");
     let list = list.map(|block| {
         let read = (
-            block.need::<Local>("listen").0,
+            block.need::<LoopbackAddress>("listen").0,
             block.need::<Millis>("delay").0,
             block.need::<Millis>("hold").0,
         );
@@ -106,8 +106,8 @@
         block.done();
         read
     });
-    let kinds: Vec<_> = top.blocks("kind").into_iter().map(kind).collect();
-    let repeats = top.blocks("repeats").into_iter().map(repeats).collect();
+    let kinds: Vec<_> = top.blocks("kind").into_iter().map(server_kind).collect();
+    let dedup_rules = top.blocks("repeats").into_iter().map(dedup_rule).collect();
     let mut servers = Vec::new();
     for block in top.blocks("servers") {
         let base: String = block.argument().unwrap_or_default();
@@ -116,7 +116,7 @@
         let cell = block.need_property::<Count>("cell").0 as u32;
         let count = block.property::<Count>("count").map_or(1, |count| count.0);
         block.done();
-        let Some(kind) = kinds.iter().position(|kind: &KindOfServer| kind.name == name) else {
+        let Some(kind) = kinds.iter().position(|kind: &ServerKind| kind.name == name) else {
             block.problem(format!("kind=\"{name}\" is not among the kinds of this fleet"));
             continue;
         };
@@ -154,13 +154,13 @@
         report_noise: top.maybe::<Share>("report-noise").map_or(0.0, |share| share.0),
         lease_ms: top.need::<Millis>("state-lease").0,
         cancel_stops: top.need("cancel-stops-work"),
-        repeats,
+        dedup_rules,
         kinds,
         servers,
     })
 }
 
-fn kind(block: Block) -> KindOfServer {
+fn server_kind(block: Block) -> ServerKind {
     let above = |name: &'static str| {
         let value = block.need::<Count>(name).0;
         if value == 0 {
@@ -168,7 +168,7 @@
         }
         value.max(1)
     };
-    let kind = KindOfServer {
+    let kind = ServerKind {
         name: block.argument().unwrap_or_default(),
         role: block.choice("role", ROLES, None).unwrap_or(Role::Mixed),
         slots: above("slots") as usize,
@@ -182,9 +182,9 @@
     kind
 }
 
-fn repeats(block: Block) -> Repeats {
+fn dedup_rule(block: Block) -> DedupRule {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let repeats = Repeats {
+    let repeats = DedupRule {
         model: block.argument().unwrap_or_default(),
         group: block.choice("group", &groups, None).unwrap_or(Group::All),
         window_ms: block.need::<Millis>("window").0,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 
 use std::path::Path;
 
-pub use reader::{Block, Count, Local, Millis, Problem, Problems, Share, Source, Value};
+pub use reader::{Block, Count, LoopbackAddress, Millis, Problem, Problems, Share, Source, Value};
 
 /// What can go wrong before a document is even looked at.
 #[derive(Debug, thiserror::Error)]
@@ -22,7 +22,7 @@
     #[error("{file}: cannot be read: {cause}")]
     Unreadable { file: String, cause: std::io::Error },
     #[error("{0}")]
-    Wrong(#[from] Problems),
+    Invalid(#[from] Problems),
 }
 
 /// Which of the documents a text is, by the names at its top.
@@ -54,7 +54,7 @@
 }
 
 /// Reads a file of at most 4 MiB.
-pub fn text_of(path: &Path) -> Result<String, Error> {
+pub fn read_text(path: &Path) -> Result<String, Error> {
     let file = path.display().to_string();
     let fail = |cause| Error::Unreadable { file: file.clone(), cause };
     if std::fs::metadata(path).map_err(fail)?.len() > 4 << 20 {
@@ -65,7 +65,7 @@
 
 /// Checks a document of any kind and says which it is.
 pub fn check(path: &Path) -> Result<Kind, Error> {
-    let text = text_of(path)?;
+    let text = read_text(path)?;
     let file = path.display().to_string();
     let kind = Kind::of(&text);
     match kind {
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -4,7 +4,7 @@
 
 use paddleproxy::interface::Settings;
 
-use crate::reader::{Block, Local, Millis, Share};
+use crate::reader::{Block, LoopbackAddress, Millis, Share};
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerSettings {
@@ -31,7 +31,7 @@
 
 pub(crate) fn read(block: &Block, decisions: &Settings) -> PeerSettings {
     let seeds = block.need_block("seeds").map(|seeds| {
-        let read = seeds.arguments::<Local>();
+        let read = seeds.arguments::<LoopbackAddress>();
         seeds.done();
         read
     });
@@ -39,8 +39,8 @@
         deployment: block.need("deployment"),
         name: block.maybe("name").unwrap_or_else(|| format!("router-{}", decisions.own_number)),
         region: block.maybe("region").unwrap_or_else(|| "region".to_owned()),
-        listen: block.need::<Local>("listen").0,
-        advertise: block.maybe::<Local>("advertise").map(|address| address.0),
+        listen: block.need::<LoopbackAddress>("listen").0,
+        advertise: block.maybe::<LoopbackAddress>("advertise").map(|address| address.0),
         seeds: seeds.unwrap_or_default().into_iter().map(|seed| seed.0).collect(),
         probe_ms: block.maybe::<Millis>("probe").map_or(200.0, |time| time.0),
         lease_ms: block.maybe::<Millis>("lease").map_or(1500.0, |time| time.0),
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -140,11 +140,11 @@
 
 /// An address on the loopback range; any other is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Local(pub SocketAddr);
+pub struct LoopbackAddress(pub SocketAddr);
 
-impl Default for Local {
+impl Default for LoopbackAddress {
     fn default() -> Self {
-        Local(SocketAddr::from(([127, 0, 0, 1], 0)))
+        LoopbackAddress(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 }
 
@@ -213,11 +213,11 @@
     }
 }
 
-impl Value for Local {
+impl Value for LoopbackAddress {
     const ALLOWED: &'static str = "an address on the loopback range with its port, like \"127.0.0.1:0\"";
     fn take(value: &KdlValue) -> Option<Self> {
         let address: SocketAddr = value.as_string()?.parse().ok()?;
-        address.ip().is_loopback().then_some(Local(address))
+        address.ip().is_loopback().then_some(LoopbackAddress(address))
     }
 }
 
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -8,7 +8,7 @@
 
 use crate::failover::{self, FailoverSettings};
 use crate::peers::{self, PeerSettings};
-use crate::reader::{Block, Count, Local, Millis, Problems, Share, Source};
+use crate::reader::{Block, Count, LoopbackAddress, Millis, Problems, Share, Source};
 
 /// What one router is told at its start.
 #[derive(Clone, Debug)]
@@ -22,7 +22,7 @@
     pub seed: Option<u64>,
     pub decisions: house::Settings,
     pub names: Names,
-    pub rules: Rules,
+    pub rules: RequestRules,
     pub front: FrontSettings,
     pub engines: EngineSettings,
     pub dialects: Vec<DialectSettings>,
@@ -126,7 +126,7 @@
 
 /// Where in a request its facts stand.
 #[derive(Clone, Debug)]
-pub struct Rules {
+pub struct RequestRules {
     /// Header that names the session, in lower case; else `metadata.user_id`; else the first words spoken.
     pub session_header: String,
     /// Header with the time in ms that the client still waits.
@@ -194,14 +194,14 @@
         }
         row
     });
-    let listen = top.need::<Local>("listen").0;
-    let admin = top.maybe::<Local>("admin").map(|local| local.0);
+    let listen = top.need::<LoopbackAddress>("listen").0;
+    let admin = top.maybe::<LoopbackAddress>("admin").map(|local| local.0);
     let state_dir = PathBuf::from(top.need::<String>("state-dir"));
     let seed = top.maybe::<Count>("seed").map(|count| count.0);
     let list = top.need_block("list");
     let mut subscribe = (false, 0.0);
     let list = list.map(|block| {
-        let service = block.need::<Local>("service").0;
+        let service = block.need::<LoopbackAddress>("service").0;
         let ways = [("automatic", false), ("subscribe", true)];
         subscribe.0 = block.choice("changes", &ways, Some(false)).unwrap_or(false);
         subscribe.1 = block.maybe::<Millis>("must-ask-in").map_or(0.0, |time| time.0);
@@ -292,7 +292,7 @@
         top.problem_of("failover", "'failover' needs 'peers': a plan is what fellows agree on");
     }
     if let Some(failover) = &failover {
-        decisions.zone_distances = failover.map.distance_ranks();
+        decisions.zone_distances = failover.topology.distance_ranks();
     }
     let rules = top.need_block("requests").map(|block| finish(block, requests));
     let front = top.need_block("front").map(|block| finish(block, |block| front(block, answer_slack_ms)));
@@ -515,8 +515,8 @@
 pub(crate) const ROLES: &[(&str, house::Role)] =
     &[("reader", house::Role::Reader), ("writer", house::Role::Writer), ("mixed", house::Role::Mixed)];
 
-fn requests(block: &Block) -> Rules {
-    let rules = Rules {
+fn requests(block: &Block) -> RequestRules {
+    let rules = RequestRules {
         session_header: block.need::<String>("session-header").to_ascii_lowercase(),
         timeout_header: block.need::<String>("timeout-header").to_ascii_lowercase(),
         bytes_per_token: block.need("bytes-per-token"),
--- a/crates/settings/tests/zones.rs
+++ b/crates/settings/tests/zones.rs
@@ -17,10 +17,10 @@
 fn a_good_block_gives_regions_costs_and_the_order_of_overflow() {
     let good = day(GOOD).unwrap();
     let failover = good.router.failover.as_ref().unwrap();
-    assert_eq!(failover.map.regions, [0, 0, 1]);
-    assert_eq!(failover.map.costs, [[0.0, 1.0, 3.0], [1.0, 0.0, 10.0], [3.0, 10.0, 0.0]]);
-    assert_eq!((failover.reserve, failover.out, failover.back), (0.25, 0.5, 0.2));
-    assert!(!failover.alone && !failover.told);
+    assert_eq!(failover.topology.regions, [0, 0, 1]);
+    assert_eq!(failover.topology.costs, [[0.0, 1.0, 3.0], [1.0, 0.0, 10.0], [3.0, 10.0, 0.0]]);
+    assert_eq!((failover.reserve, failover.max_step_out, failover.max_step_back), (0.25, 0.5, 0.2));
+    assert!(!failover.own_evidence_only && !failover.commands_only);
     assert_eq!(good.router.decisions.zone_distances, [[0, 1, 2], [1, 0, 2], [1, 2, 0]]);
     // Without it the decisions know of no distance.
     assert!(day("").unwrap().router.decisions.zone_distances.is_empty());
