--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -395,7 +395,7 @@
     let seed = head.need::<Count>("seed").0;
     let routers = head.need::<Count>("routers").0 as usize;
     let drain_grace_ms = head.need::<Millis>("drain-grace").0;
-    head.done();
+    head.reject_unknown();
     if routers == 0 || routers > 64 {
         head.problem("'routers' must be from 1 to 64");
     }
@@ -403,13 +403,13 @@
     let mut router_nodes = template.as_ref().and_then(|block| block.node()?.children().cloned());
     let mut read_router = template.and_then(|block| {
         let read = router(&block);
-        block.done();
+        block.reject_unknown();
         read
     });
     // Of the day, since one template serves days with and without it.
     if let (Some(block), Some(router)) = (top.block("failover"), &mut read_router) {
         let read = failover::read(&block, &router.names.zones);
-        block.done();
+        block.reject_unknown();
         router.decisions.zone_distances = read.topology.distance_ranks();
         router.failover = Some(read);
         router_nodes.iter_mut().for_each(|nodes| nodes.nodes_mut().extend(block.node().cloned()));
@@ -419,12 +419,12 @@
     }
     let read_fleet = top.need_block("fleet").and_then(|block| {
         let read = fleet(&block);
-        block.done();
+        block.reject_unknown();
         read
     });
     let network = top.block("network").map(|block| {
         let read = (block.need_property::<Millis>("near").0, block.need_property::<Millis>("far").0);
-        block.done();
+        block.reject_unknown();
         read
     });
     let shapes: Vec<_> = top.blocks("shape").into_iter().map(|block| shape(&block, routers)).collect();
@@ -454,17 +454,17 @@
     let numbers = block.need_block("routers").map_or(Vec::new(), |line| {
         let numbers: Vec<usize> =
             line.arguments::<Count>().into_iter().map(|count| count.0 as usize).collect();
-        line.done();
+        line.reject_unknown();
         numbers
     });
     if numbers.is_empty() || numbers.iter().any(|number| *number >= routers) {
         let last = routers.saturating_sub(1);
         block.problem_of("routers", format!("'routers' names some of the day's, from 0 to {last}"));
     }
-    let switch = |(name, switch)| block.maybe::<bool>(name).map(|on| (name, switch, on));
+    let switch = |(name, switch)| block.optional::<bool>(name).map(|on| (name, switch, on));
     let switches = SWITCHES.into_iter().filter_map(switch).collect();
     let name = block.argument().unwrap_or_default();
-    block.done();
+    block.reject_unknown();
     Shape { name, routers: numbers, switches }
 }
 
@@ -579,18 +579,18 @@
         turns: block.need::<Count>("turns").0.max(1) as usize,
         think_ms: block.need::<Millis>("think").0,
         shared_tokens: block.need::<Count>("shared").0 as usize,
-        prefix_count: block.maybe::<Count>("beginnings").map_or(1, |count| count.0.max(1)) as usize,
-        zipf: block.maybe::<f64>("zipf").unwrap_or(0.0).clamp(0.0, 10.0),
+        prefix_count: block.optional::<Count>("beginnings").map_or(1, |count| count.0.max(1)) as usize,
+        zipf: block.optional::<f64>("zipf").unwrap_or(0.0).clamp(0.0, 10.0),
         adds_tokens: block.need::<Count>("adds").0.max(1) as usize,
         answer_tokens: block.need::<Count>("answer").0.max(1) as usize,
         client_timeout_ms: block.need::<Millis>("client-timeout").0,
         retries: block.need::<Count>("retries").0 as usize,
         retry_after_ms: block.need::<Millis>("retry-wait").0,
         stream: block.need("stream"),
-        path: block.maybe("path").unwrap_or_else(|| "/v1/messages".into()),
-        leaves: block.maybe::<Share>("leaves").map_or(0.0, |share| share.0),
+        path: block.optional("path").unwrap_or_else(|| "/v1/messages".into()),
+        leaves: block.optional::<Share>("leaves").map_or(0.0, |share| share.0),
     };
-    block.done();
+    block.reject_unknown();
     load
 }
 
@@ -668,7 +668,7 @@
         }
     };
     let every_ms = block.property::<Millis>("every-about").map(|time| time.0.max(1.0));
-    block.done();
+    block.reject_unknown();
     Some(Trouble { at_ms, for_ms, every_ms, kind })
 }
 
--- a/crates/settings/src/day_failover.rs
+++ b/crates/settings/src/day_failover.rs
@@ -41,6 +41,6 @@
     if expect.to_ms <= expect.from_ms || expect.most < expect.least {
         block.problem("'expect' needs 'from' before 'to' and 'least' up to 'most'");
     }
-    block.done();
+    block.reject_unknown();
     expect
 }
--- a/crates/settings/src/experiment.rs
+++ b/crates/settings/src/experiment.rs
@@ -37,7 +37,7 @@
     Source::read(file, text, |top| {
         let block = top.need_block("experiment")?;
         let read = experiment(&block);
-        block.done();
+        block.reject_unknown();
         Some(read)
     })
 }
@@ -58,7 +58,7 @@
     if values.is_empty() {
         list.problem(format!("'{name}' needs at least one value"));
     }
-    list.done();
+    list.reject_unknown();
     values
 }
 
--- a/crates/settings/src/failover.rs
+++ b/crates/settings/src/failover.rs
@@ -38,7 +38,7 @@
                 None => region.problem(format!("region \"{name}\": \"{zone}\" is no zone of 'zones'")),
             }
         }
-        region.done();
+        region.reject_unknown();
     }
     let missing: Vec<&str> =
         zones.iter().zip(&regions).filter(|(_, region)| region.is_none()).map(|(zone, _)| &**zone).collect();
@@ -65,16 +65,16 @@
             }
             _ => pair.problem("'cost' takes two zones of 'zones' and a number above 0"),
         }
-        pair.done();
+        pair.reject_unknown();
     }
-    let decides = block.maybe::<String>("decides");
+    let decides = block.optional::<String>("decides");
     if decides.as_deref().is_some_and(|way| !["common", "alone", "told"].contains(&way)) {
         block.problem_of(
             "decides",
             "'decides' is one of common, alone, told; the last two are to compare with",
         );
     }
-    let share = |name, otherwise| block.maybe::<Share>(name).map_or(otherwise, |share| share.0);
+    let share = |name, otherwise| block.optional::<Share>(name).map_or(otherwise, |share| share.0);
     let settings = FailoverSettings {
         topology: Topology { regions, costs },
         reserve: share("reserve", 0.25),
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -69,7 +69,7 @@
     Source::read(file, text, |top| {
         let block = top.need_block("fleet")?;
         let fleet = fleet(&block);
-        block.done();
+        block.reject_unknown();
         fleet
     })
 }
@@ -82,19 +82,19 @@
             block.need::<Millis>("delay").0,
             block.need::<Millis>("hold").0,
         );
-        block.done();
+        block.reject_unknown();
         read
     });
     let cold = top.need_block("cold");
     let cold = cold.map(|block| {
         let read = (block.need_property::<Share>("share").0, block.need_property::<Millis>("time").0);
-        block.done();
+        block.reject_unknown();
         read
     });
     let fall = top.need_block("fall");
     let fall = fall.map(|block| {
         let read = (block.need_property::<f64>("multiple"), block.need_property::<Millis>("after").0);
-        block.done();
+        block.reject_unknown();
         read
     });
     let links = top.need_block("links");
@@ -103,7 +103,7 @@
         if read.0 == 0 || read.1 == 0 {
             block.problem("a link must carry at least 1 token a second");
         }
-        block.done();
+        block.reject_unknown();
         read
     });
     let kinds: Vec<_> = top.blocks("kind").into_iter().map(server_kind).collect();
@@ -115,7 +115,7 @@
         let zone: String = block.need_property("zone");
         let cell = block.need_property::<Count>("cell").0 as u32;
         let count = block.property::<Count>("count").map_or(1, |count| count.0);
-        block.done();
+        block.reject_unknown();
         let Some(kind) = kinds.iter().position(|kind: &ServerKind| kind.name == name) else {
             block.problem(format!("kind=\"{name}\" is not among the kinds of this fleet"));
             continue;
@@ -151,7 +151,7 @@
         near_tokens_per_s: near as f64,
         far_tokens_per_s: far as f64,
         report_every_ms: top.need::<Millis>("report-every").0,
-        report_noise: top.maybe::<Share>("report-noise").map_or(0.0, |share| share.0),
+        report_noise: top.optional::<Share>("report-noise").map_or(0.0, |share| share.0),
         lease_ms: top.need::<Millis>("state-lease").0,
         cancel_stops: top.need("cancel-stops-work"),
         dedup_rules,
@@ -176,9 +176,9 @@
         memory_tokens: above("memory") as f64,
         read_tokens_per_s: above("read-rate") as f64,
         token_ms: block.need::<Millis>("token-time").0,
-        connections: block.maybe::<Count>("connections").map(|count| count.0.max(1) as usize),
+        connections: block.optional::<Count>("connections").map(|count| count.0.max(1) as usize),
     };
-    block.done();
+    block.reject_unknown();
     kind
 }
 
@@ -189,6 +189,6 @@
         group: block.choice("group", &groups, None).unwrap_or(Group::All),
         window_ms: block.need::<Millis>("window").0,
     };
-    block.done();
+    block.reject_unknown();
     repeats
 }
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -32,20 +32,20 @@
 pub(crate) fn read(block: &Block, decisions: &Settings) -> PeerSettings {
     let seeds = block.need_block("seeds").map(|seeds| {
         let read = seeds.arguments::<LoopbackAddress>();
-        seeds.done();
+        seeds.reject_unknown();
         read
     });
     let settings = PeerSettings {
         deployment: block.need("deployment"),
-        name: block.maybe("name").unwrap_or_else(|| format!("router-{}", decisions.own_number)),
-        region: block.maybe("region").unwrap_or_else(|| "region".to_owned()),
+        name: block.optional("name").unwrap_or_else(|| format!("router-{}", decisions.own_number)),
+        region: block.optional("region").unwrap_or_else(|| "region".to_owned()),
         listen: block.need::<LoopbackAddress>("listen").0,
-        advertise: block.maybe::<LoopbackAddress>("advertise").map(|address| address.0),
+        advertise: block.optional::<LoopbackAddress>("advertise").map(|address| address.0),
         seeds: seeds.unwrap_or_default().into_iter().map(|seed| seed.0).collect(),
-        probe_ms: block.maybe::<Millis>("probe").map_or(200.0, |time| time.0),
-        lease_ms: block.maybe::<Millis>("lease").map_or(1500.0, |time| time.0),
-        floor: block.maybe::<Share>("floor").map_or(0.5, |share| share.0),
-        remember_ms: block.maybe::<Millis>("remember").map_or(600_000.0, |time| time.0),
+        probe_ms: block.optional::<Millis>("probe").map_or(200.0, |time| time.0),
+        lease_ms: block.optional::<Millis>("lease").map_or(1500.0, |time| time.0),
+        floor: block.optional::<Share>("floor").map_or(0.5, |share| share.0),
+        remember_ms: block.optional::<Millis>("remember").map_or(600_000.0, |time| time.0),
     };
     for (name, text) in [("name", &settings.name), ("region", &settings.region)] {
         if text.len() > 64 {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -77,7 +77,7 @@
         };
         let top = Block::new(&source, None, Some(&document));
         let value = read(&top);
-        top.done();
+        top.reject_unknown();
         match value {
             Some(value) if source.found.borrow().is_empty() => Ok(value),
             _ => Err(source.problems()),
@@ -151,7 +151,7 @@
 /// What can stand as one argument.
 pub trait Value: Sized {
     const ALLOWED: &'static str;
-    fn take(value: &KdlValue) -> Option<Self>;
+    fn parse(value: &KdlValue) -> Option<Self>;
 }
 
 fn number(value: &KdlValue) -> Option<f64> {
@@ -168,7 +168,7 @@
 
 impl Value for Millis {
     const ALLOWED: &'static str = "a time with its unit, like \"250ms\", \"2s\" or \"1m\"";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         let units = [("us", 1e-3), ("ms", 1.0), ("s", 1e3), ("m", 6e4), ("h", 3.6e6)];
         with_unit(value.as_string()?, &units).map(Millis)
     }
@@ -176,7 +176,7 @@
 
 impl Value for Count {
     const ALLOWED: &'static str = "a whole number, plain or like \"64k\" or \"2M\"";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         if let Some(text) = value.as_string() {
             let value = with_unit(text, &[("k", 1e3), ("M", 1e6)])?;
             return (value.fract() == 0.0).then_some(Count(value as u64));
@@ -187,35 +187,35 @@
 
 impl Value for Share {
     const ALLOWED: &'static str = "a share from 0 to 1";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         number(value).filter(|share| *share <= 1.0).map(Share)
     }
 }
 
 impl Value for f64 {
     const ALLOWED: &'static str = "a number that is not negative";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         number(value)
     }
 }
 
 impl Value for bool {
     const ALLOWED: &'static str = "#true or #false";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         value.as_bool()
     }
 }
 
 impl Value for String {
     const ALLOWED: &'static str = "a text";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         value.as_string().filter(|text| !text.is_empty()).map(str::to_owned)
     }
 }
 
 impl Value for LoopbackAddress {
     const ALLOWED: &'static str = "an address on the loopback range with its port, like \"127.0.0.1:0\"";
-    fn take(value: &KdlValue) -> Option<Self> {
+    fn parse(value: &KdlValue) -> Option<Self> {
         let address: SocketAddr = value.as_string()?.parse().ok()?;
         address.ip().is_loopback().then_some(LoopbackAddress(address))
     }
@@ -302,10 +302,10 @@
     }
 
     /// The value of a child that may be left out.
-    pub fn maybe<T: Value>(&self, name: &'static str) -> Option<T> {
+    pub fn optional<T: Value>(&self, name: &'static str) -> Option<T> {
         let block = self.block(name)?;
         let value = block.argument();
-        block.done();
+        block.reject_unknown();
         value
     }
 
@@ -315,7 +315,7 @@
             self.problem(format!("{} lacks '{name}' with {}", self.title(), T::ALLOWED));
             return T::default();
         }
-        self.maybe(name).unwrap_or_default()
+        self.optional(name).unwrap_or_default()
     }
 
     /// The value of a child that must be one of the words given.
@@ -332,7 +332,7 @@
             return otherwise;
         };
         let word: Option<String> = block.argument();
-        block.done();
+        block.reject_unknown();
         let word = word?;
         let found = words.iter().find(|(known, _)| *known == word).map(|(_, value)| *value);
         if found.is_none() {
@@ -360,7 +360,7 @@
         let mut at = self.arguments.borrow_mut();
         let entry = node.entries().iter().filter(|entry| entry.name().is_none()).nth(*at)?;
         *at += 1;
-        let value = T::take(entry.value());
+        let value = T::parse(entry.value());
         if value.is_none() {
             let message = format!("{} is {}; allowed is {}", self.title(), entry.value(), T::ALLOWED);
             self.problem_at(entry.span().offset(), message);
@@ -376,7 +376,7 @@
             .entries()
             .iter()
             .find(|entry| entry.name().is_some_and(|known| known.value() == name))?;
-        let value = T::take(entry.value());
+        let value = T::parse(entry.value());
         if value.is_none() {
             let message = format!("'{name}' is {}; allowed is {}", entry.value(), T::ALLOWED);
             self.problem_at(entry.span().offset(), message);
@@ -406,7 +406,7 @@
     }
 
     /// Every name that was not asked for is a problem, with the nearest known one.
-    pub fn done(&self) {
+    pub fn reject_unknown(&self) {
         let known = self.known.borrow();
         for node in self.children.map(KdlDocument::nodes).unwrap_or_default() {
             let name = node.name().value();
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -186,7 +186,7 @@
 pub(crate) fn router(top: &Block) -> Option<RouterSettings> {
     let zones: Vec<String> =
         top.need_block("zones").map(|block| finish(block, Block::arguments)).unwrap_or_default();
-    let own_zone: Option<String> = top.maybe("zone");
+    let own_zone: Option<String> = top.optional("zone");
     let zone = own_zone.and_then(|name| {
         let row = zones.iter().position(|zone| *zone == name);
         if row.is_none() {
@@ -195,16 +195,16 @@
         row
     });
     let listen = top.need::<LoopbackAddress>("listen").0;
-    let admin = top.maybe::<LoopbackAddress>("admin").map(|local| local.0);
+    let admin = top.optional::<LoopbackAddress>("admin").map(|local| local.0);
     let state_dir = PathBuf::from(top.need::<String>("state-dir"));
-    let seed = top.maybe::<Count>("seed").map(|count| count.0);
+    let seed = top.optional::<Count>("seed").map(|count| count.0);
     let list = top.need_block("list");
     let mut subscribe = (false, 0.0);
     let list = list.map(|block| {
         let service = block.need::<LoopbackAddress>("service").0;
         let ways = [("automatic", false), ("subscribe", true)];
         subscribe.0 = block.choice("changes", &ways, Some(false)).unwrap_or(false);
-        subscribe.1 = block.maybe::<Millis>("must-ask-in").map_or(0.0, |time| time.0);
+        subscribe.1 = block.optional::<Millis>("must-ask-in").map_or(0.0, |time| time.0);
         if subscribe.0 && subscribe.1 <= 0.0 {
             block.problem("'changes' is \"subscribe\", which needs 'must-ask-in' above \"0ms\"");
         }
@@ -213,13 +213,13 @@
             poll_ms: block.need::<Millis>("poll").0,
             retry_ms: block.need::<Millis>("retry").0,
         };
-        block.done();
+        block.reject_unknown();
         settings
     });
     let (workloads, workload_names) = workloads(top);
     let dialects = dialects(top);
     let membership = top.block("membership").map(|block| finish(block, membership));
-    let servers_file = top.maybe::<String>("servers-file").map(PathBuf::from);
+    let servers_file = top.optional::<String>("servers-file").map(PathBuf::from);
     let (customers, customer_names) = customers(top);
     let (kinds, kind_names) = kinds(top);
     let limits = top.need_block("rules")?;
@@ -230,7 +230,7 @@
         workloads,
         kinds,
         customers,
-        over_share_value: top.maybe::<Share>("over-share-value").map_or(1.0, |share| share.0),
+        over_share_value: top.optional::<Share>("over-share-value").map_or(1.0, |share| share.0),
         must_subscribe: subscribe.0,
         must_ask_in_ms: subscribe.1,
         holds_allowed: limits.need("holds"),
@@ -247,11 +247,11 @@
         fall_ms: limits.need::<Millis>("fall-after").0,
         cold_share: limits.need::<Share>("cold-share").0,
         cold_ms: limits.need::<Millis>("cold").0,
-        weights_act: limits.maybe("weights").unwrap_or(true),
+        weights_act: limits.optional("weights").unwrap_or(true),
         slow_start_share: None,
         zone_distances: Vec::new(),
     };
-    let reports = limits.maybe("reports").unwrap_or(true);
+    let reports = limits.optional("reports").unwrap_or(true);
     let roles: Vec<_> = decisions.kinds.iter().map(|kind| kind.role).collect();
     if roles.contains(&house::Role::Reader) && decisions.max_dispatches == 1 {
         limits.problem_of("max-dispatches", "a reader and a writer take two dispatches; allow 2 at least");
@@ -282,7 +282,7 @@
         );
     }
     let answer_slack_ms = limits.need::<Millis>("answer-slack").0;
-    limits.done();
+    limits.reject_unknown();
     let peers = top.block("peers").map(|block| finish(block, |block| peers::read(block, &decisions)));
     if peers.is_some() && zone.is_none() {
         top.problem_of("peers", "'peers' needs 'zone': fellows ask where a router stands");
@@ -315,7 +315,7 @@
         dialects,
         membership: membership.unwrap_or(MEMBERSHIP),
         servers_file,
-        log: top.maybe("log"),
+        log: top.optional("log"),
         workload_rows,
         reports,
         peers,
@@ -334,12 +334,14 @@
 };
 
 fn membership(block: &Block) -> MembershipRules {
-    let time = |name, otherwise| block.maybe::<Millis>(name).map_or(otherwise, |time| time.0);
+    let time = |name, otherwise| block.optional::<Millis>(name).map_or(otherwise, |time| time.0);
     let rules = MembershipRules {
         stale_ms: time("stale-after", MEMBERSHIP.stale_ms),
         hold_ms: time("hold", MEMBERSHIP.hold_ms),
-        most_removed: block.maybe::<Share>("most-removed").map_or(MEMBERSHIP.most_removed, |share| share.0),
-        flaps: block.maybe::<Count>("flaps").map_or(MEMBERSHIP.flaps, |count| count.0 as usize),
+        most_removed: block
+            .optional::<Share>("most-removed")
+            .map_or(MEMBERSHIP.most_removed, |share| share.0),
+        flaps: block.optional::<Count>("flaps").map_or(MEMBERSHIP.flaps, |count| count.0 as usize),
         flap_window_ms: time("flap-window", MEMBERSHIP.flap_window_ms),
         quarantine_ms: time("quarantine", MEMBERSHIP.quarantine_ms),
     };
@@ -353,7 +355,7 @@
 
 fn finish<'a, T>(block: Block<'a>, read: impl FnOnce(&Block<'a>) -> T) -> T {
     let value = read(&block);
-    block.done();
+    block.reject_unknown();
     value
 }
 
@@ -378,7 +380,7 @@
             block.problem("'group' and 'window' belong to workloads whose effect is \"tokened\"");
         }
         let target = block.need::<Millis>("latency-target").0;
-        let per_token = block.maybe::<Millis>("target-per-1000-tokens").map_or(0.0, |time| time.0 / 1e3);
+        let per_token = block.optional::<Millis>("target-per-1000-tokens").map_or(0.0, |time| time.0 / 1e3);
         let client_timeout_ms = block.need::<Millis>("client-timeout").0;
         if client_timeout_ms < target {
             block.problem_of("client-timeout", "'client-timeout' is shorter than 'latency-target'");
@@ -390,8 +392,8 @@
         if tokened && keyed.is_some() {
             block.problem_of("keyed", "a \"tokened\" workload has its 'group' and 'window' already");
         }
-        let remembered = block.maybe("remembered").unwrap_or(false);
-        block.done();
+        let remembered = block.optional("remembered").unwrap_or(false);
+        block.reject_unknown();
         let settings = house::WorkloadSettings {
             effect,
             group,
@@ -448,13 +450,13 @@
                 node.problem("'event' needs the published name and the other one");
             }
             add(&node, event.unwrap_or_default(), other.or(Some(String::new())));
-            node.done();
+            node.reject_unknown();
         }
         for node in block.blocks("omit") {
             add(&node, node.argument().unwrap_or_default(), None);
-            node.done();
+            node.reject_unknown();
         }
-        block.done();
+        block.reject_unknown();
         if !path.starts_with('/') || path.starts_with("/v1/") {
             block.problem_of(
                 "path",
@@ -472,9 +474,9 @@
 fn limits(block: &Block) -> CustomerLimits {
     let rate = |count: Count| count.0 as f64;
     let limits = CustomerLimits {
-        open: block.maybe::<Count>("open").map(|count| count.0 as usize),
-        requests_per_s: block.maybe::<f64>("requests-per-s"),
-        tokens_per_s: block.maybe::<Count>("tokens-per-s").map(rate),
+        open: block.optional::<Count>("open").map(|count| count.0 as usize),
+        requests_per_s: block.optional::<f64>("requests-per-s"),
+        tokens_per_s: block.optional::<Count>("tokens-per-s").map(rate),
         burst_ms: block.need::<Millis>("burst").0,
     };
     for (name, value) in [("requests-per-s", limits.requests_per_s), ("tokens-per-s", limits.tokens_per_s)] {
@@ -491,7 +493,7 @@
         let keys = block.need_block("keys").map(|block| finish(block, Block::arguments)).unwrap_or_default();
         let quota_per_s = block.need("quota-per-s");
         let limits = block.block("limits").map(|block| finish(block, limits)).unwrap_or_default();
-        block.done();
+        block.reject_unknown();
         (house::CustomerSettings { quota_per_s }, CustomerNames { name, keys, limits })
     };
     top.blocks("customer").into_iter().map(customer).unzip()
@@ -502,7 +504,7 @@
         let name = block.argument().unwrap_or_default();
         let role = block.choice("role", ROLES, None).unwrap_or(house::Role::Mixed);
         let memory_tokens = block.need::<Count>("memory").0 as f64;
-        block.done();
+        block.reject_unknown();
         (house::KindSettings { role, memory_tokens }, name)
     };
     let rows: (Vec<_>, Vec<_>) = top.blocks("kind").into_iter().map(kind).unzip();
--- a/crates/settings/src/servers.rs
+++ b/crates/settings/src/servers.rs
@@ -17,7 +17,7 @@
             return None;
         };
         let (count, of) = (end.need_property::<Count>("count").0, end.need_property::<Count>("version").0);
-        end.done();
+        end.reject_unknown();
         if count as usize != servers.len() {
             end.problem(format!("'end' says {count} servers, there are {}", servers.len()));
         }
@@ -46,7 +46,7 @@
         start: block.property::<Count>("start").map_or(0, |start| start.0),
         age_ms: None,
     };
-    block.done();
+    block.reject_unknown();
     server
 }
 
