--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! The KDL documents: a router, a fleet of stand-ins, a scripted day. Each is read whole; every problem in it is
-//! reported with file, line and column, and a document with one is not used.
+//! The KDL documents: a router, a fleet of emulated model servers, a scripted day, an experiment and a list
+//! of servers. Each is read as a whole. Every problem in it is reported with file, line and column, and a
+//! document with any problem is rejected.
 
 pub mod day;
 pub mod day_failover;
@@ -16,7 +17,7 @@
 
 pub use reader::{Block, Count, LoopbackAddress, Millis, Problem, Problems, Share, Source, Value};
 
-/// What can go wrong before a document is even looked at.
+/// Why a document cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     #[error("{file}: cannot be read: {cause}")]
@@ -25,7 +26,7 @@
     Invalid(#[from] Problems),
 }
 
-/// Which of the documents a text is, by the names at its top.
+/// The kind of a document, which follows from the names of its top-level nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Router,
@@ -36,6 +37,7 @@
 }
 
 impl Kind {
+    /// A text that is not valid KDL counts as a router's document; parsing it then reports the problems.
     pub fn of(text: &str) -> Kind {
         let names = kdl::KdlDocument::parse(text).ok();
         let has = |name| names.as_ref().is_some_and(|document| document.get(name).is_some());
@@ -63,7 +65,7 @@
     std::fs::read_to_string(path).map_err(fail)
 }
 
-/// Checks a document of any kind and says which it is.
+/// Checks a document of any kind and returns the kind.
 pub fn check(path: &Path) -> Result<Kind, Error> {
     let text = read_text(path)?;
     let file = path.display().to_string();
--- a/crates/settings/src/peers.rs
+++ b/crates/settings/src/peers.rs
@@ -1,4 +1,4 @@
-//! The block `peers` of a router: how it finds its fellows, and what they share out.
+//! The block `peers` of a router: how it finds and monitors its peers, and how they divide shared limits.
 
 use std::net::SocketAddr;
 
@@ -8,32 +8,38 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeerSettings {
-    /// Words of other deployments are dropped.
+    /// Name of the deployment; packets of other deployments are dropped.
     pub deployment: String,
     pub name: String,
     pub region: String,
-    /// For datagrams and for calls alike.
+    /// Address for datagrams and for calls (TCP) alike.
     pub listen: SocketAddr,
-    /// Where fellows reach it, if that is not where it listens.
+    /// Address at which peers reach the router, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
+    /// Peers that the router contacts first.
     pub seeds: Vec<SocketAddr>,
+    /// Probe interval.
     pub probe_ms: f64,
+    /// How long a share stays valid at its holder without being confirmed again.
     pub lease_ms: f64,
+    /// Fraction of each resource that is split evenly over all configured routers.
     pub floor: f64,
+    /// How long a router that failed or left is remembered.
     pub remember_ms: f64,
 }
 
-/// Probes that must fit into a lease: one round has to fail and the next one to come through.
-const PROBES: f64 = 4.0;
-/// Most seeds that a document may name, and most places that a deployment may have.
-const SEEDS_MAX: usize = 1024;
-const PLACES_MAX: usize = 4096;
+/// Probe intervals that must fit into a lease, so that after one failed probe round the next one can still
+/// succeed.
+const MIN_PROBES_PER_LEASE: f64 = 4.0;
+const MAX_SEEDS: usize = 1024;
+/// Most routers that a deployment may have.
+const MAX_ROUTERS: usize = 4096;
 
 pub(crate) fn read(block: &Block, decisions: &Settings) -> PeerSettings {
     let seeds = block.need_block("seeds").map(|seeds| {
-        let read = seeds.arguments::<LoopbackAddress>();
+        let addresses = seeds.arguments::<LoopbackAddress>();
         seeds.reject_unknown();
-        read
+        addresses
     });
     let settings = PeerSettings {
         deployment: block.need("deployment"),
@@ -54,21 +60,24 @@
     }
     if settings.probe_ms < 10.0 {
         block.problem_of("probe", "'probe' must be at least \"10ms\"");
-    } else if settings.lease_ms < PROBES * settings.probe_ms {
-        let least = PROBES * settings.probe_ms;
-        block.problem_of("lease", format!("'lease' is shorter than {PROBES} times 'probe', {least} ms"));
+    } else if settings.lease_ms < MIN_PROBES_PER_LEASE * settings.probe_ms {
+        let min_lease_ms = MIN_PROBES_PER_LEASE * settings.probe_ms;
+        block.problem_of(
+            "lease",
+            format!("'lease' is shorter than {MIN_PROBES_PER_LEASE} times 'probe', {min_lease_ms} ms"),
+        );
     }
     if settings.remember_ms < settings.lease_ms {
         block.problem_of("remember", "'remember' is shorter than 'lease'");
     }
-    if settings.seeds.len() > SEEDS_MAX || settings.seeds.iter().any(|seed| seed.port() == 0) {
-        block.problem_of("seeds", format!("at most {SEEDS_MAX} seeds, each with its port"));
+    if settings.seeds.len() > MAX_SEEDS || settings.seeds.iter().any(|seed| seed.port() == 0) {
+        block.problem_of("seeds", format!("at most {MAX_SEEDS} seeds, each with its port"));
     }
     if settings.advertise.is_some_and(|address| address.port() == 0) {
         block.problem_of("advertise", "'advertise' needs its port");
     }
-    if decisions.routers > PLACES_MAX {
-        block.problem(format!("'routers' is above {PLACES_MAX}, the most that can know each other"));
+    if decisions.routers > MAX_ROUTERS {
+        block.problem(format!("'routers' is above {MAX_ROUTERS}, the most that can be peers"));
     }
     settings
 }
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads KDL nodes into our types, and keeps every problem found with its place.
+//! Reads KDL nodes into Rust types and collects every problem with its position in the document.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,17 +8,17 @@
 
 use kdl::{KdlDocument, KdlNode, KdlValue};
 
-/// One thing that is wrong in a document: where, what was found and what would be right.
+/// One problem in a document. The message states what was found and what is allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
     pub file: String,
-    /// From 1; the column counts characters.
+    /// Line and column count from 1; the column counts characters.
     pub line: usize,
     pub column: usize,
     pub message: String,
 }
 
-/// All that is wrong with a document; shown as `file:line:column: message`, a line each.
+/// All problems of a document. Displayed one per line, as `file:line:column: message`.
 #[derive(Clone, Debug, thiserror::Error)]
 pub struct Problems {
     pub list: Vec<Problem>,
@@ -26,29 +26,30 @@
 
 impl fmt::Display for Problems {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (row, problem) in self.list.iter().enumerate() {
-            let end = if row + 1 < self.list.len() { "\n" } else { "" };
+        for (index, problem) in self.list.iter().enumerate() {
+            let end = if index + 1 < self.list.len() { "\n" } else { "" };
             write!(f, "{}:{}:{}: {}{end}", problem.file, problem.line, problem.column, problem.message)?;
         }
         Ok(())
     }
 }
 
-/// A document of one or more files and what was found wrong in it so far.
+/// A document of one or more files, and the problems found in it so far.
 pub struct Source {
-    /// Names of the files and where in the text each begins.
+    /// Name of each file, and the byte offset in `text` at which it begins.
     files: Vec<(String, usize)>,
     text: String,
+    /// Byte offset and message of each problem.
     found: Rc<RefCell<Vec<(usize, String)>>>,
 }
 
 impl Source {
-    /// Reads `text` with `read`; the result stands only if nothing was found wrong.
+    /// Reads `text` with `read`. Returns its result only if no problem was found.
     pub fn read<T>(file: &str, text: &str, read: impl FnOnce(&Block) -> Option<T>) -> Result<T, Problems> {
         Source::read_parts(&[(file.to_owned(), text.to_owned())], read)
     }
 
-    /// Reads some files as one document; each problem is reported with its own file.
+    /// Reads several files as one document. Each problem is reported with the file it is in.
     pub fn read_parts<T>(
         parts: &[(String, String)],
         read: impl FnOnce(&Block) -> Option<T>,
@@ -60,8 +61,8 @@
             source.text.push('\n');
         }
         let text = source.text.as_str();
-        if let Some(offset) = too_deep(text) {
-            source.found.borrow_mut().push((offset, format!("nested deeper than {DEPTH_MAX} levels")));
+        if let Some(offset) = find_excess_depth(text) {
+            source.found.borrow_mut().push((offset, format!("nested deeper than {MAX_DEPTH} levels")));
             return Err(source.problems());
         }
         let document = match KdlDocument::parse(text) {
@@ -91,37 +92,39 @@
         }
         found.sort();
         found.dedup();
-        let place = |(offset, message): (usize, String)| {
+        let locate = |(offset, message): (usize, String)| {
             let (file, start) =
                 self.files.iter().rev().find(|(_, start)| *start <= offset).cloned().unwrap_or_default();
-            let before = self.text.get(start..offset.min(self.text.len())).unwrap_or("");
-            let line = before.matches('\n').count() + 1;
-            let column = before.rsplit('\n').next().map_or(0, |tail| tail.chars().count()) + 1;
+            let preceding = self.text.get(start..offset.min(self.text.len())).unwrap_or("");
+            let line = preceding.matches('\n').count() + 1;
+            let column = preceding.rsplit('\n').next().map_or(0, |tail| tail.chars().count()) + 1;
             Problem { file, line, column, message }
         };
-        Problems { list: found.into_iter().map(place).collect() }
+        Problems { list: found.into_iter().map(locate).collect() }
     }
 }
 
-/// Levels of nodes or comments within one another; the parser needs stack for each.
-const DEPTH_MAX: usize = 16;
+/// Levels of nested nodes or comments. The parser recurses for each level, so deeper nesting could exhaust
+/// the stack.
+const MAX_DEPTH: usize = 16;
 
-/// Where a text is nested too deep. Brackets within texts and comments count too: no document of ours has many.
-fn too_deep(text: &str) -> Option<usize> {
+/// Offset at which a text exceeds [`MAX_DEPTH`]. Braces inside strings and comments count too: valid
+/// documents contain only few of them.
+fn find_excess_depth(text: &str) -> Option<usize> {
     let (mut nodes, mut comments) = (0usize, 0usize);
-    let mut before = ' ';
-    for (offset, sign) in text.char_indices() {
-        match (before, sign) {
+    let mut previous = ' ';
+    for (offset, character) in text.char_indices() {
+        match (previous, character) {
             (_, '{') => nodes += 1,
             (_, '}') => nodes = nodes.saturating_sub(1),
             ('/', '*') => comments += 1,
             ('*', '/') => comments = comments.saturating_sub(1),
             _ => {}
         }
-        if nodes > DEPTH_MAX || comments > DEPTH_MAX {
+        if nodes > MAX_DEPTH || comments > MAX_DEPTH {
             return Some(offset);
         }
-        before = sign;
+        previous = character;
     }
     None
 }
@@ -130,15 +133,15 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 pub struct Millis(pub f64);
 
-/// A whole number of things, written plainly or with a multiple: `64000` or `"64k"`.
+/// A whole number, plain or with a decimal multiplier: `64000` or `"64k"`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Count(pub u64);
 
-/// A share from 0 to 1.
+/// A fraction from 0 to 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share(pub f64);
 
-/// An address on the loopback range; any other is refused.
+/// An address in the loopback range. Any other is reported as a problem.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoopbackAddress(pub SocketAddr);
 
@@ -148,18 +151,20 @@
     }
 }
 
-/// What can stand as one argument.
+/// A type that can be read from one argument or property.
 pub trait Value: Sized {
+    /// Description of the allowed values for error messages.
     const ALLOWED: &'static str;
+    /// `None` if the value is not allowed.
     fn parse(value: &KdlValue) -> Option<Self>;
 }
 
-fn number(value: &KdlValue) -> Option<f64> {
+fn non_negative_number(value: &KdlValue) -> Option<f64> {
     let number = value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64))?;
     (number.is_finite() && number >= 0.0).then_some(number)
 }
 
-fn with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
+fn parse_with_unit(text: &str, units: &[(&str, f64)]) -> Option<f64> {
     let split = text.find(|c: char| !(c.is_ascii_digit() || c == '.'))?;
     let (digits, unit) = text.split_at(split);
     let factor = units.iter().find(|(name, _)| *name == unit.trim())?.1;
@@ -170,7 +175,7 @@
     const ALLOWED: &'static str = "a time with its unit, like \"250ms\", \"2s\" or \"1m\"";
     fn parse(value: &KdlValue) -> Option<Self> {
         let units = [("us", 1e-3), ("ms", 1.0), ("s", 1e3), ("m", 6e4), ("h", 3.6e6)];
-        with_unit(value.as_string()?, &units).map(Millis)
+        parse_with_unit(value.as_string()?, &units).map(Millis)
     }
 }
 
@@ -178,7 +183,7 @@
     const ALLOWED: &'static str = "a whole number, plain or like \"64k\" or \"2M\"";
     fn parse(value: &KdlValue) -> Option<Self> {
         if let Some(text) = value.as_string() {
-            let value = with_unit(text, &[("k", 1e3), ("M", 1e6)])?;
+            let value = parse_with_unit(text, &[("k", 1e3), ("M", 1e6)])?;
             return (value.fract() == 0.0).then_some(Count(value as u64));
         }
         value.as_integer().and_then(|whole| u64::try_from(whole).ok()).map(Count)
@@ -188,14 +193,14 @@
 impl Value for Share {
     const ALLOWED: &'static str = "a share from 0 to 1";
     fn parse(value: &KdlValue) -> Option<Self> {
-        number(value).filter(|share| *share <= 1.0).map(Share)
+        non_negative_number(value).filter(|share| *share <= 1.0).map(Share)
     }
 }
 
 impl Value for f64 {
     const ALLOWED: &'static str = "a number that is not negative";
     fn parse(value: &KdlValue) -> Option<Self> {
-        number(value)
+        non_negative_number(value)
     }
 }
 
@@ -221,14 +226,16 @@
     }
 }
 
-/// A node with its children, or the whole document. Names not asked for by `done` are problems.
+/// A node with its children, or the whole document. Reading a child, a property or an argument marks it as
+/// known; [`Block::reject_unknown`] reports the rest as problems.
 pub struct Block<'a> {
     source: &'a Source,
     node: Option<&'a KdlNode>,
     children: Option<&'a KdlDocument>,
-    known: RefCell<BTreeSet<&'static str>>,
-    properties: RefCell<BTreeSet<&'static str>>,
-    arguments: RefCell<usize>,
+    known_children: RefCell<BTreeSet<&'static str>>,
+    known_properties: RefCell<BTreeSet<&'static str>>,
+    /// Number of arguments read so far.
+    arguments_read: RefCell<usize>,
 }
 
 impl<'a> Block<'a> {
@@ -237,13 +244,13 @@
             source,
             node,
             children,
-            known: RefCell::default(),
-            properties: RefCell::default(),
-            arguments: RefCell::default(),
+            known_children: RefCell::default(),
+            known_properties: RefCell::default(),
+            arguments_read: RefCell::default(),
         }
     }
 
-    /// The node as it was written.
+    /// The KDL node; `None` for the whole document.
     pub fn node(&self) -> Option<&'a KdlNode> {
         self.node
     }
@@ -252,13 +259,14 @@
         self.problem_at(self.node.map_or(0, |node| node.span().offset()), message);
     }
 
-    /// A problem with the child of that name, at its place; says nothing where that could not be read anyway.
+    /// Reports a problem at the child of that name. Does nothing if there is no such child, or if a problem
+    /// is already reported within it.
     pub fn problem_of(&self, name: &str, message: impl Into<String>) {
         let Some(node) = self.children.and_then(|children| children.get(name)) else { return };
         let span = node.span();
-        let known =
+        let within =
             |(offset, _): &(usize, String)| (span.offset()..span.offset() + span.len()).contains(offset);
-        if !self.source.found.borrow().iter().any(known) {
+        if !self.source.found.borrow().iter().any(within) {
             self.problem_at(span.offset(), message);
         }
     }
@@ -267,32 +275,32 @@
         self.source.found.borrow_mut().push((offset, message.into()));
     }
 
+    /// The block's name for error messages.
     fn title(&self) -> String {
         self.node.map_or("the document".into(), |node| format!("'{}'", node.name().value()))
     }
 
     fn nodes(&self, name: &'static str) -> Vec<&'a KdlNode> {
-        self.known.borrow_mut().insert(name);
+        self.known_children.borrow_mut().insert(name);
         let all = self.children.map(KdlDocument::nodes).unwrap_or_default();
         all.iter().filter(|node| node.name().value() == name).collect()
     }
 
-    /// Each child of that name.
+    /// All children of that name.
     pub fn blocks(&self, name: &'static str) -> Vec<Block<'a>> {
         let block = |node: &'a KdlNode| Block::new(self.source, Some(node), node.children());
         self.nodes(name).into_iter().map(block).collect()
     }
 
-    /// The one child of that name; a second one is a problem.
+    /// The child of that name, if any. A second one is a problem.
     pub fn block(&self, name: &'static str) -> Option<Block<'a>> {
         let mut blocks = self.blocks(name).into_iter();
         let first = blocks.next();
-        blocks
-            .for_each(|again| again.problem(format!("'{name}' stands here a second time; once is allowed")));
+        blocks.for_each(|extra| extra.problem(format!("'{name}' appears a second time; once is allowed")));
         first
     }
 
-    /// The one child of that name, which must be there.
+    /// The child of that name; reports a problem if there is none.
     pub fn need_block(&self, name: &'static str) -> Option<Block<'a>> {
         let block = self.block(name);
         if block.is_none() {
@@ -301,7 +309,7 @@
         block
     }
 
-    /// The value of a child that may be left out.
+    /// The value of an optional child.
     pub fn optional<T: Value>(&self, name: &'static str) -> Option<T> {
         let block = self.block(name)?;
         let value = block.argument();
@@ -309,7 +317,8 @@
         value
     }
 
-    /// The value of a child that must be there; what stands for it after a problem is never used.
+    /// The value of a required child. After a problem it is the default, which is never used because the
+    /// document is rejected.
     pub fn need<T: Value + Default>(&self, name: &'static str) -> T {
         if self.nodes(name).is_empty() {
             self.problem(format!("{} lacks '{name}' with {}", self.title(), T::ALLOWED));
@@ -318,7 +327,8 @@
         self.optional(name).unwrap_or_default()
     }
 
-    /// The value of a child that must be one of the words given.
+    /// The value of a child that must be one of `words`. A missing child gives `otherwise`; if that is
+    /// `None`, the child is required.
     pub fn choice<T: Copy>(
         &self,
         name: &'static str,
@@ -341,10 +351,11 @@
         found
     }
 
-    /// The next argument of this node, which must be there.
+    /// The next argument of this node. Only the first one is required: reports a problem if the node has
+    /// none.
     pub fn argument<T: Value>(&self) -> Option<T> {
         let value = self.next_argument();
-        if value.is_none() && self.arguments.borrow_mut().eq(&0) {
+        if value.is_none() && self.arguments_read.borrow_mut().eq(&0) {
             self.problem(format!("{} needs {}", self.title(), T::ALLOWED));
         }
         value
@@ -357,9 +368,9 @@
 
     fn next_argument<T: Value>(&self) -> Option<T> {
         let node = self.node?;
-        let mut at = self.arguments.borrow_mut();
-        let entry = node.entries().iter().filter(|entry| entry.name().is_none()).nth(*at)?;
-        *at += 1;
+        let mut index = self.arguments_read.borrow_mut();
+        let entry = node.entries().iter().filter(|entry| entry.name().is_none()).nth(*index)?;
+        *index += 1;
         let value = T::parse(entry.value());
         if value.is_none() {
             let message = format!("{} is {}; allowed is {}", self.title(), entry.value(), T::ALLOWED);
@@ -368,9 +379,9 @@
         value
     }
 
-    /// A property (`name=value`) that may be left out.
+    /// An optional property (`name=value`).
     pub fn property<T: Value>(&self, name: &'static str) -> Option<T> {
-        self.properties.borrow_mut().insert(name);
+        self.known_properties.borrow_mut().insert(name);
         let entry = self
             .node?
             .entries()
@@ -384,53 +395,53 @@
         value
     }
 
-    /// A property that must be there.
+    /// A required property.
     pub fn need_property<T: Value + Default>(&self, name: &'static str) -> T {
-        let there = |node: &KdlNode| node.entry(name).is_some();
-        if !self.node.is_some_and(there) {
-            self.properties.borrow_mut().insert(name);
+        let is_set = |node: &KdlNode| node.entry(name).is_some();
+        if !self.node.is_some_and(is_set) {
+            self.known_properties.borrow_mut().insert(name);
             self.problem(format!("{} lacks {name}={}", self.title(), T::ALLOWED));
             return T::default();
         }
         self.property(name).unwrap_or_default()
     }
 
-    /// Whether a child of that name stands here, asked for or not.
+    /// Whether there is a child of that name. Marks the name as known.
     pub fn has(&self, name: &'static str) -> bool {
         !self.nodes(name).is_empty()
     }
 
-    /// Accepts a child of that name without reading it.
+    /// Marks a child of that name as known without reading it.
     pub fn skip(&self, name: &'static str) {
-        self.known.borrow_mut().insert(name);
+        self.known_children.borrow_mut().insert(name);
     }
 
-    /// Every name that was not asked for is a problem, with the nearest known one.
+    /// Reports every child, property and argument that was not read, with the most similar known name.
     pub fn reject_unknown(&self) {
-        let known = self.known.borrow();
+        let known = self.known_children.borrow();
         for node in self.children.map(KdlDocument::nodes).unwrap_or_default() {
             let name = node.name().value();
             if !known.contains(name) {
-                let hint = nearest(name, &known);
+                let hint = known_name_hint(name, &known);
                 let message = format!("'{name}' is not known in {}{hint}", self.title());
                 self.problem_at(node.span().offset(), message);
             }
         }
         let Some(node) = self.node else { return };
-        let properties = self.properties.borrow();
-        let mut spare = *self.arguments.borrow();
+        let properties = self.known_properties.borrow();
+        let mut expected_arguments = *self.arguments_read.borrow();
         for entry in node.entries() {
             match entry.name() {
                 Some(name) if !properties.contains(name.value()) => {
-                    let hint = nearest(name.value(), &properties);
+                    let hint = known_name_hint(name.value(), &properties);
                     let message = format!("'{}' is not known at {}{hint}", name.value(), self.title());
                     self.problem_at(entry.span().offset(), message);
                 }
-                None if spare == 0 => {
-                    let message = format!("{} has {} too much", self.title(), entry.value());
+                None if expected_arguments == 0 => {
+                    let message = format!("{} has the unexpected argument {}", self.title(), entry.value());
                     self.problem_at(entry.span().offset(), message);
                 }
-                None => spare -= 1,
+                None => expected_arguments -= 1,
                 _ => {}
             }
         }
@@ -445,11 +456,12 @@
     }
 }
 
-fn nearest(name: &str, known: &BTreeSet<&'static str>) -> String {
-    let near = known.iter().map(|word| (strsim::damerau_levenshtein(name, word), *word)).min();
-    match near {
-        Some((far, word)) if far <= word.len().max(4) / 2 => format!("; did you mean '{word}'?"),
-        _ if known.is_empty() => "; nothing may stand here".into(),
+/// Hint for an unknown name: a similar known name, or all known names.
+fn known_name_hint(name: &str, known: &BTreeSet<&'static str>) -> String {
+    let closest = known.iter().map(|word| (strsim::damerau_levenshtein(name, word), *word)).min();
+    match closest {
+        Some((distance, word)) if distance <= word.len().max(4) / 2 => format!("; did you mean '{word}'?"),
+        _ if known.is_empty() => "; no name is allowed here".into(),
         _ => format!("; known are {}", known.iter().copied().collect::<Vec<_>>().join(", ")),
     }
 }
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -1,51 +1,53 @@
-//! The document of one router.
+//! The settings document of one router.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use paddleproxy::interface as house;
+use paddleproxy::interface as scheduler;
 use paddleproxy_messages::EVENTS;
 
 use crate::failover::{self, FailoverSettings};
 use crate::peers::{self, PeerSettings};
 use crate::reader::{Block, Count, LoopbackAddress, Millis, Problems, Share, Source};
 
-/// What one router is told at its start.
+/// The settings of one router.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
     pub listen: SocketAddr,
-    /// Health and metrics; not served where absent.
+    /// Address for health checks and metrics; they are not served if it is absent.
     pub admin: Option<SocketAddr>,
     pub list: ListSettings,
     pub state_dir: PathBuf,
-    /// Start of all chance; drawn anew at each start where absent.
+    /// Seed of all random choices; each start draws a new one if it is absent.
     pub seed: Option<u64>,
-    pub decisions: house::Settings,
+    /// Settings of the scheduler, which decides on dispatches.
+    pub decisions: scheduler::Settings,
     pub names: Names,
     pub rules: RequestRules,
     pub front: FrontSettings,
     pub engines: EngineSettings,
     pub dialects: Vec<DialectSettings>,
     pub membership: MembershipRules,
-    /// The operators' own list of servers; not watched where absent.
+    /// File with the operators' own list of servers; none is watched if it is absent.
     pub servers_file: Option<PathBuf>,
-    /// What is logged, as `level` or `target=level,...`; as the command line says where absent.
+    /// Log filter, as `level` or `target=level,...`; the command line's applies if it is absent.
     pub log: Option<String>,
-    /// Row in the decisions' settings of each workload: its own, until settings change.
+    /// Row of each workload in the scheduler's settings: its position, until a reload changes a workload,
+    /// which gets another row then.
     pub workload_rows: Vec<usize>,
-    /// Whether what servers say of their load is heard.
+    /// Whether the load reports of servers are used.
     pub reports: bool,
-    /// How it finds and watches its fellows; it knows of none where absent.
+    /// How the router finds and monitors its peers; without it, the router has none.
     pub peers: Option<PeerSettings>,
-    /// How sessions move between zones by what fellows agree; they do not where absent.
+    /// How sessions move between zones by the plan that the routers agree on; without it, they do not move.
     pub failover: Option<FailoverSettings>,
 }
 
-/// A switch of `rules`.
+/// Access to one boolean rule of the block `rules`.
 pub(crate) type Switch = fn(&mut RouterSettings) -> &mut bool;
 
-/// What may differ between routers before the same servers. The figures of the rules are one for all, for they are
-/// judged by one measure.
+/// The rules in which routers of one day may differ. All other rules are the same for all routers, because
+/// the checker judges every router by the same values.
 pub(crate) const SWITCHES: [(&str, Switch); 5] = [
     ("probes", |router| &mut router.decisions.probes_allowed),
     ("reports", |router| &mut router.reports),
@@ -54,21 +56,22 @@
     ("holds", |router| &mut router.decisions.holds_allowed),
 ];
 
-/// When a word on the list of servers is believed.
+/// When a version of the server list is applied.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipRules {
-    /// A source that said nothing for so long is stale, in ms.
+    /// A source of the list is stale after this time without an answer, in ms.
     pub stale_ms: f64,
-    /// How long a version that takes away too much waits for another word, in ms.
+    /// How long a version that removes too many servers is held for confirmation, in ms.
     pub hold_ms: f64,
-    /// Share of a role's or a cell's usable servers that one version may take away.
+    /// Share of a role's or a cell's usable servers that one version may remove.
     pub most_removed: f64,
-    /// A server that comes back more often than this within the window is set aside.
+    /// A server that returns more often than this within the window is quarantined.
     pub flaps: usize,
     pub flap_window_ms: f64,
     pub quarantine_ms: f64,
 }
 
+/// Access to the discovery service, which lists the servers.
 #[derive(Clone, Debug)]
 pub struct ListSettings {
     pub service: SocketAddr,
@@ -76,7 +79,7 @@
     pub retry_ms: f64,
 }
 
-/// The names of the rows in `house::Settings`, in their order.
+/// Names for the rows of `scheduler::Settings`, in the same order.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub workloads: Vec<WorkloadNames>,
@@ -88,93 +91,109 @@
 #[derive(Clone, Debug, Default)]
 pub struct WorkloadNames {
     pub name: String,
-    /// Model names by which requests belong to it.
+    /// Requests for these models belong to the workload.
     pub models: Vec<String>,
-    /// How long a client waits, in ms, where the request does not say.
+    /// How long a client waits if its request does not state it, in ms.
     pub client_timeout_ms: f64,
-    /// Row of the decisions' settings for its requests that carry a key; absent where servers drop no repeats of it.
+    /// Row of the scheduler's settings for requests with an idempotency key; absent if the servers do not
+    /// deduplicate them.
     pub keyed: Option<usize>,
-    /// Whether its keys are on the disk before anything is sent.
+    /// Whether an idempotency key is stored on disk before anything is sent.
     pub remembered: bool,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct CustomerNames {
     pub name: String,
+    /// API keys.
     pub keys: Vec<String>,
     pub limits: CustomerLimits,
 }
 
-/// What bounds one customer by itself; absent: nothing but its share when places run short.
+/// Limits of one customer. Where a limit is absent, only the customer's share applies, once capacity runs
+/// short.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CustomerLimits {
+    /// Open completions.
     pub open: Option<usize>,
     pub requests_per_s: Option<f64>,
     pub tokens_per_s: Option<f64>,
-    /// How much of either may come at once, as time of the rate, in ms.
+    /// Burst allowance of either rate: as much as the rate admits in this time, in ms.
     pub burst_ms: f64,
 }
 
-/// The messages API on a path of its own, with other names for its events.
+/// A variant of the messages API: its own path, and other names for the events.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DialectSettings {
     pub name: String,
     pub path: String,
-    /// Each event's other name, or none where it is left out.
+    /// Published name of an event and its name in the dialect; `None`: the event is omitted.
     pub events: Vec<(String, Option<String>)>,
 }
 
-/// Where in a request its facts stand.
+/// How the properties of a request are found.
 #[derive(Clone, Debug)]
 pub struct RequestRules {
-    /// Header that names the session, in lower case; else `metadata.user_id`; else the first words spoken.
+    /// Header that names the session, in lower case. Without it, `metadata.user_id` identifies the session;
+    /// without that, its system prompt and first turn.
     pub session_header: String,
-    /// Header with the time in ms that the client still waits.
+    /// Header with the client's remaining timeout in ms.
     pub timeout_header: String,
     /// Bytes of text that count as one token.
     pub bytes_per_token: f64,
-    /// Shortest system text, in tokens, that counts as a beginning others may share.
+    /// Shortest system prompt, in tokens, that counts as a prefix which sessions may share.
     pub shared_from_tokens: f64,
-    /// Whether a request without a known key is answered.
+    /// Whether requests need a known API key.
     pub keys_required: bool,
 }
 
+/// Limits and timeouts on the client side.
 #[derive(Clone, Debug)]
 pub struct FrontSettings {
     pub open_completions: usize,
     pub connections: usize,
+    /// Size of one request body.
     pub body_bytes: usize,
-    /// Of the prompts of all open completions.
+    /// Total size of the prompts of all open completions.
     pub prompt_bytes: usize,
-    /// Keys of clients' requests that are remembered, bytes of their answers, and for how long where the workload
-    /// does not say.
+    /// Number of idempotency keys that are remembered.
     pub keys: usize,
+    /// Memory for the answers that are remembered with their keys.
     pub answer_memory_bytes: usize,
+    /// How long a key is remembered if its workload has no window.
     pub keys_ms: f64,
+    /// Time in which a request's head has to arrive.
     pub header_ms: f64,
+    /// Time in which a request's body has to arrive.
     pub body_ms: f64,
-    /// Pieces of an answer that may wait for a client who reads slowly.
+    /// Chunks of an answer that are buffered for a client that reads slowly.
     pub pieces_waiting: usize,
-    /// Time after which a client who takes nothing of its answer is cut.
+    /// A client that reads nothing of its answer for this time is disconnected.
     pub slow_client_ms: f64,
-    /// Time that open answers get to end after the word to stop.
+    /// Time that open completions have to finish after a request to stop the router.
     pub stop_ms: f64,
-    /// Time past the client timeout in which a final answer still counts.
+    /// Time after the client timeout in which a final answer still counts as given.
     pub answer_slack_ms: f64,
 }
 
+/// Limits and timeouts of the connections to the model servers.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
+    /// Connect timeout.
     pub connect_ms: f64,
+    /// How long an unused connection stays open.
     pub idle_ms: f64,
+    /// Timeout of a probe.
     pub probe_ms: f64,
-    /// Longest silence within an answer before it counts as broken.
+    /// Longest pause within an answer; a longer one makes it fail.
     pub stall_ms: f64,
-    /// Silence within an answer after which its client gets a ping.
+    /// Pause within an answer after which its client gets a ping.
     pub ping_ms: f64,
+    /// Longest line of an answer.
     pub line_bytes: usize,
+    /// Size of a whole answer.
     pub answer_bytes: usize,
-    /// How often in each pin limit a server is told to let go of a state, for 16 limits.
+    /// Attempts per pin limit to release a state at a server; they continue for 16 pin limits.
     pub release_tries: usize,
 }
 
@@ -182,12 +201,12 @@
     Source::read(file, text, router)
 }
 
-/// Reads the nodes of a router from a block; also used for the `router` node of a day.
+/// Reads the settings of a router from a block: a whole document, or the `router` node of a day.
 pub(crate) fn router(top: &Block) -> Option<RouterSettings> {
     let zones: Vec<String> =
-        top.need_block("zones").map(|block| finish(block, Block::arguments)).unwrap_or_default();
-    let own_zone: Option<String> = top.optional("zone");
-    let zone = own_zone.and_then(|name| {
+        top.need_block("zones").map(|block| read_whole(block, Block::arguments)).unwrap_or_default();
+    let zone_name: Option<String> = top.optional("zone");
+    let zone = zone_name.and_then(|name| {
         let row = zones.iter().position(|zone| *zone == name);
         if row.is_none() {
             top.problem_of("zone", format!("'zone' is \"{name}\", which 'zones' does not name"));
@@ -202,8 +221,8 @@
     let mut subscribe = (false, 0.0);
     let list = list.map(|block| {
         let service = block.need::<LoopbackAddress>("service").0;
-        let ways = [("automatic", false), ("subscribe", true)];
-        subscribe.0 = block.choice("changes", &ways, Some(false)).unwrap_or(false);
+        let modes = [("automatic", false), ("subscribe", true)];
+        subscribe.0 = block.choice("changes", &modes, Some(false)).unwrap_or(false);
         subscribe.1 = block.optional::<Millis>("must-ask-in").map_or(0.0, |time| time.0);
         if subscribe.0 && subscribe.1 <= 0.0 {
             block.problem("'changes' is \"subscribe\", which needs 'must-ask-in' above \"0ms\"");
@@ -218,45 +237,46 @@
     });
     let (workloads, workload_names) = workloads(top);
     let dialects = dialects(top);
-    let membership = top.block("membership").map(|block| finish(block, membership));
+    let membership = top.block("membership").map(|block| read_whole(block, membership));
     let servers_file = top.optional::<String>("servers-file").map(PathBuf::from);
     let (customers, customer_names) = customers(top);
     let (kinds, kind_names) = kinds(top);
-    let limits = top.need_block("rules")?;
-    let mut decisions = house::Settings {
+    let rules_block = top.need_block("rules")?;
+    let mut decisions = scheduler::Settings {
         routers: top.need::<Count>("routers").0 as usize,
         own_number: top.need::<Count>("number").0 as usize,
-        zone: zone.map(house::ZoneId),
+        zone: zone.map(scheduler::ZoneId),
         workloads,
         kinds,
         customers,
         over_share_value: top.optional::<Share>("over-share-value").map_or(1.0, |share| share.0),
         must_subscribe: subscribe.0,
         must_ask_in_ms: subscribe.1,
-        holds_allowed: limits.need("holds"),
-        writers_read: limits.need("writers-read"),
-        probes_allowed: limits.need("probes"),
-        cancel_allowed: limits.need("cancel"),
-        second_copies: limits.need("second-copies"),
-        retry_after: limits.need("retry-after"),
-        max_retry_after_ms: limits.need::<Millis>("max-retry-after").0,
-        max_dispatches: limits.need::<Count>("max-dispatches").0 as usize,
-        resolution_ms: limits.need::<Millis>("resolution").0,
-        pin_limit_ms: limits.need::<Millis>("pin-limit").0,
-        fall_multiple: limits.need("fall-multiple"),
-        fall_ms: limits.need::<Millis>("fall-after").0,
-        cold_share: limits.need::<Share>("cold-share").0,
-        cold_ms: limits.need::<Millis>("cold").0,
-        weights_act: limits.optional("weights").unwrap_or(true),
+        holds_allowed: rules_block.need("holds"),
+        writers_read: rules_block.need("writers-read"),
+        probes_allowed: rules_block.need("probes"),
+        cancel_allowed: rules_block.need("cancel"),
+        second_copies: rules_block.need("second-copies"),
+        retry_after: rules_block.need("retry-after"),
+        max_retry_after_ms: rules_block.need::<Millis>("max-retry-after").0,
+        max_dispatches: rules_block.need::<Count>("max-dispatches").0 as usize,
+        resolution_ms: rules_block.need::<Millis>("resolution").0,
+        pin_limit_ms: rules_block.need::<Millis>("pin-limit").0,
+        fall_multiple: rules_block.need("fall-multiple"),
+        fall_ms: rules_block.need::<Millis>("fall-after").0,
+        cold_share: rules_block.need::<Share>("cold-share").0,
+        cold_ms: rules_block.need::<Millis>("cold").0,
+        weights_act: rules_block.optional("weights").unwrap_or(true),
         slow_start_share: None,
         zone_distances: Vec::new(),
     };
-    let reports = limits.optional("reports").unwrap_or(true);
+    let reports = rules_block.optional("reports").unwrap_or(true);
     let roles: Vec<_> = decisions.kinds.iter().map(|kind| kind.role).collect();
-    if roles.contains(&house::Role::Reader) && decisions.max_dispatches == 1 {
-        limits.problem_of("max-dispatches", "a reader and a writer take two dispatches; allow 2 at least");
+    if roles.contains(&scheduler::Role::Reader) && decisions.max_dispatches == 1 {
+        rules_block
+            .problem_of("max-dispatches", "a reader and a writer take two dispatches; allow 2 at least");
     }
-    for (name, wrong) in [
+    for (name, invalid) in [
         ("max-dispatches", decisions.max_dispatches == 0),
         ("fall-multiple", decisions.fall_multiple <= 0.0),
         ("pin-limit", decisions.pin_limit_ms <= 0.0),
@@ -264,8 +284,8 @@
         ("fall-after", decisions.fall_ms <= 0.0),
         ("cold", decisions.cold_ms <= 0.0),
     ] {
-        if wrong {
-            limits.problem_of(name, format!("'{name}' must be above 0"));
+        if invalid {
+            rules_block.problem_of(name, format!("'{name}' must be above 0"));
         }
     }
     if decisions.routers == 0 {
@@ -281,22 +301,23 @@
             ),
         );
     }
-    let answer_slack_ms = limits.need::<Millis>("answer-slack").0;
-    limits.reject_unknown();
-    let peers = top.block("peers").map(|block| finish(block, |block| peers::read(block, &decisions)));
+    let answer_slack_ms = rules_block.need::<Millis>("answer-slack").0;
+    rules_block.reject_unknown();
+    let peers = top.block("peers").map(|block| read_whole(block, |block| peers::read(block, &decisions)));
     if peers.is_some() && zone.is_none() {
-        top.problem_of("peers", "'peers' needs 'zone': fellows ask where a router stands");
+        top.problem_of("peers", "'peers' needs 'zone': a router tells its peers in which zone it is");
     }
-    let failover = top.block("failover").map(|block| finish(block, |block| failover::read(block, &zones)));
+    let failover =
+        top.block("failover").map(|block| read_whole(block, |block| failover::read(block, &zones)));
     if failover.is_some() && peers.is_none() {
-        top.problem_of("failover", "'failover' needs 'peers': a plan is what fellows agree on");
+        top.problem_of("failover", "'failover' needs 'peers': a plan is agreed on between peers");
     }
     if let Some(failover) = &failover {
         decisions.zone_distances = failover.topology.distance_ranks();
     }
-    let rules = top.need_block("requests").map(|block| finish(block, requests));
-    let front = top.need_block("front").map(|block| finish(block, |block| front(block, answer_slack_ms)));
-    let engines = top.need_block("engines").map(|block| finish(block, engines));
+    let request_rules = top.need_block("requests").map(|block| read_whole(block, requests));
+    let front = top.need_block("front").map(|block| read_whole(block, |block| front(block, answer_slack_ms)));
+    let engines = top.need_block("engines").map(|block| read_whole(block, engines));
     if decisions.probes_allowed && engines.as_ref().is_some_and(|engines| engines.probe_ms <= 0.0) {
         top.problem_of("engines", "'probes' is #true in 'rules', which needs 'probe' above \"0ms\"");
     }
@@ -309,11 +330,11 @@
         seed,
         decisions,
         names: Names { workloads: workload_names, customers: customer_names, zones, kinds: kind_names },
-        rules: rules?,
+        rules: request_rules?,
         front: front?,
         engines: engines?,
         dialects,
-        membership: membership.unwrap_or(MEMBERSHIP),
+        membership: membership.unwrap_or(DEFAULT_MEMBERSHIP),
         servers_file,
         log: top.optional("log"),
         workload_rows,
@@ -323,8 +344,8 @@
     })
 }
 
-/// What holds where a document has no `membership`.
-const MEMBERSHIP: MembershipRules = MembershipRules {
+/// Values for documents without `membership`.
+const DEFAULT_MEMBERSHIP: MembershipRules = MembershipRules {
     stale_ms: 30_000.0,
     hold_ms: 10_000.0,
     most_removed: 0.5,
@@ -336,14 +357,14 @@
 fn membership(block: &Block) -> MembershipRules {
     let time = |name, otherwise| block.optional::<Millis>(name).map_or(otherwise, |time| time.0);
     let rules = MembershipRules {
-        stale_ms: time("stale-after", MEMBERSHIP.stale_ms),
-        hold_ms: time("hold", MEMBERSHIP.hold_ms),
+        stale_ms: time("stale-after", DEFAULT_MEMBERSHIP.stale_ms),
+        hold_ms: time("hold", DEFAULT_MEMBERSHIP.hold_ms),
         most_removed: block
             .optional::<Share>("most-removed")
-            .map_or(MEMBERSHIP.most_removed, |share| share.0),
-        flaps: block.optional::<Count>("flaps").map_or(MEMBERSHIP.flaps, |count| count.0 as usize),
-        flap_window_ms: time("flap-window", MEMBERSHIP.flap_window_ms),
-        quarantine_ms: time("quarantine", MEMBERSHIP.quarantine_ms),
+            .map_or(DEFAULT_MEMBERSHIP.most_removed, |share| share.0),
+        flaps: block.optional::<Count>("flaps").map_or(DEFAULT_MEMBERSHIP.flaps, |count| count.0 as usize),
+        flap_window_ms: time("flap-window", DEFAULT_MEMBERSHIP.flap_window_ms),
+        quarantine_ms: time("quarantine", DEFAULT_MEMBERSHIP.quarantine_ms),
     };
     for (name, value) in [("stale-after", rules.stale_ms), ("hold", rules.hold_ms)] {
         if value <= 0.0 {
@@ -353,30 +374,35 @@
     rules
 }
 
-fn finish<'a, T>(block: Block<'a>, read: impl FnOnce(&Block<'a>) -> T) -> T {
+/// Reads a block and reports what in it is unknown.
+fn read_whole<'a, T>(block: Block<'a>, read: impl FnOnce(&Block<'a>) -> T) -> T {
     let value = read(&block);
     block.reject_unknown();
     value
 }
 
-fn workloads(top: &Block) -> (Vec<house::WorkloadSettings>, Vec<WorkloadNames>) {
+fn workloads(top: &Block) -> (Vec<scheduler::WorkloadSettings>, Vec<WorkloadNames>) {
     let mut rows = Vec::new();
     for block in top.blocks("workload") {
         let name: String = block.argument().unwrap_or_default();
         let effects = [
-            ("idempotent", house::Effect::Idempotent),
-            ("tokened", house::Effect::Tokened),
-            ("non-idempotent", house::Effect::NonIdempotent),
+            ("idempotent", scheduler::Effect::Idempotent),
+            ("tokened", scheduler::Effect::Tokened),
+            ("non-idempotent", scheduler::Effect::NonIdempotent),
         ];
-        let read = block.choice("effect", &effects, None);
-        let effect = read.unwrap_or(house::Effect::NonIdempotent);
-        let tokened = effect == house::Effect::Tokened;
-        let groups = [("all", house::Group::All), ("zone", house::Group::Zone), ("cell", house::Group::Cell)];
-        let otherwise = Some(house::Group::All).filter(|_| !tokened);
-        let group = block.choice("group", &groups, otherwise).unwrap_or(house::Group::All);
+        let given_effect = block.choice("effect", &effects, None);
+        let effect = given_effect.unwrap_or(scheduler::Effect::NonIdempotent);
+        let tokened = effect == scheduler::Effect::Tokened;
+        let groups = [
+            ("all", scheduler::Group::All),
+            ("zone", scheduler::Group::Zone),
+            ("cell", scheduler::Group::Cell),
+        ];
+        let otherwise = Some(scheduler::Group::All).filter(|_| !tokened);
+        let group = block.choice("group", &groups, otherwise).unwrap_or(scheduler::Group::All);
         block.skip("window");
         let window_ms = if tokened { block.need::<Millis>("window").0 } else { 0.0 };
-        if read.is_some() && !tokened && (block.has("window") || block.has("group")) {
+        if given_effect.is_some() && !tokened && (block.has("window") || block.has("group")) {
             block.problem("'group' and 'window' belong to workloads whose effect is \"tokened\"");
         }
         let target = block.need::<Millis>("latency-target").0;
@@ -386,15 +412,16 @@
             block.problem_of("client-timeout", "'client-timeout' is shorter than 'latency-target'");
         }
         let models =
-            block.need_block("models").map(|block| finish(block, Block::arguments)).unwrap_or_default();
+            block.need_block("models").map(|block| read_whole(block, Block::arguments)).unwrap_or_default();
         let value = block.need("value");
-        let keyed = block.block("keyed").map(|keyed| finish(keyed, |keyed| keyed.need::<Millis>("window").0));
+        let keyed =
+            block.block("keyed").map(|keyed| read_whole(keyed, |keyed| keyed.need::<Millis>("window").0));
         if tokened && keyed.is_some() {
             block.problem_of("keyed", "a \"tokened\" workload has its 'group' and 'window' already");
         }
         let remembered = block.optional("remembered").unwrap_or(false);
         block.reject_unknown();
-        let settings = house::WorkloadSettings {
+        let settings = scheduler::WorkloadSettings {
             effect,
             group,
             window_ms,
@@ -410,46 +437,48 @@
     }
     let mut models: Vec<_> = rows.iter().flat_map(|(_, names, _)| &names.models).collect();
     models.sort();
-    if let Some(twice) = models.windows(2).find(|pair| pair[0] == pair[1]) {
-        top.problem(format!("model \"{}\" belongs to two workloads", twice[0]));
+    if let Some(duplicate) = models.windows(2).find(|pair| pair[0] == pair[1]) {
+        top.problem(format!("model \"{}\" belongs to two workloads", duplicate[0]));
     }
-    // What carries a key is a workload of its own to the decisions: the same, but tokened among all servers.
+    // To the scheduler, a workload's requests with an idempotency key are a workload of their own: the same
+    // one, but tokened among all servers.
     let (mut settings, mut names): (Vec<_>, Vec<_>) =
         rows.iter().map(|(settings, names, _)| (settings.clone(), names.clone())).unzip();
     for (row, (base, _, keyed)) in rows.into_iter().enumerate() {
         if let Some(window_ms) = keyed {
             names[row].keyed = Some(settings.len());
-            let (effect, group) = (house::Effect::Tokened, house::Group::All);
-            settings.push(house::WorkloadSettings { effect, group, window_ms, ..base });
+            let (effect, group) = (scheduler::Effect::Tokened, scheduler::Group::All);
+            settings.push(scheduler::WorkloadSettings { effect, group, window_ms, ..base });
         }
     }
     (settings, names)
 }
 
-/// Events that every answer needs.
-const NEEDED: [&str; 3] = ["content_block_delta", "message_stop", "error"];
+/// Events that no dialect may omit: clients need the text, the end and the failure of an answer.
+const REQUIRED_EVENTS: [&str; 3] = ["content_block_delta", "message_stop", "error"];
+
 fn dialects(top: &Block) -> Vec<DialectSettings> {
     let mut rows: Vec<DialectSettings> = Vec::new();
     for block in top.blocks("dialect") {
         let name: String = block.argument().unwrap_or_default();
         let path: String = block.need("path");
         let mut events: Vec<(String, Option<String>)> = Vec::new();
-        let mut add = |node: &Block, event: String, other: Option<String>| {
+        let mut add = |node: &Block, event: String, new_name: Option<String>| {
             if !EVENTS.contains(&event.as_str()) {
                 node.problem(format!("there is no event \"{event}\"; known are {}", EVENTS.join(", ")));
-            } else if other.is_none() && NEEDED.contains(&event.as_str()) {
+            } else if new_name.is_none() && REQUIRED_EVENTS.contains(&event.as_str()) {
                 node.problem(format!("no answer can do without \"{event}\""));
-            } else if other.as_ref().is_some_and(|other| other.contains(|c: char| c.is_control())) {
+            } else if new_name.as_ref().is_some_and(|name| name.contains(|c: char| c.is_control())) {
                 node.problem("the name of an event has no control characters");
             }
-            events.push((event, other));
+            events.push((event, new_name));
         };
         for node in block.blocks("event") {
-            let (event, other) = (node.argument::<String>(), node.argument::<String>());
-            if other.is_none() {
-                node.problem("'event' needs the published name and the other one");
+            let (event, new_name) = (node.argument::<String>(), node.argument::<String>());
+            if new_name.is_none() {
+                node.problem("'event' needs the published name and the name in this dialect");
             }
-            add(&node, event.unwrap_or_default(), other.or(Some(String::new())));
+            add(&node, event.unwrap_or_default(), new_name.or(Some(String::new())));
             node.reject_unknown();
         }
         for node in block.blocks("omit") {
@@ -487,25 +516,26 @@
     limits
 }
 
-fn customers(top: &Block) -> (Vec<house::CustomerSettings>, Vec<CustomerNames>) {
+fn customers(top: &Block) -> (Vec<scheduler::CustomerSettings>, Vec<CustomerNames>) {
     let customer = |block: Block| {
         let name = block.argument().unwrap_or_default();
-        let keys = block.need_block("keys").map(|block| finish(block, Block::arguments)).unwrap_or_default();
+        let keys =
+            block.need_block("keys").map(|block| read_whole(block, Block::arguments)).unwrap_or_default();
         let quota_per_s = block.need("quota-per-s");
-        let limits = block.block("limits").map(|block| finish(block, limits)).unwrap_or_default();
+        let limits = block.block("limits").map(|block| read_whole(block, limits)).unwrap_or_default();
         block.reject_unknown();
-        (house::CustomerSettings { quota_per_s }, CustomerNames { name, keys, limits })
+        (scheduler::CustomerSettings { quota_per_s }, CustomerNames { name, keys, limits })
     };
     top.blocks("customer").into_iter().map(customer).unzip()
 }
 
-fn kinds(top: &Block) -> (Vec<house::KindSettings>, Vec<String>) {
+fn kinds(top: &Block) -> (Vec<scheduler::KindSettings>, Vec<String>) {
     let kind = |block: Block| {
         let name = block.argument().unwrap_or_default();
-        let role = block.choice("role", ROLES, None).unwrap_or(house::Role::Mixed);
+        let role = block.choice("role", ROLES, None).unwrap_or(scheduler::Role::Mixed);
         let memory_tokens = block.need::<Count>("memory").0 as f64;
         block.reject_unknown();
-        (house::KindSettings { role, memory_tokens }, name)
+        (scheduler::KindSettings { role, memory_tokens }, name)
     };
     let rows: (Vec<_>, Vec<_>) = top.blocks("kind").into_iter().map(kind).unzip();
     if rows.0.is_empty() {
@@ -514,8 +544,11 @@
     rows
 }
 
-pub(crate) const ROLES: &[(&str, house::Role)] =
-    &[("reader", house::Role::Reader), ("writer", house::Role::Writer), ("mixed", house::Role::Mixed)];
+pub(crate) const ROLES: &[(&str, scheduler::Role)] = &[
+    ("reader", scheduler::Role::Reader),
+    ("writer", scheduler::Role::Writer),
+    ("mixed", scheduler::Role::Mixed),
+];
 
 fn requests(block: &Block) -> RequestRules {
     let rules = RequestRules {
