--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -1,4 +1,5 @@
-//! The document of a scripted day: routers, a fleet, clients and the troubles that befall them.
+//! The document of a day, a scripted scenario: routers, a fleet of model servers, clients and the troubles
+//! (scripted faults) that they meet.
 
 use std::path::Path;
 
@@ -16,27 +17,30 @@
 pub struct DaySettings {
     pub name: String,
     pub length_ms: f64,
-    /// Time after the last request in which open answers may still end.
+    /// Time after the last request in which open completions may still finish.
     pub rest_ms: f64,
     pub seed: u64,
     pub routers: usize,
-    /// Time in which a router must stop sending to a server after the list told it to, in ms.
+    /// Time within which a router must stop sending to a server after the list reported it as draining, in
+    /// ms.
     pub drain_grace_ms: f64,
     /// The template of every router; its own number, zone and addresses are set when the day starts.
     pub router: RouterSettings,
+    /// The nodes of the template, from which each router's document is made.
     router_nodes: KdlDocument,
-    /// Routers that run in another shape than the template's.
+    /// Routers whose rules differ from the template's.
     pub shapes: Vec<Shape>,
     pub fleet: FleetSettings,
     pub clients: Vec<ClientLoad>,
-    /// Time one way between a router and a server, inside a zone and to another, in ms; for virtual time alone.
+    /// One-way latency between a router and a server, within a zone and between zones, in ms. Used only in
+    /// virtual time.
     pub network_ms: (f64, f64),
     pub troubles: Vec<Trouble>,
-    /// What plans are expected to say.
+    /// Shares of sessions that the failover plans are expected to move.
     pub expected_plans: Vec<ExpectedPlan>,
 }
 
-/// Routers in which some of the template's rules are switched.
+/// Routers that run with some of the template's boolean rules set differently.
 #[derive(Clone, Debug)]
 pub struct Shape {
     pub name: String,
@@ -44,43 +48,46 @@
     switches: Vec<(&'static str, Switch, bool)>,
 }
 
-/// Name of the shape of routers that run as the template says.
+/// Name of the shape of routers that run with the template's own rules.
 pub const TEMPLATE: &str = "template";
 
-/// One stream of requests: sessions of some turns, each turn a request.
+/// One stream of requests: sessions of `turns` turns, each turn a request.
 #[derive(Clone, Debug)]
 pub struct ClientLoad {
     pub model: String,
     pub key: String,
-    /// Sessions begun a second.
+    /// Sessions started per second.
     pub sessions_per_s: f64,
     pub turns: usize,
+    /// Time between an answer and the next turn.
     pub think_ms: f64,
-    /// Tokens of the shared beginning (0: none), and how many different ones there are.
+    /// Tokens of the shared prompt prefix (0: none), and the number of different prefixes.
     pub shared_tokens: usize,
     pub prefix_count: usize,
-    /// Exponent of the Zipf law by which beginnings are chosen; 0 where all are equally likely.
+    /// Exponent of the Zipf distribution by which prefixes are drawn; 0: all are equally likely.
     pub zipf: f64,
+    /// Prompt tokens that each turn adds.
     pub adds_tokens: usize,
     pub answer_tokens: usize,
     pub client_timeout_ms: f64,
     pub retries: usize,
+    /// Delay before a retry.
     pub retry_after_ms: f64,
     pub stream: bool,
-    /// Path of the form in which they speak.
+    /// Path of the API to which the requests are sent.
     pub path: String,
-    /// Share of the requests whose client leaves early.
+    /// Share of the requests whose client disconnects early.
     pub leaves: f64,
 }
 
 impl ClientLoad {
-    /// The beginning that a draw from 0 to below 1 stands for.
+    /// The prefix that a draw from 0 to below 1 selects.
     pub fn prefix_at(&self, draw: f64) -> usize {
         let weight = |number: usize| (number as f64 + 1.0).powf(-self.zipf);
-        let mut left = draw * (0..self.prefix_count).map(weight).sum::<f64>();
+        let mut rest = draw * (0..self.prefix_count).map(weight).sum::<f64>();
         for number in 0..self.prefix_count {
-            left -= weight(number);
-            if left < 0.0 {
+            rest -= weight(number);
+            if rest < 0.0 {
                 return number;
             }
         }
@@ -88,31 +95,38 @@
     }
 }
 
+/// A scripted fault.
 #[derive(Clone, Debug)]
 pub struct Trouble {
     pub at_ms: f64,
-    /// How long it lasts, in ms; 0 where it is over at once.
+    /// Duration in ms; 0: the trouble is over at once.
     pub for_ms: f64,
-    /// Where it comes again by chance: the mean time from one to the next, in ms.
+    /// For a trouble that repeats at random: mean gap between two occurrences, in ms.
     pub every_ms: Option<f64>,
     pub kind: TroubleKind,
 }
 
+/// What a client meets at the address of a dead server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureMode {
+    /// Connections are refused.
     Refuse,
+    /// Connections are accepted and reset.
     Reset,
+    /// Connections are never established.
     Unreachable,
 }
 
-/// What befalls whom. Servers are named as in the fleet.
+/// The fault and its targets. Servers are named as in the fleet.
 #[derive(Clone, Debug)]
 pub enum TroubleKind {
     Dead {
         servers: Vec<String>,
         how: FailureMode,
+        /// Whether the servers return under another name.
         back_as_new: bool,
     },
+    /// Servers stop answering, but keep their connections.
     Silent {
         servers: Vec<String>,
     },
@@ -120,79 +134,95 @@
         servers: Vec<String>,
         factor: f64,
     },
+    /// Servers become slower by `factor` each second.
     Ageing {
         servers: Vec<String>,
         factor: f64,
     },
+    /// Servers answer a share of the requests with an error; only those for `model`, if it is named.
     Erring {
         servers: Vec<String>,
         share: f64,
         model: Option<String>,
     },
+    /// Servers do the work, but a share of the answers is lost.
     AnswerLost {
         servers: Vec<String>,
         share: f64,
     },
+    /// Servers stop for `pause_ms` in every `every_ms`.
     Pausing {
         servers: Vec<String>,
         pause_ms: f64,
         every_ms: f64,
     },
+    /// Servers lose their cached tokens.
     Flush {
         servers: Vec<String>,
     },
+    /// Servers are listed as draining; their processes end after `notice_ms`.
     Drain {
         servers: Vec<String>,
         notice_ms: f64,
     },
+    /// Transfers of states from the readers of a cell become slower.
     Links {
         cell: u32,
         factor: f64,
     },
+    /// All servers of a zone become unreachable.
     ZoneLost {
         zone: String,
+        /// Whether the zone's routers are killed too.
         routers: bool,
     },
+    /// The list service reports changes later than usual.
     ListBehind {
         by_ms: f64,
     },
     ListDown,
-    /// The list service starts anew and leaves out a share of the servers, though they live.
+    /// The list service restarts and omits a share of the servers although they run.
     ListLies {
         share: f64,
     },
+    /// A router is killed without notice.
     RouterKilled {
         router: usize,
     },
+    /// A router is asked to stop, and stops in order.
     RouterStopped {
         router: usize,
     },
+    /// The sessions of an API key are multiplied.
     Burst {
         key: String,
         factor: f64,
     },
-    /// Sessions of a key grow evenly to a multiple over the trouble's time, then fall back.
+    /// The sessions of an API key grow linearly to a multiple over the trouble's duration, then fall back.
     Ramp {
         key: String,
         factor: f64,
     },
+    /// A share of the prompts is longer by `factor`.
     LongPrompts {
         share: f64,
         factor: f64,
     },
+    /// A share of the sessions starts with one and the same prefix.
     HotPrefix {
         share: f64,
         tokens: usize,
     },
+    /// Clients of a share of the requests disconnect early.
     GiveUp {
         share: f64,
     },
-    /// Between or to processes; played on real ones alone.
+    /// A fault of links or router processes; played on real processes only.
     Rig(Fault),
 }
 
 impl TroubleKind {
-    /// One word for tables and records.
+    /// The trouble's name in the document, in tables and in records.
     pub fn name(&self) -> &'static str {
         match self {
             TroubleKind::Dead { .. } => "dead",
@@ -221,7 +251,7 @@
     }
 }
 
-/// Reads a day from the texts of its file and, where it includes one, the file that it shares with others.
+/// Reads a day from name and text of its file and of the file that it includes, if any.
 ///
 /// # Errors
 /// All problems found, each with its file, line and column.
@@ -229,7 +259,8 @@
     Source::read_parts(parts, day)
 }
 
-/// Reads a day's file and what it includes, which is named from the file's own folder.
+/// Reads a day's file and the file that it includes. The path of the latter is relative to the day's
+/// directory.
 ///
 /// # Errors
 /// A file that can't be read, or all problems found.
@@ -245,7 +276,7 @@
     Ok(parse(&parts)?)
 }
 
-/// What a router gets in place of the template's own lines.
+/// The settings of one router that replace the template's.
 #[derive(Clone, Debug)]
 pub struct RouterOverrides<'a> {
     pub number: usize,
@@ -255,19 +286,20 @@
     pub admin: Option<&'a str>,
     pub state_dir: &'a str,
     pub seed: u64,
-    /// Where it listens for fellows, where they reach it, and whom it asks first; none where the day has no fellows.
+    /// Addresses for peers: where the router listens, where they reach it if that differs, and the seeds.
+    /// `None` if the routers of the day have no peers.
     pub peers: Option<(String, Option<String>, Vec<String>)>,
-    /// Places in its settings, if not the day's routers.
+    /// Number of routers in its settings, if not the day's.
     pub router_count: Option<usize>,
 }
 
-/// Time one exchange between routers takes, after which the true state is told, in ms.
+/// Duration of one exchange between routers: the delay after which the true state is reported, in ms.
 const EXCHANGE_MS: f64 = 200.0;
 
 impl DaySettings {
-    /// The same day with another way to decide on failover.
-    pub fn set_failover_mode(&mut self, decides: FailoverMode) {
-        if decides == FailoverMode::NoPeers {
+    /// Changes how the day's routers decide on failover. Expected plans hold only for the configured mode.
+    pub fn set_failover_mode(&mut self, mode: FailoverMode) {
+        if mode == FailoverMode::NoPeers {
             self.router_nodes
                 .nodes_mut()
                 .retain(|node| !["peers", "failover"].contains(&node.name().value()));
@@ -276,7 +308,7 @@
             return;
         }
         let block = self.router_nodes.get_mut("failover").and_then(|block| block.children_mut().as_mut());
-        match (decides, block) {
+        match (mode, block) {
             (FailoverMode::Configured | FailoverMode::NoPeers, _) | (_, None) => return,
             (FailoverMode::NoFailover, _) => {
                 self.router_nodes.nodes_mut().retain(|node| node.name().value() != "failover");
@@ -286,17 +318,17 @@
             (FailoverMode::TrueState, Some(block)) => {
                 set(block, "decides", "told");
                 set(block, "out", 1.0);
-                let told: Vec<Trouble> =
-                    self.troubles.iter().flat_map(|trouble| self.told(trouble)).collect();
-                self.troubles.extend(told);
+                let commands: Vec<Trouble> =
+                    self.troubles.iter().flat_map(|trouble| self.true_state_commands(trouble)).collect();
+                self.troubles.extend(commands);
             }
         }
         self.expected_plans.clear();
     }
 
-    /// Words that tell a trouble's true state.
-    fn told(&self, trouble: &Trouble) -> Vec<Trouble> {
-        let all = |zone: &String| {
+    /// Operator commands that state the effect of a trouble on whole zones, at its start and at its end.
+    fn true_state_commands(&self, trouble: &Trouble) -> Vec<Trouble> {
+        let affects_all = |zone: &String| {
             let mut servers = self.fleet.servers.iter().filter(|row| row.zone == *zone);
             match &trouble.kind {
                 TroubleKind::ZoneLost { zone: lost, .. } => lost == zone,
@@ -306,17 +338,17 @@
                 _ => false,
             }
         };
-        let says = |zone: &String, at_ms: f64, word: &str| {
-            let said =
-                Fault::OperatorCommand { zone: zone.clone(), command: word.to_owned(), for_ms: 600_000.0 };
-            Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, kind: TroubleKind::Rig(said) }
+        let command_at = |zone: &String, at_ms: f64, command: &str| {
+            let fault =
+                Fault::OperatorCommand { zone: zone.clone(), command: command.to_owned(), for_ms: 600_000.0 };
+            Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, kind: TroubleKind::Rig(fault) }
         };
-        let zones = self.router.names.zones.iter().filter(|zone| all(zone));
-        let words = zones.flat_map(|zone| {
+        let zones = self.router.names.zones.iter().filter(|zone| affects_all(zone));
+        let commands = zones.flat_map(|zone| {
             let (from_ms, to_ms) = (trouble.at_ms, trouble.at_ms + trouble.for_ms);
-            [says(zone, from_ms, "drain-zone"), says(zone, to_ms, "return")]
+            [command_at(zone, from_ms, "drain-zone"), command_at(zone, to_ms, "return")]
         });
-        words.collect()
+        commands.collect()
     }
 
     fn shape(&self, router: usize) -> Option<&Shape> {
@@ -328,7 +360,7 @@
         self.shape(router).map_or(TEMPLATE, |shape| &shape.name)
     }
 
-    /// The template as it is for one router in its shape.
+    /// The settings of one router: the template's with the switches of the router's shape.
     pub fn router_of(&self, router: usize) -> RouterSettings {
         let mut settings = self.router.clone();
         for (_, switch, on) in self.shape(router).map_or(&[][..], |shape| &shape.switches) {
@@ -338,30 +370,30 @@
     }
 
     /// The document of one router of this day.
-    pub fn router_document(&self, own: &RouterOverrides) -> String {
+    pub fn router_document(&self, overrides: &RouterOverrides) -> String {
         let mut document = self.router_nodes.clone();
-        set(&mut document, "number", own.number as i128);
-        set(&mut document, "routers", own.router_count.unwrap_or(self.routers) as i128);
-        set(&mut document, "zone", own.zone);
-        set(&mut document, "listen", own.listen);
-        set(&mut document, "state-dir", own.state_dir);
-        set(&mut document, "seed", i128::from(own.seed));
-        if let Some(admin) = own.admin {
+        set(&mut document, "number", overrides.number as i128);
+        set(&mut document, "routers", overrides.router_count.unwrap_or(self.routers) as i128);
+        set(&mut document, "zone", overrides.zone);
+        set(&mut document, "listen", overrides.listen);
+        set(&mut document, "state-dir", overrides.state_dir);
+        set(&mut document, "seed", i128::from(overrides.seed));
+        if let Some(admin) = overrides.admin {
             set(&mut document, "admin", admin);
         }
-        let mut within = |name, line, value: KdlValue| {
+        let mut set_in = |name, line, value: KdlValue| {
             if let Some(block) = document.get_mut(name).and_then(|block| block.children_mut().as_mut()) {
                 set(block, line, value);
             }
         };
-        within("list", "service", own.list.into());
-        for (name, _, on) in self.shape(own.number).map_or(&[][..], |shape| &shape.switches) {
-            within("rules", name, (*on).into());
+        set_in("list", "service", overrides.list.into());
+        for (name, _, on) in self.shape(overrides.number).map_or(&[][..], |shape| &shape.switches) {
+            set_in("rules", name, (*on).into());
         }
-        if let Some((listen, advertise, seeds)) = &own.peers {
-            within("peers", "listen", listen.as_str().into());
+        if let Some((listen, advertise, seeds)) = &overrides.peers {
+            set_in("peers", "listen", listen.as_str().into());
             if let Some(advertise) = advertise {
-                within("peers", "advertise", advertise.as_str().into());
+                set_in("peers", "advertise", advertise.as_str().into());
             }
             if let Some(block) = document.get_mut("peers").and_then(|block| block.children_mut().as_mut()) {
                 block.nodes_mut().retain(|node| node.name().value() != "seeds");
@@ -375,7 +407,7 @@
     }
 }
 
-/// Puts a line into a block in place of what it said there before.
+/// Replaces the children of that name by one with the value.
 fn set(block: &mut KdlDocument, name: &str, value: impl Into<KdlValue>) {
     block.nodes_mut().retain(|node| node.name().value() != name);
     let mut node = KdlNode::new(name);
@@ -383,21 +415,21 @@
     block.nodes_mut().push(node);
 }
 
-/// Time one way on a network that is not described, in ms.
-const NETWORK_MS: f64 = 0.3;
+/// One-way latency of a day without `network`, in ms.
+const DEFAULT_LATENCY_MS: f64 = 0.3;
 
 fn day(top: &Block) -> Option<DaySettings> {
-    let head = top.need_block("day")?;
+    let header = top.need_block("day")?;
     top.skip("include");
-    let name = head.argument().unwrap_or_default();
-    let length_ms = head.need::<Millis>("length").0;
-    let rest_ms = head.need::<Millis>("rest").0;
-    let seed = head.need::<Count>("seed").0;
-    let routers = head.need::<Count>("routers").0 as usize;
-    let drain_grace_ms = head.need::<Millis>("drain-grace").0;
-    head.reject_unknown();
+    let name = header.argument().unwrap_or_default();
+    let length_ms = header.need::<Millis>("length").0;
+    let rest_ms = header.need::<Millis>("rest").0;
+    let seed = header.need::<Count>("seed").0;
+    let routers = header.need::<Count>("routers").0 as usize;
+    let drain_grace_ms = header.need::<Millis>("drain-grace").0;
+    header.reject_unknown();
     if routers == 0 || routers > 64 {
-        head.problem("'routers' must be from 1 to 64");
+        header.problem("'routers' must be from 1 to 64");
     }
     let template = top.need_block("router");
     let mut router_nodes = template.as_ref().and_then(|block| block.node()?.children().cloned());
@@ -406,7 +438,7 @@
         block.reject_unknown();
         read
     });
-    // Of the day, since one template serves days with and without it.
+    // 'failover' belongs to the day, since one template serves days with and without it.
     if let (Some(block), Some(router)) = (top.block("failover"), &mut read_router) {
         let read = failover::read(&block, &router.names.zones);
         block.reject_unknown();
@@ -442,11 +474,11 @@
         shapes,
         fleet: read_fleet?,
         clients,
-        network_ms: network.unwrap_or((NETWORK_MS, NETWORK_MS)),
+        network_ms: network.unwrap_or((DEFAULT_LATENCY_MS, DEFAULT_LATENCY_MS)),
         troubles,
         expected_plans: top.blocks("expect").into_iter().map(day_failover::expect).collect(),
     };
-    agrees(top, &settings);
+    check_references(top, &settings);
     Some(settings)
 }
 
@@ -468,8 +500,8 @@
     Shape { name, routers: numbers, switches }
 }
 
-/// What one part of a day says of another must be there.
-fn agrees(top: &Block, day: &DaySettings) {
+/// Reports references from one part of the day to another that do not resolve.
+fn check_references(top: &Block, day: &DaySettings) {
     for (row, kind) in day.fleet.kinds.iter().enumerate() {
         let known = day.router.names.kinds.iter().position(|name| *name == kind.name);
         match known.map(|at| day.router.decisions.kinds[at].role) {
@@ -520,7 +552,7 @@
                 continue;
             }
             TroubleKind::Rig(fault) => {
-                rig_agrees(top, day, fault);
+                check_fault_references(top, day, fault);
                 continue;
             }
             _ => continue,
@@ -536,8 +568,8 @@
     }
 }
 
-/// A fault between processes needs fellows that know each other, and ends that are there.
-fn rig_agrees(top: &Block, day: &DaySettings, fault: &Fault) {
+/// A fault of links or router processes needs routers with peers, and targets that exist.
+fn check_fault_references(top: &Block, day: &DaySettings, fault: &Fault) {
     let name = fault.name();
     if day.router.peers.is_none() {
         top.problem(format!("trouble '{name}' needs 'peers' in the routers' settings"));
@@ -552,9 +584,9 @@
         top.problem("trouble 'said' needs the day's 'failover'");
     }
     if let Fault::Link { from, to, .. } = fault {
-        for who in from.iter().chain(to) {
+        for end in from.iter().chain(to) {
             let zone = |zone: &String| day.router.names.zones.contains(zone);
-            let there = match who {
+            let exists = match end {
                 rig::EndpointSelector::Router(router) => *router < day.routers,
                 rig::EndpointSelector::Zone(of)
                 | rig::EndpointSelector::RoutersOf(of)
@@ -564,8 +596,8 @@
                 }
                 _ => true,
             };
-            if !there {
-                top.problem(format!("trouble 'link' names {who:?}, which is not there"));
+            if !exists {
+                top.problem(format!("trouble 'link' names {end:?}, which is not there"));
             }
         }
     }
@@ -661,9 +693,9 @@
             tokens: block.need_property::<Count>("tokens").0 as usize,
         },
         "give-up" => TroubleKind::GiveUp { share: share() },
-        other if rig::KINDS.contains(&other) => TroubleKind::Rig(rig::read(&block, other)?),
+        other if rig::FAULT_NAMES.contains(&other) => TroubleKind::Rig(rig::read(&block, other)?),
         other => {
-            block.problem(format!("trouble \"{other}\" is not known; known are {KNOWN}"));
+            block.problem(format!("trouble \"{other}\" is not known; known are {TROUBLE_NAMES}"));
             return None;
         }
     };
@@ -672,7 +704,8 @@
     Some(Trouble { at_ms, for_ms, every_ms, kind })
 }
 
-const KNOWN: &str =
+const TROUBLE_NAMES: &str =
     "dead, silent, slow, ageing, erring, answer-lost, pausing, flush, drain, links, zone-lost, \
-    list-behind, list-down, list-lies, router-killed, router-stopped, burst, ramp, long-prompts, hot-beginning, give-up, \
-    link, routers-killed, routers-paused, routers-starved, routers-restarted, namesake, noise, said";
+    list-behind, list-down, list-lies, router-killed, router-stopped, burst, ramp, long-prompts, \
+    hot-beginning, give-up, link, routers-killed, routers-paused, routers-starved, routers-restarted, \
+    namesake, noise, said";
--- a/crates/settings/src/day_failover.rs
+++ b/crates/settings/src/day_failover.rs
@@ -1,10 +1,11 @@
-//! What a day says of failover between zones: the block that all routers get, and what their plans are expected to say.
+//! Failover between zones in a day: how the routers decide on it, and which plans the day expects.
 
 use serde::{Deserialize, Serialize};
 
 use crate::reader::{Block, Millis, Share};
 
-/// What share of a zone's sessions the plans in force move, at all routers that hear a majority, throughout a time.
+/// The share of a zone's sessions that the plans in force have to move throughout a time, at all routers in
+/// contact with a majority.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ExpectedPlan {
     pub zone: String,
@@ -14,33 +15,34 @@
     pub most: f64,
 }
 
-/// Who decides in a day, beside the design.
+/// How the routers of a day decide on failover. All modes but the first serve for comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailoverMode {
-    /// As the settings say.
+    /// By the day's settings.
     Configured,
-    /// Routers have no `failover` at all: as before there was one.
+    /// Routers run without `failover`.
     NoFailover,
-    /// Nor `peers`: they don't know each other, and no relays stand between them.
+    /// Routers run without `failover` and without `peers`, and with no relays between them.
     NoPeers,
-    /// Each router by its own evidence.
+    /// Each router decides alone, from its own evidence.
     OwnEvidence,
-    /// The true state of every zone, told as operators' words one exchange late.
+    /// Operator commands report the true state of every zone, one exchange late; the routers ignore their
+    /// evidence.
     TrueState,
 }
 
 pub(crate) fn expect(block: Block) -> ExpectedPlan {
     let share = |name, otherwise| block.property::<Share>(name).map_or(otherwise, |share| share.0);
-    let expect = ExpectedPlan {
+    let plan = ExpectedPlan {
         zone: block.need_property("zone"),
         from_ms: block.need_property::<Millis>("from").0,
         to_ms: block.need_property::<Millis>("to").0,
         least: share("least", 0.0),
         most: share("most", 1.0),
     };
-    if expect.to_ms <= expect.from_ms || expect.most < expect.least {
+    if plan.to_ms <= plan.from_ms || plan.most < plan.least {
         block.problem("'expect' needs 'from' before 'to' and 'least' up to 'most'");
     }
     block.reject_unknown();
-    expect
+    plan
 }
--- a/crates/settings/src/experiment.rs
+++ b/crates/settings/src/experiment.rs
@@ -1,4 +1,5 @@
-//! The document of an experiment: one day, played in virtual time for each point of a grid and each seed.
+//! The document of an experiment: one day, played in virtual time for each point of a parameter grid and each
+//! seed.
 
 use std::path::{Path, PathBuf};
 
@@ -9,29 +10,33 @@
 pub struct ExperimentSettings {
     pub name: String,
     pub question: String,
-    /// From the folder of the document.
+    /// Path of the day, relative to the directory of the experiment's document.
     pub day: PathBuf,
+    /// Number of seeds.
     pub seeds: u64,
+    // The axes of the grid; an empty one leaves the day as it is.
     pub policies: Vec<String>,
     pub routers: Vec<usize>,
+    /// Copies of the day's fleet.
     pub fleets: Vec<usize>,
+    /// Factors of the day's session rate.
     pub load: Vec<f64>,
-    /// Retries of every client.
+    /// Retries of each client.
     pub retries: Vec<usize>,
-    /// The longest time that a rate-limit asks clients to stay away, in ms.
+    /// Longest retry delay that a rate limit requests of clients, in ms.
     pub max_retry_after_ms: Vec<f64>,
-    /// How late the list is, in ms.
+    /// Delay after which the list reports a change, in ms.
     pub list_delay_ms: Vec<f64>,
-    /// In which time a cold server is warm, in ms.
+    /// Length of a server's slow start, in ms.
     pub cold_ms: Vec<f64>,
-    /// Share of a role's servers that one version of the list may take away.
+    /// Share of a role's servers that one version of the list may remove.
     pub most_removed: Vec<f64>,
-    /// What a router's store gives back at its next start.
+    /// What a router's store holds when the router restarts.
     pub memory: Vec<String>,
 }
 
-/// Points of a grid at most, seeds apart.
-const POINTS_MAX: usize = 2000;
+/// Most points of a grid, each of which is played with every seed.
+const MAX_POINTS: usize = 2000;
 
 pub fn parse(file: &str, text: &str) -> Result<ExperimentSettings, Problems> {
     Source::read(file, text, |top| {
@@ -42,7 +47,7 @@
     })
 }
 
-/// Reads an experiment's file; its day is named from the file's own folder.
+/// Reads an experiment's file. The path of its day is relative to the file's directory.
 ///
 /// # Errors
 /// A file that can't be read, or all problems found.
@@ -52,7 +57,8 @@
     Ok(ExperimentSettings { day, ..read })
 }
 
-fn list<T, V: crate::Value>(block: &Block, name: &'static str, of: impl Fn(V) -> T) -> Vec<T> {
+/// Reads the values of one axis of the grid.
+fn axis<T, V: crate::Value>(block: &Block, name: &'static str, of: impl Fn(V) -> T) -> Vec<T> {
     let Some(list) = block.block(name) else { return Vec::new() };
     let values: Vec<_> = list.arguments().into_iter().map(of).collect();
     if values.is_empty() {
@@ -70,16 +76,16 @@
         question: block.need("question"),
         day: PathBuf::from(block.need::<String>("day")),
         seeds: block.need::<Count>("seeds").0.max(1),
-        policies: list(block, "policies", |name: String| name),
-        routers: list(block, "routers", count),
-        fleets: list(block, "fleets", count),
-        load: list(block, "load", |load: f64| load),
-        retries: list(block, "retries", count),
-        max_retry_after_ms: list(block, "max-retry-after", time),
-        list_delay_ms: list(block, "list-delay", time),
-        cold_ms: list(block, "cold", time),
-        memory: list(block, "memory", |name: String| name),
-        most_removed: list(block, "most-removed", |share: Share| share.0),
+        policies: axis(block, "policies", |name: String| name),
+        routers: axis(block, "routers", count),
+        fleets: axis(block, "fleets", count),
+        load: axis(block, "load", |load: f64| load),
+        retries: axis(block, "retries", count),
+        max_retry_after_ms: axis(block, "max-retry-after", time),
+        list_delay_ms: axis(block, "list-delay", time),
+        cold_ms: axis(block, "cold", time),
+        memory: axis(block, "memory", |name: String| name),
+        most_removed: axis(block, "most-removed", |share: Share| share.0),
     };
     let sizes = [
         read.policies.len(),
@@ -94,8 +100,8 @@
         read.memory.len(),
     ];
     let points: usize = sizes.iter().map(|size| (*size).max(1)).product();
-    if points > POINTS_MAX {
-        block.problem(format!("the grid has {points} points; at most {POINTS_MAX} are played"));
+    if points > MAX_POINTS {
+        block.problem(format!("the grid has {points} points; at most {MAX_POINTS} are played"));
     }
     read
 }
--- a/crates/settings/src/failover.rs
+++ b/crates/settings/src/failover.rs
@@ -1,4 +1,5 @@
-//! The block `failover` of a router: which zone is in which region, what each pair costs, and how calm the hands are.
+//! The block `failover` of a router: the region of each zone, the cost of each pair of zones, and how many
+//! sessions a plan may move.
 
 use paddleproxy_failover::Topology;
 
@@ -7,31 +8,31 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct FailoverSettings {
     pub topology: Topology,
-    /// Part of a zone's room beyond its own demand that is never given to others.
+    /// Share of a zone's spare capacity that is never given to sessions of other zones.
     pub reserve: f64,
-    /// Most of a zone's sessions that one step moves out, and back.
+    /// Largest shares of a zone's sessions that one plan moves away and brings back.
     pub max_step_out: f64,
     pub max_step_back: f64,
-    /// Each router by its own evidence, without a page: to compare with.
+    /// For comparison in experiments: each router decides alone, from its own evidence.
     pub own_evidence_only: bool,
-    /// By operators' words only, whatever is seen: to compare with.
+    /// For comparison in experiments: evidence is ignored, only operator commands move sessions.
     pub commands_only: bool,
 }
 
-/// Cost of a pair that is not named: inside a region, and across.
-const NEAR: f64 = 1.0;
-const ACROSS: f64 = 10.0;
-/// Zones that a plan can tell apart.
-const ZONES_MAX: usize = 64;
+/// Cost of a pair without `cost`: within a region, and between regions.
+const COST_WITHIN_REGION: f64 = 1.0;
+const COST_BETWEEN_REGIONS: f64 = 10.0;
+/// Most zones that a plan can represent.
+const MAX_ZONES: usize = 64;
 
 pub(crate) fn read(block: &Block, zones: &[String]) -> FailoverSettings {
-    let number = |name: &str| zones.iter().position(|zone| zone == name);
+    let zone_index = |name: &str| zones.iter().position(|zone| zone == name);
     let mut regions: Vec<Option<u8>> = vec![None; zones.len()];
     for (row, region) in block.blocks("region").into_iter().enumerate() {
         let name = region.argument::<String>().unwrap_or_default();
         for zone in region.arguments::<String>() {
-            match number(&zone) {
-                Some(zone_row) if regions[zone_row].is_none() => regions[zone_row] = Some(row as u8),
+            match zone_index(&zone) {
+                Some(index) if regions[index].is_none() => regions[index] = Some(row as u8),
                 Some(_) => {
                     region.problem(format!("zone \"{zone}\" stands in two regions, \"{name}\" is one"))
                 }
@@ -45,33 +46,33 @@
     if !missing.is_empty() {
         block.problem(format!("in no region: {}; name each zone in one 'region'", missing.join(", ")));
     }
-    if zones.len() > ZONES_MAX {
-        block.problem(format!("more than {ZONES_MAX} zones"));
+    if zones.len() > MAX_ZONES {
+        block.problem(format!("more than {MAX_ZONES} zones"));
     }
     let regions: Vec<u8> = regions.into_iter().map(|region| region.unwrap_or(0)).collect();
     let cost = |from: usize, to: usize| match (from == to, regions[from] == regions[to]) {
         (true, _) => 0.0,
-        (_, true) => NEAR,
-        _ => ACROSS,
+        (_, true) => COST_WITHIN_REGION,
+        _ => COST_BETWEEN_REGIONS,
     };
     let mut costs: Vec<Vec<f64>> =
         (0..zones.len()).map(|from| (0..zones.len()).map(|to| cost(from, to)).collect()).collect();
     for pair in block.blocks("cost") {
         let (from, to) = (pair.argument::<String>(), pair.argument::<String>());
-        let price = pair.argument::<f64>().unwrap_or(f64::NAN);
-        match (from.as_deref().and_then(number), to.as_deref().and_then(number)) {
-            (Some(from), Some(to)) if from != to && price.is_finite() && price > 0.0 => {
-                (costs[from][to], costs[to][from]) = (price, price);
+        let value = pair.argument::<f64>().unwrap_or(f64::NAN);
+        match (from.as_deref().and_then(zone_index), to.as_deref().and_then(zone_index)) {
+            (Some(from), Some(to)) if from != to && value.is_finite() && value > 0.0 => {
+                (costs[from][to], costs[to][from]) = (value, value);
             }
             _ => pair.problem("'cost' takes two zones of 'zones' and a number above 0"),
         }
         pair.reject_unknown();
     }
     let decides = block.optional::<String>("decides");
-    if decides.as_deref().is_some_and(|way| !["common", "alone", "told"].contains(&way)) {
+    if decides.as_deref().is_some_and(|mode| !["common", "alone", "told"].contains(&mode)) {
         block.problem_of(
             "decides",
-            "'decides' is one of common, alone, told; the last two are to compare with",
+            "'decides' is one of common, alone, told; the last two are for comparison in experiments",
         );
     }
     let share = |name, otherwise| block.optional::<Share>(name).map_or(otherwise, |share| share.0);
@@ -87,7 +88,7 @@
         if value < 0.01 {
             block.problem_of(
                 name,
-                format!("'{name}' must be 0.01 at least: a step that moves nobody never ends"),
+                format!("'{name}' must be 0.01 at least: steps that move no sessions never finish"),
             );
         }
     }
--- a/crates/settings/src/fleet.rs
+++ b/crates/settings/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The document of a fleet of stand-ins: model servers and the list service.
+//! The document of a fleet of emulated model servers and of the discovery service that lists them.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,31 +11,37 @@
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
     pub seed: u64,
+    /// Address of the list service.
     pub list: SocketAddr,
-    /// How late the list tells of a change, in ms.
+    /// Delay after which the list reports a change, in ms.
     pub list_delay_ms: f64,
-    /// Longest time for which the list service keeps a poll waiting.
+    /// Longest time for which the list service holds a poll until there is a change.
     pub list_hold_ms: f64,
+    /// Capacity of a server just after its start, as a fraction of its full capacity.
     pub cold_share: f64,
+    /// Length of slow start: the time from a server's start to its full capacity.
     pub cold_ms: f64,
+    /// A server in slow start fails once it receives more than this multiple of its present capacity within
+    /// `fall_ms`.
     pub fall_multiple: f64,
     pub fall_ms: f64,
-    /// Tokens a second between two servers of one cell, and of two.
+    /// Transfer rate of states between two servers of one cell, and of different cells.
     pub near_tokens_per_s: f64,
     pub far_tokens_per_s: f64,
+    /// Interval of the servers' load reports.
     pub report_every_ms: f64,
-    /// Each figure of a report is wrong by up to this share.
+    /// Each value of a load report is off by up to this fraction.
     pub report_noise: f64,
-    /// A state that nobody takes is let go after this, in ms.
+    /// A state that no writer fetches is released after this time, in ms.
     pub lease_ms: f64,
-    /// Whether work stops once nobody waits for it.
+    /// Whether a server stops work that nobody waits for any more.
     pub cancel_stops: bool,
     pub dedup_rules: Vec<DedupRule>,
     pub kinds: Vec<ServerKind>,
     pub servers: Vec<ServerRow>,
 }
 
-/// Which servers together drop repeats of a model's tokened work, and for how long.
+/// Which servers deduplicate a model's tokened completions among themselves, and for how long.
 #[derive(Clone, Debug)]
 pub struct DedupRule {
     pub model: String,
@@ -50,10 +56,11 @@
     pub slots: usize,
     pub queue: usize,
     pub memory_tokens: f64,
+    /// Prompt tokens read per second.
     pub read_tokens_per_s: f64,
     /// Time for one token of an answer, in ms.
     pub token_ms: f64,
-    /// Connections that it takes at once; more are closed at once.
+    /// Limit of open connections; further ones are closed immediately.
     pub connections: Option<usize>,
 }
 
@@ -110,14 +117,14 @@
     let dedup_rules = top.blocks("repeats").into_iter().map(dedup_rule).collect();
     let mut servers = Vec::new();
     for block in top.blocks("servers") {
-        let base: String = block.argument().unwrap_or_default();
-        let name: String = block.need_property("kind");
+        let prefix: String = block.argument().unwrap_or_default();
+        let kind_name: String = block.need_property("kind");
         let zone: String = block.need_property("zone");
         let cell = block.need_property::<Count>("cell").0 as u32;
         let count = block.property::<Count>("count").map_or(1, |count| count.0);
         block.reject_unknown();
-        let Some(kind) = kinds.iter().position(|kind: &ServerKind| kind.name == name) else {
-            block.problem(format!("kind=\"{name}\" is not among the kinds of this fleet"));
+        let Some(kind) = kinds.iter().position(|kind: &ServerKind| kind.name == kind_name) else {
+            block.problem(format!("kind=\"{kind_name}\" is not among the kinds of this fleet"));
             continue;
         };
         if count > 4096 {
@@ -125,12 +132,12 @@
             continue;
         }
         for number in 1..=count {
-            servers.push(ServerRow { name: format!("{base}{number}"), kind, zone: zone.clone(), cell });
+            servers.push(ServerRow { name: format!("{prefix}{number}"), kind, zone: zone.clone(), cell });
         }
     }
     let mut names = BTreeSet::new();
-    if let Some(twice) = servers.iter().find(|row| !names.insert(&row.name)) {
-        top.problem(format!("two servers are named \"{}\"", twice.name));
+    if let Some(duplicate) = servers.iter().find(|row| !names.insert(&row.name)) {
+        top.problem(format!("two servers are named \"{}\"", duplicate.name));
     }
     if servers.is_empty() {
         top.problem("there are no 'servers'");
@@ -161,7 +168,7 @@
 }
 
 fn server_kind(block: Block) -> ServerKind {
-    let above = |name: &'static str| {
+    let at_least_one = |name: &'static str| {
         let value = block.need::<Count>(name).0;
         if value == 0 {
             block.problem_of(name, format!("'{name}' must be at least 1"));
@@ -171,10 +178,10 @@
     let kind = ServerKind {
         name: block.argument().unwrap_or_default(),
         role: block.choice("role", ROLES, None).unwrap_or(Role::Mixed),
-        slots: above("slots") as usize,
+        slots: at_least_one("slots") as usize,
         queue: block.need::<Count>("queue").0 as usize,
-        memory_tokens: above("memory") as f64,
-        read_tokens_per_s: above("read-rate") as f64,
+        memory_tokens: at_least_one("memory") as f64,
+        read_tokens_per_s: at_least_one("read-rate") as f64,
         token_ms: block.need::<Millis>("token-time").0,
         connections: block.optional::<Count>("connections").map(|count| count.0.max(1) as usize),
     };
@@ -184,11 +191,11 @@
 
 fn dedup_rule(block: Block) -> DedupRule {
     let groups = [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)];
-    let repeats = DedupRule {
+    let rule = DedupRule {
         model: block.argument().unwrap_or_default(),
         group: block.choice("group", &groups, None).unwrap_or(Group::All),
         window_ms: block.need::<Millis>("window").0,
     };
     block.reject_unknown();
-    repeats
+    rule
 }
--- a/crates/settings/src/rig.rs
+++ b/crates/settings/src/rig.rs
@@ -1,8 +1,8 @@
-//! Faults between processes, as a day's script names them: what links carry, what befalls routers' processes.
+//! Faults of the links between processes and of the routers' processes, as the script of a day names them.
 
 use crate::reader::{Block, Count, Millis, Share};
 
-/// One end of a link, or some of them.
+/// Selects processes at one end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointSelector {
     All,
@@ -11,35 +11,41 @@
     List,
     Clients,
     Router(usize),
-    /// A zone's routers and servers, or only the ones.
+    /// Routers and servers of a zone.
     Zone(String),
+    /// Routers of a zone.
     RoutersOf(String),
+    /// Servers of a zone.
     WorkersOf(String),
     Server(String),
 }
 
-/// What kind of traffic of a link a fault is about.
+/// The kind of traffic that a fault of a link concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Traffic {
     All,
-    /// Routers' datagrams to each other, and their calls.
+    /// Datagrams between routers.
     Datagrams,
+    /// Calls (TCP) between routers.
     Calls,
-    /// Routers to servers, to the list service, and clients to routers.
+    /// Routers to servers.
     Work,
+    /// Routers to the list service.
     List,
+    /// Clients to routers.
     Clients,
 }
 
+/// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// What is sent is swallowed.
+    /// Data is dropped silently; connections stay open.
     Silent,
     /// Connections are reset; datagrams are lost.
     Reset,
 }
 
-/// What a link does to what it carries.
+/// What a link does to its traffic. `loss`, `duplicated` and `corrupted` are probabilities.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
     pub loss: f64,
@@ -52,7 +58,7 @@
 }
 
 impl LinkCondition {
-    /// Both at once.
+    /// The combined effect of two faults of one link.
     pub fn and(self, other: LinkCondition) -> LinkCondition {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         LinkCondition {
@@ -73,12 +79,12 @@
     }
 }
 
-/// With which state directory a router comes back.
+/// The state directory with which a killed router restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartState {
     Own,
     Empty,
-    /// The next router's, by number.
+    /// That of the router with the next number.
     Others,
 }
 
@@ -91,19 +97,20 @@
         carries: Traffic,
         condition: LinkCondition,
     },
-    /// Killed outright; started again at the end.
+    /// Routers are killed without notice and started again at the end.
     Killed { routers: Vec<usize>, state: RestartState },
-    /// Stopped for the time (SIGSTOP) and woken.
+    /// Routers are suspended with SIGSTOP and resumed at the end.
     Paused { routers: Vec<usize> },
-    /// Runs for so long in each so long.
+    /// Routers run only for `runs_ms` in every `of_ms`.
     Starved { routers: Vec<usize>, runs_ms: f64, of_ms: f64 },
-    /// Told to stop and started again, one after the other.
+    /// Routers are stopped in order and started again, one after the other, with `router_count` in their
+    /// settings if it is given.
     Restarted { routers: Vec<usize>, every_ms: f64, router_count: Option<usize> },
-    /// A second process under the place of a router, from another directory.
+    /// A second process with the number of a running router, in another directory.
     DuplicateRouter { router: usize },
-    /// An operator says something of a zone, to any router that is up.
+    /// An operator command for a zone, sent to any router that runs. It holds for `for_ms`.
     OperatorCommand { zone: String, command: String, for_ms: f64 },
-    /// Bytes that mean nothing, to a router's port for its fellows.
+    /// Random bytes, sent to the port on which a router listens for its peers.
     Noise { routers: Vec<usize>, per_s: f64 },
 }
 
@@ -121,7 +128,7 @@
         }
     }
 
-    /// Routers that it names; a link's ends are found where the day is played.
+    /// The routers that the fault names. The ends of a link are resolved when the day is played.
     pub fn routers(&self) -> &[usize] {
         match self {
             Fault::Link { .. } | Fault::OperatorCommand { .. } => &[],
@@ -135,7 +142,7 @@
     }
 }
 
-pub(crate) const KINDS: [&str; 8] = [
+pub(crate) const FAULT_NAMES: [&str; 8] = [
     "link",
     "routers-killed",
     "routers-paused",
@@ -146,21 +153,22 @@
     "said",
 ];
 
-/// Reads a fault; `kind` is one of [`KINDS`].
-pub(crate) fn read(block: &Block, kind: &str) -> Option<Fault> {
+/// Reads a fault; `name` is one of [`FAULT_NAMES`].
+pub(crate) fn read(block: &Block, name: &str) -> Option<Fault> {
     let routers = || {
         let text: String = block.need_property("which");
-        let each = |word: &str| match word.parse::<usize>() {
+        let parse = |word: &str| match word.parse::<usize>() {
             Ok(router) => Some(router),
             Err(_) => {
-                block
-                    .problem(format!("which=\"{text}\"; allowed are numbers of routers with blanks between"));
+                block.problem(format!(
+                    "which=\"{text}\"; allowed are numbers of routers, separated by spaces"
+                ));
                 None
             }
         };
-        text.split_whitespace().filter_map(each).collect::<Vec<_>>()
+        text.split_whitespace().filter_map(parse).collect::<Vec<_>>()
     };
-    Some(match kind {
+    Some(match name {
         "link" => link(block),
         "routers-killed" => {
             let state = match block.property::<String>("state").as_deref() {
@@ -199,7 +207,7 @@
 fn link(block: &Block) -> Fault {
     let ends = |name: &'static str| {
         let text: String = block.need_property(name);
-        text.split_whitespace().filter_map(|word| who(block, name, word)).collect::<Vec<_>>()
+        text.split_whitespace().filter_map(|word| endpoint(block, name, word)).collect::<Vec<_>>()
     };
     let share = |name: &'static str| block.property::<Share>(name).map_or(0.0, |share| share.0);
     let time = |name: &'static str| block.property::<Millis>(name).map_or(0.0, |time| time.0);
@@ -242,9 +250,9 @@
     Fault::Link { from: ends("from"), to: ends("to"), both, carries, condition }
 }
 
-fn who(block: &Block, name: &str, word: &str) -> Option<EndpointSelector> {
-    let named = word.split_once(':');
-    let who = match (word, named) {
+fn endpoint(block: &Block, name: &str, word: &str) -> Option<EndpointSelector> {
+    let prefixed = word.split_once(':');
+    let selector = match (word, prefixed) {
         ("all", _) => Some(EndpointSelector::All),
         ("routers", _) => Some(EndpointSelector::Routers),
         ("workers", _) => Some(EndpointSelector::Workers),
@@ -257,11 +265,11 @@
         (_, Some(("server", server))) => Some(EndpointSelector::Server(server.to_owned())),
         _ => None,
     };
-    if who.is_none() {
+    if selector.is_none() {
         block.problem(format!(
-            "{name}=\"{word}\"; allowed is all, routers, workers, list, clients, router:N, zone:Z, routers:Z, \
-             workers:Z, server:S"
+            "{name}=\"{word}\"; allowed is all, routers, workers, list, clients, router:N, zone:Z, \
+             routers:Z, workers:Z, server:S"
         ));
     }
-    who
+    selector
 }
--- a/crates/settings/src/servers.rs
+++ b/crates/settings/src/servers.rs
@@ -1,4 +1,5 @@
-//! The operators' own list of servers. Its end says what it should hold, so that the first half of one is none.
+//! The operators' own list of servers. Its last node states the version and the number of servers, so that a
+//! truncated list is rejected.
 
 use paddleproxy_engine::{ServerEntry, ServerList};
 
@@ -7,7 +8,7 @@
 /// Parses a list.
 ///
 /// # Errors
-/// All problems found; a list that does not end as it should is one.
+/// All problems found; a missing or inconsistent last node is one.
 pub fn parse(file: &str, text: &str) -> Result<ServerList, Problems> {
     Source::read(file, text, |top| {
         let version = top.need::<Count>("version").0;
@@ -16,15 +17,16 @@
             top.problem("the list has no 'end'; it was not written whole");
             return None;
         };
-        let (count, of) = (end.need_property::<Count>("count").0, end.need_property::<Count>("version").0);
+        let (count, end_version) =
+            (end.need_property::<Count>("count").0, end.need_property::<Count>("version").0);
         end.reject_unknown();
         if count as usize != servers.len() {
             end.problem(format!("'end' says {count} servers, there are {}", servers.len()));
         }
-        if of != version {
-            end.problem(format!("'end' is of version {of}, the list of version {version}"));
+        if end_version != version {
+            end.problem(format!("'end' is of version {end_version}, the list of version {version}"));
         }
-        // A file has no starts to count its versions anew from, and is always whole.
+        // A file needs no epoch, since its versions never restart, and it always holds the whole list.
         Some(ServerList { epoch: 0, version, after: None, servers })
     })
 }
--- a/crates/settings/src/servers/tests.rs
+++ b/crates/settings/src/servers/tests.rs
@@ -9,19 +9,20 @@
 "#;
 
 #[test]
-fn no_part_of_a_list_is_a_list() {
+fn truncated_list_is_rejected() {
     let whole = parse("servers.kdl", LIST).unwrap();
     assert_eq!((whole.version, whole.servers.len()), (7, 2));
     assert_eq!((whole.servers[0].weight, whole.servers[1].readiness.as_str()), (0.5, "draining"));
-    // Its last characters are a line end and the last digit of a version that then says something else.
-    for cut in 0..LIST.len() - 2 {
-        assert!(parse("servers.kdl", &LIST[..cut]).is_err(), "cut at {cut}: {}", &LIST[..cut]);
+    // The last two characters are left out: without the line end the list is complete, and without the last digit of
+    // the version, 'end' may state another version.
+    for length in 0..LIST.len() - 2 {
+        assert!(parse("servers.kdl", &LIST[..length]).is_err(), "cut at {length}: {}", &LIST[..length]);
     }
 }
 
 #[test]
-fn what_is_wrong_has_a_line() {
+fn problems_are_reported_with_their_line() {
     let text = LIST.replace("count=2", "count=3").replace("weight=0.5", "weight=-1");
-    let wrong = parse("servers.kdl", &text).unwrap_err().to_string();
-    assert!(wrong.contains("servers.kdl:2:") && wrong.contains("servers.kdl:4:"), "{wrong}");
+    let problems = parse("servers.kdl", &text).unwrap_err().to_string();
+    assert!(problems.contains("servers.kdl:2:") && problems.contains("servers.kdl:4:"), "{problems}");
 }
