--- a/crates/settings/tests/documents.rs
+++ b/crates/settings/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Wrong documents: every problem is found, with its place, what stood there and what is allowed.
+//! Invalid documents: every problem is reported with its position, what was found and what is allowed.
 
 use paddleproxy_settings::day::RouterOverrides;
 use paddleproxy_settings::{fleet, router};
@@ -11,11 +11,11 @@
         assert!(text.contains(from), "{from}");
         text = text.replacen(from, to, 1);
     }
-    router::parse("r.kdl", &text).map(|_| String::new()).unwrap_or_else(|wrong| wrong.to_string())
+    router::parse("r.kdl", &text).map(|_| String::new()).unwrap_or_else(|problems| problems.to_string())
 }
 
 #[test]
-fn the_whole_document_is_good() {
+fn valid_document_has_no_problems() {
     assert_eq!(problems(&[]), "");
 }
 
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn figures_of_the_rules_have_no_default() {
+fn rule_values_have_no_default() {
     let found = problems(&[("    fall-multiple 2.5\n", ""), ("    pin-limit \"500ms\"\n", "")]);
     insta::assert_snapshot!(found);
 }
 
 #[test]
-fn parts_must_agree() {
+fn inconsistent_parts_are_reported() {
     let found = problems(&[
         ("number 0", "number 2"),
         ("zone \"north\"", "zone \"nort\""),
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_no_kdl_says_where() {
+fn invalid_kdl_is_reported_with_its_place() {
     let found = router::parse("r.kdl", "listen \"127.0.0.1:1\nzones {\n").unwrap_err();
     assert!(found.to_string().starts_with("r.kdl:"), "{found}");
     for text in ["", "listen", "\u{0}", "zones \"a\" { b { c } }", &"a { ".repeat(100)] {
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn a_fleet_names_only_kinds_it_has() {
+fn unknown_kind_in_a_fleet_is_reported() {
     let text = include_str!("fleet.kdl");
     assert!(fleet::parse("f.kdl", text).is_ok());
-    let wrong = text.replace("kind=\"writer\"", "kind=\"writr\"").replace("seed 7", "seed -7");
-    let found = fleet::parse("f.kdl", &wrong).unwrap_err().to_string();
+    let invalid = text.replace("kind=\"writer\"", "kind=\"writr\"").replace("seed 7", "seed -7");
+    let found = fleet::parse("f.kdl", &invalid).unwrap_err().to_string();
     insta::assert_snapshot!(found);
 }
 
 #[test]
-fn a_dialect_names_known_events_and_leaves_out_none_that_is_needed() {
+fn unknown_and_required_events_of_a_dialect_are_reported() {
     let found = problems(&[
         ("event \"message_start\"", "event \"message_strt\""),
         ("omit \"ping\"", "omit \"error\""),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn shapes_that_can_not_be_are_refused() {
+fn impossible_values_are_reported() {
     insta::assert_snapshot!(problems(&[
         ("routers 2", "routers 0"),
         ("max-dispatches 5", "max-dispatches 1"),
@@ -88,41 +88,48 @@
         ("    probe \"100ms\"", "    probe \"0ms\""),
         ("probes #true", "probes #true\n    reports \"none\""),
     ]));
-    // Without probes nothing waits for one; reports are heard unless a router is told not to.
+    // Without probes, their timeout may be 0. Load reports are used unless the rules switch them off.
     assert_eq!(
         problems(&[("probes #true", "probes #false"), ("    probe \"100ms\"", "    probe \"0ms\"")]),
         ""
     );
     assert!(router::parse("r.kdl", ROUTER).unwrap().reports);
-    let deaf = ROUTER.replace("probes #true", "probes #false\n    reports #false");
-    assert!(!router::parse("r.kdl", &deaf).unwrap().reports);
+    let without_reports = ROUTER.replace("probes #true", "probes #false\n    reports #false");
+    assert!(!router::parse("r.kdl", &without_reports).unwrap().reports);
 }
 
 #[test]
-fn a_shape_names_routers_that_are_there_and_switches_no_figure() {
+fn shape_of_unknown_routers_or_with_a_numeric_rule_is_reported() {
     let day = |shape: &str| {
-        let own = format!(
+        let text = format!(
             "day \"d\" {{\n    length \"1s\"\n    rest \"1s\"\n    seed 1\n    routers 2\n    \
             drain-grace \"1s\"\n}}\n{shape}\n"
         );
         let common = include_str!("../../../days/common.kdl").to_owned();
-        paddleproxy_settings::day::parse(&[("d.kdl".into(), own), ("common.kdl".into(), common)])
+        paddleproxy_settings::day::parse(&[("d.kdl".into(), text), ("common.kdl".into(), common)])
     };
-    let good = day("shape \"new\" {\n    routers 1\n    probes #false\n}").unwrap();
-    assert_eq!((good.shape_of(0), good.shape_of(1)), ("template", "new"));
-    // In virtual time and in a process of its own a router runs in the same shape.
-    let all = day(
+    let valid = day("shape \"new\" {\n    routers 1\n    probes #false\n}").unwrap();
+    assert_eq!((valid.shape_of(0), valid.shape_of(1)), ("template", "new"));
+    // A router has the same shape in virtual time (`router_of`) and as a process of its own
+    // (`router_document`).
+    let all_off = day(
         "shape \"new\" {\n    routers 1\n    probes #false\n    reports #false\n    weights #false\n    \
         second-copies #false\n    holds #false\n}",
     )
     .unwrap();
-    let shape = |router: &router::RouterSettings| {
-        let s = &router.decisions;
-        [s.probes_allowed, router.reports, s.weights_act, s.second_copies, s.holds_allowed]
+    let switches = |router: &router::RouterSettings| {
+        let decisions = &router.decisions;
+        [
+            decisions.probes_allowed,
+            router.reports,
+            decisions.weights_act,
+            decisions.second_copies,
+            decisions.holds_allowed,
+        ]
     };
     for (number, on) in [(0, true), (1, false)] {
         let (zone, list, listen) = ("north", "127.0.0.1:9", "127.0.0.1:0");
-        let own = RouterOverrides {
+        let overrides = RouterOverrides {
             number,
             zone,
             list,
@@ -133,15 +140,15 @@
             peers: None,
             router_count: None,
         };
-        let read = router::parse("r.kdl", &all.router_document(&own)).unwrap();
-        assert_eq!((shape(&all.router_of(number)), shape(&read)), ([on; 5], [on; 5]));
+        let read = router::parse("r.kdl", &all_off.router_document(&overrides)).unwrap();
+        assert_eq!((switches(&all_off.router_of(number)), switches(&read)), ([on; 5], [on; 5]));
     }
-    let wrong = [
+    let invalid = [
         "shape \"new\" {\n    routers 2\n}",
         "shape \"new\" {\n}",
         "shape \"new\" {\n    routers 1\n    pin-limit \"9s\"\n}",
     ];
-    insta::assert_snapshot!(wrong
-        .map(|shape| day(shape).err().map(|wrong| wrong.to_string()).unwrap_or_default())
+    insta::assert_snapshot!(invalid
+        .map(|shape| day(shape).err().map(|problems| problems.to_string()).unwrap_or_default())
         .join("\n"));
 }
