--- a/crates/settings/src/rig.rs
+++ b/crates/settings/src/rig.rs
@@ -88,11 +88,13 @@
     Others,
 }
 
+/// A fault of links or router processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     Link {
         from: Vec<EndpointSelector>,
         to: Vec<EndpointSelector>,
+        /// Whether the fault applies in both directions.
         both: bool,
         carries: Traffic,
         condition: LinkCondition,
@@ -110,7 +112,7 @@
     DuplicateRouter { router: usize },
     /// An operator command for a zone, sent to any router that runs. It holds for `for_ms`.
     OperatorCommand { zone: String, command: String, for_ms: f64 },
-    /// Random bytes, sent to the port on which a router listens for its peers.
+    /// Datagrams of random bytes, `per_s` a second, sent to the ports on which routers listen for their peers.
     Noise { routers: Vec<usize>, per_s: f64 },
 }
 
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -61,7 +61,7 @@
 pub struct MembershipRules {
     /// A source of the list is stale after this time without an answer, in ms.
     pub stale_ms: f64,
-    /// How long a version that removes too many servers is held for confirmation, in ms.
+    /// How long a version that removes too many servers waits for a confirmation, in ms.
     pub hold_ms: f64,
     /// Share of a role's or a cell's usable servers that one version may remove.
     pub most_removed: f64,
