--- a/crates/settings/src/rig.rs
+++ b/crates/settings/src/rig.rs
@@ -112,7 +112,7 @@
     DuplicateRouter { router: usize },
     /// An operator command for a zone, sent to any router that runs. It holds for `for_ms`.
     OperatorCommand { zone: String, command: String, for_ms: f64 },
-    /// Datagrams of random bytes, `per_s` a second, sent to the ports on which routers listen for their peers.
+    /// Datagrams of random bytes, `per_s` a second, sent to the ports on which routers listen for peers.
     Noise { routers: Vec<usize>, per_s: f64 },
 }
 
