--- a/crates/settings/src/servers/tests.rs
+++ b/crates/settings/src/servers/tests.rs
@@ -13,8 +13,8 @@
     let whole = parse("servers.kdl", LIST).unwrap();
     assert_eq!((whole.version, whole.servers.len()), (7, 2));
     assert_eq!((whole.servers[0].weight, whole.servers[1].readiness.as_str()), (0.5, "draining"));
-    // The last two characters are left out: without the line end the list is complete, and without the last digit of
-    // the version, 'end' may state another version.
+    // The last two characters are left out: without the line end the list is complete, and without the last
+    // digit of the version, 'end' may state another version.
     for length in 0..LIST.len() - 2 {
         assert!(parse("servers.kdl", &LIST[..length]).is_err(), "cut at {length}: {}", &LIST[..length]);
     }
