--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -10,7 +10,7 @@
 use paddleproxy_fleet::record::Record;
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings as settings;
-use paddleproxy_settings::rooms::Decides;
+use paddleproxy_settings::day_failover::FailoverMode;
 use serde_json::json;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::watch;
@@ -42,7 +42,7 @@
 }
 
 pub fn serve(config: &Path, log: paddleproxy_router::LogSetter) -> Result<bool> {
-    let text = settings::text_of(config)?;
+    let text = settings::read_text(config)?;
     let settings = settings::router::parse(&config.display().to_string(), &text)?;
     on_one_thread(async move {
         let stop = stopped()?;
@@ -76,7 +76,7 @@
         if as_json {
             let problems = match &checked {
                 Ok(_) => Vec::new(),
-                Err(settings::Error::Wrong(problems)) => {
+                Err(settings::Error::Invalid(problems)) => {
                     let row = |p: &settings::Problem| json!({ "file": p.file, "line": p.line, "column": p.column, "message": p.message });
                     problems.list.iter().map(row).collect()
                 }
@@ -101,7 +101,7 @@
 }
 
 pub fn fleet(config: &Path) -> Result<bool> {
-    let text = settings::text_of(config)?;
+    let text = settings::read_text(config)?;
     let settings = settings::fleet::parse(&config.display().to_string(), &text)?;
     on_one_thread(async move {
         let mut stop = stopped()?;
@@ -156,7 +156,7 @@
 /// How a day differs from its document.
 pub struct DayVaried {
     pub out: Option<PathBuf>,
-    pub decides: Decides,
+    pub decides: FailoverMode,
     /// System calls of routers that fail: each with the part of its calls.
     pub faults: Vec<(Fault, f64)>,
 }
@@ -188,7 +188,7 @@
 pub fn day(file: &Path, varied: DayVaried, as_json: bool) -> Result<bool> {
     let DayVaried { out, decides, faults } = varied;
     let mut day = settings::day::load(file)?;
-    day.deciding(decides);
+    day.set_failover_mode(decides);
     let dir =
         out.unwrap_or_else(|| std::env::temp_dir().join(format!("paddleproxy-day-{}", std::process::id())));
     std::fs::create_dir_all(&dir).with_context(|| format!("making {}", dir.display()))?;
--- a/crates/settings/src/rig.rs
+++ b/crates/settings/src/rig.rs
@@ -1,64 +1,70 @@
-//! Faults between processes, as a day's script names them: what links carry, what befalls routers' processes.
+//! Faults of the links between processes and of the routers' processes, as the script of a day names them.
 
 use crate::reader::{Block, Count, Millis, Share};
 
-/// One end of a link, or some of them.
+/// Selects processes at one end of a link.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum EndpointSelector {
     All,
     Routers,
     Workers,
     List,
     Clients,
     Router(usize),
-    /// A zone's routers and servers, or only the ones.
+    /// Routers and servers of a zone.
     Zone(String),
+    /// Routers of a zone.
     RoutersOf(String),
+    /// Servers of a zone.
     WorkersOf(String),
     Server(String),
 }
 
-/// What kind of traffic of a link a fault is about.
+/// The kind of traffic that a fault of a link concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Carries {
+pub enum Traffic {
     All,
-    /// Routers' datagrams to each other, and their calls.
+    /// Datagrams between routers.
     Datagrams,
+    /// Calls (TCP) between routers.
     Calls,
-    /// Routers to servers, to the list service, and clients to routers.
+    /// Routers to servers.
     Work,
+    /// Routers to the list service.
     List,
+    /// Clients to routers.
     Clients,
 }
 
+/// How a link is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cut {
-    /// What is sent is swallowed.
+    /// Data is dropped silently; connections stay open.
     Silent,
     /// Connections are reset; datagrams are lost.
     Reset,
 }
 
-/// What a link does to what it carries.
+/// What a link does to its traffic. `loss`, `duplicated` and `corrupted` are probabilities.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkCondition {
     pub loss: f64,
-    pub twice: f64,
-    pub spoilt: f64,
+    pub duplicated: f64,
+    pub corrupted: f64,
     pub delay_ms: f64,
     pub jitter_ms: f64,
     pub bytes_per_s: Option<f64>,
     pub cut: Option<Cut>,
 }
 
-impl Weather {
-    /// Both at once.
-    pub fn and(self, other: Weather) -> Weather {
+impl LinkCondition {
+    /// The combined effect of two faults of one link.
+    pub fn and(self, other: LinkCondition) -> LinkCondition {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-        Weather {
+        LinkCondition {
             loss: either(self.loss, other.loss),
-            twice: either(self.twice, other.twice),
-            spoilt: either(self.spoilt, other.spoilt),
+            duplicated: either(self.duplicated, other.duplicated),
+            corrupted: either(self.corrupted, other.corrupted),
             delay_ms: self.delay_ms + other.delay_ms,
             jitter_ms: self.jitter_ms + other.jitter_ms,
             bytes_per_s: match (self.bytes_per_s, other.bytes_per_s) {
@@ -73,60 +79,41 @@
     }
 }
 
-/// With which state directory a router comes back.
+/// The state directory with which a killed router restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum RestartState {
     Own,
     Empty,
-    /// The next router's, by number.
+    /// That of the router with the next number.
     Others,
 }
 
+/// A fault of links or router processes.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     Link {
-        from: Vec<Who>,
-        to: Vec<Who>,
+        from: Vec<EndpointSelector>,
+        to: Vec<EndpointSelector>,
+        /// Whether the fault applies in both directions.
         both: bool,
-        carries: Carries,
-        weather: Weather,
-    },
-    /// Killed outright; started again at the end.
-    Killed {
-        routers: Vec<usize>,
-        state: State,
-    },
-    /// Stopped for the time (SIGSTOP) and woken.
-    Paused {
-        routers: Vec<usize>,
-    },
-    /// Runs for so long in each so long.
-    Starved {
-        routers: Vec<usize>,
-        runs_ms: f64,
-        of_ms: f64,
-    },
-    /// Told to stop and started again, one after the other.
-    Restarted {
-        routers: Vec<usize>,
-        every_ms: f64,
-        places: Option<usize>,
-    },
-    /// A second process under the place of a router, from another directory.
-    Namesake {
-        router: usize,
-    },
-    /// An operator says something of a zone, to any router that is up.
-    Said {
-        zone: String,
-        word: String,
-        for_ms: f64,
-    },
-    /// Bytes that mean nothing, to a router's port for its fellows.
-    Noise {
-        routers: Vec<usize>,
-        per_s: f64,
+        carries: Traffic,
+        condition: LinkCondition,
     },
+    /// Routers are killed without notice and started again at the end.
+    Killed { routers: Vec<usize>, state: RestartState },
+    /// Routers are suspended with SIGSTOP and resumed at the end.
+    Paused { routers: Vec<usize> },
+    /// Routers run only for `runs_ms` in every `of_ms`.
+    Starved { routers: Vec<usize>, runs_ms: f64, of_ms: f64 },
+    /// Routers are stopped in order and started again, one after the other, with `router_count` in their
+    /// settings if it is given.
+    Restarted { routers: Vec<usize>, every_ms: f64, router_count: Option<usize> },
+    /// A second process with the number of a running router, in another directory.
+    DuplicateRouter { router: usize },
+    /// An operator command for a zone, sent to any router that runs. It holds for `for_ms`.
+    OperatorCommand { zone: String, command: String, for_ms: f64 },
+    /// Datagrams of random bytes, `per_s` a second, sent to the ports on which routers listen for peers.
+    Noise { routers: Vec<usize>, per_s: f64 },
 }
 
 impl Fault {
@@ -137,27 +124,27 @@
             Fault::Paused { .. } => "routers-paused",
             Fault::Starved { .. } => "routers-starved",
             Fault::Restarted { .. } => "routers-restarted",
-            Fault::Namesake { .. } => "namesake",
+            Fault::DuplicateRouter { .. } => "namesake",
             Fault::Noise { .. } => "noise",
-            Fault::Said { .. } => "said",
+            Fault::OperatorCommand { .. } => "said",
         }
     }
 
-    /// Routers that it names; a link's ends are found where the day is played.
+    /// The routers that the fault names. The ends of a link are resolved when the day is played.
     pub fn routers(&self) -> &[usize] {
         match self {
-            Fault::Link { .. } | Fault::Said { .. } => &[],
+            Fault::Link { .. } | Fault::OperatorCommand { .. } => &[],
             Fault::Killed { routers, .. }
             | Fault::Paused { routers }
             | Fault::Starved { routers, .. }
             | Fault::Restarted { routers, .. }
             | Fault::Noise { routers, .. } => routers,
-            Fault::Namesake { router } => std::slice::from_ref(router),
+            Fault::DuplicateRouter { router } => std::slice::from_ref(router),
         }
     }
 }
 
-pub(crate) const KINDS: [&str; 8] = [
+pub(crate) const FAULT_NAMES: [&str; 8] = [
     "link",
     "routers-killed",
     "routers-paused",
@@ -168,30 +155,31 @@
     "said",
 ];
 
-/// Reads a fault; `kind` is one of [`KINDS`].
-pub(crate) fn read(block: &Block, kind: &str) -> Option<Fault> {
+/// Reads a fault; `name` is one of [`FAULT_NAMES`].
+pub(crate) fn read(block: &Block, name: &str) -> Option<Fault> {
     let routers = || {
         let text: String = block.need_property("which");
-        let each = |word: &str| match word.parse::<usize>() {
+        let parse = |word: &str| match word.parse::<usize>() {
             Ok(router) => Some(router),
             Err(_) => {
-                block
-                    .problem(format!("which=\"{text}\"; allowed are numbers of routers with blanks between"));
+                block.problem(format!(
+                    "which=\"{text}\"; allowed are numbers of routers, separated by spaces"
+                ));
                 None
             }
         };
-        text.split_whitespace().filter_map(each).collect::<Vec<_>>()
+        text.split_whitespace().filter_map(parse).collect::<Vec<_>>()
     };
-    Some(match kind {
+    Some(match name {
         "link" => link(block),
         "routers-killed" => {
             let state = match block.property::<String>("state").as_deref() {
-                None | Some("own") => State::Own,
-                Some("empty") => State::Empty,
-                Some("others") => State::Others,
+                None | Some("own") => RestartState::Own,
+                Some("empty") => RestartState::Empty,
+                Some("others") => RestartState::Others,
                 Some(other) => {
                     block.problem(format!("state=\"{other}\"; allowed is own, empty, others"));
-                    State::Own
+                    RestartState::Own
                 }
             };
             Fault::Killed { routers: routers(), state }
@@ -205,13 +193,13 @@
         "routers-restarted" => Fault::Restarted {
             routers: routers(),
             every_ms: block.need_property::<Millis>("every").0,
-            places: block.property::<Count>("places").map(|count| count.0 as usize),
+            router_count: block.property::<Count>("places").map(|count| count.0 as usize),
         },
-        "namesake" => Fault::Namesake { router: block.need_property::<Count>("router").0 as usize },
+        "namesake" => Fault::DuplicateRouter { router: block.need_property::<Count>("router").0 as usize },
         "noise" => Fault::Noise { routers: routers(), per_s: block.need_property("per-s") },
-        "said" => Fault::Said {
+        "said" => Fault::OperatorCommand {
             zone: block.need_property("zone"),
-            word: block.need_property("word"),
+            command: block.need_property("word"),
             for_ms: block.need_property::<Millis>("holds").0,
         },
         _ => return None,
@@ -221,7 +209,7 @@
 fn link(block: &Block) -> Fault {
     let ends = |name: &'static str| {
         let text: String = block.need_property(name);
-        text.split_whitespace().filter_map(|word| who(block, name, word)).collect::<Vec<_>>()
+        text.split_whitespace().filter_map(|word| endpoint(block, name, word)).collect::<Vec<_>>()
     };
     let share = |name: &'static str| block.property::<Share>(name).map_or(0.0, |share| share.0);
     let time = |name: &'static str| block.property::<Millis>(name).map_or(0.0, |time| time.0);
@@ -235,55 +223,55 @@
         }
     };
     let carries = match block.property::<String>("carries").as_deref() {
-        None | Some("all") => Carries::All,
-        Some("datagrams") => Carries::Datagrams,
-        Some("calls") => Carries::Calls,
-        Some("work") => Carries::Work,
-        Some("list") => Carries::List,
-        Some("clients") => Carries::Clients,
+        None | Some("all") => Traffic::All,
+        Some("datagrams") => Traffic::Datagrams,
+        Some("calls") => Traffic::Calls,
+        Some("work") => Traffic::Work,
+        Some("list") => Traffic::List,
+        Some("clients") => Traffic::Clients,
         Some(other) => {
             block.problem(format!(
                 "carries=\"{other}\"; allowed is all, datagrams, calls, work, list, clients"
             ));
-            Carries::All
+            Traffic::All
         }
     };
-    let weather = Weather {
+    let condition = LinkCondition {
         loss: share("loss"),
-        twice: share("twice"),
-        spoilt: share("spoilt"),
+        duplicated: share("twice"),
+        corrupted: share("spoilt"),
         delay_ms: time("delay"),
         jitter_ms: time("jitter"),
         bytes_per_s: block.property::<Count>("bytes-per-s").map(|count| (count.0 as f64).max(1.0)),
         cut,
     };
-    if weather == Weather::default() {
+    if condition == LinkCondition::default() {
         block.problem("a link's fault needs one of cut, loss, twice, spoilt, delay, jitter, bytes-per-s");
     }
     let both = block.property::<bool>("both").unwrap_or(false);
-    Fault::Link { from: ends("from"), to: ends("to"), both, carries, weather }
+    Fault::Link { from: ends("from"), to: ends("to"), both, carries, condition }
 }
 
-fn who(block: &Block, name: &str, word: &str) -> Option<Who> {
-    let named = word.split_once(':');
-    let who = match (word, named) {
-        ("all", _) => Some(Who::All),
-        ("routers", _) => Some(Who::Routers),
-        ("workers", _) => Some(Who::Workers),
-        ("list", _) => Some(Who::List),
-        ("clients", _) => Some(Who::Clients),
-        (_, Some(("router", number))) => number.parse().ok().map(Who::Router),
-        (_, Some(("zone", zone))) => Some(Who::Zone(zone.to_owned())),
-        (_, Some(("routers", zone))) => Some(Who::RoutersOf(zone.to_owned())),
-        (_, Some(("workers", zone))) => Some(Who::WorkersOf(zone.to_owned())),
-        (_, Some(("server", server))) => Some(Who::Server(server.to_owned())),
+fn endpoint(block: &Block, name: &str, word: &str) -> Option<EndpointSelector> {
+    let prefixed = word.split_once(':');
+    let selector = match (word, prefixed) {
+        ("all", _) => Some(EndpointSelector::All),
+        ("routers", _) => Some(EndpointSelector::Routers),
+        ("workers", _) => Some(EndpointSelector::Workers),
+        ("list", _) => Some(EndpointSelector::List),
+        ("clients", _) => Some(EndpointSelector::Clients),
+        (_, Some(("router", number))) => number.parse().ok().map(EndpointSelector::Router),
+        (_, Some(("zone", zone))) => Some(EndpointSelector::Zone(zone.to_owned())),
+        (_, Some(("routers", zone))) => Some(EndpointSelector::RoutersOf(zone.to_owned())),
+        (_, Some(("workers", zone))) => Some(EndpointSelector::WorkersOf(zone.to_owned())),
+        (_, Some(("server", server))) => Some(EndpointSelector::Server(server.to_owned())),
         _ => None,
     };
-    if who.is_none() {
+    if selector.is_none() {
         block.problem(format!(
-            "{name}=\"{word}\"; allowed is all, routers, workers, list, clients, router:N, zone:Z, routers:Z, \
-             workers:Z, server:S"
+            "{name}=\"{word}\"; allowed is all, routers, workers, list, clients, router:N, zone:Z, \
+             routers:Z, workers:Z, server:S"
         ));
     }
-    who
+    selector
 }
