--- a/crates/cli/src/days.rs
+++ b/crates/cli/src/days.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Stdio};
 
 use anyhow::{Context, Result};
-use paddleproxy_day::random::{draw, Room};
+use paddleproxy_day::random::{draw, ScriptRunner};
 use serde_json::{json, Value};
 
 use crate::run::on_one_thread;
@@ -121,8 +121,8 @@
 /// Plays random scripts; one that breaks a rule is made smaller, and printed.
 pub fn scripts(common: &Path, from: u64, count: u64, dir: &Path, as_json: bool) -> Result<bool> {
     let program = std::env::current_exe().context("finding this program")?;
-    let room = Room { program: &program, common, dir };
-    let cast = room.cast()?;
+    let room = ScriptRunner { program: &program, common, dir };
+    let cast = room.topology()?;
     let mut good = true;
     for seed in from..from.saturating_add(count) {
         let played = on_one_thread(room.play(&draw(seed, &cast), &format!("script-{seed}")))?;
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::{Context, Result};
-use paddleproxy_day::{audit, play, report};
+use paddleproxy_day::{checker, play, report};
 use paddleproxy_faults::{Control, Fault, CONTROL_VARIABLE};
 use paddleproxy_fleet::record::Record;
 use paddleproxy_fleet::Fleet;
@@ -147,7 +147,7 @@
         let ready = |routers: &[std::net::SocketAddr]| {
             say(&json!({ "routers": routers, "models": models, "keys": keys }));
         };
-        play::keep(day.clone(), program.as_path(), &dir, ready, stop).await
+        play::run_until_stopped(day.clone(), program.as_path(), &dir, ready, stop).await
     });
     std::fs::remove_dir_all(&dir).with_context(|| format!("removing {}", dir.display()))?;
     kept.map(|()| true)
@@ -222,7 +222,7 @@
     Ok(judged(&facts, &lines, as_json))
 }
 
-fn judged(facts: &audit::Facts, lines: &[paddleproxy_fleet::record::Line], as_json: bool) -> bool {
+fn judged(facts: &checker::Facts, lines: &[paddleproxy_fleet::record::Line], as_json: bool) -> bool {
     let report = report::report(facts, lines);
     match as_json {
         true => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
@@ -279,7 +279,7 @@
     let began = std::time::Instant::now();
     let run = run(&day, &options);
     let took_s = began.elapsed().as_secs_f64();
-    let facts = audit::Facts::of(&day);
+    let facts = checker::Facts::of(&day);
     let report = report::report(&facts, &run.lines);
     let rehearsal = paddleproxy_rehearsal::rehearsal(&facts, &run.lines);
     let routers = varied.routers.unwrap_or(day.routers);
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -6,7 +6,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 
-use paddleproxy_day::client::{ask, Asking, Seen};
+use paddleproxy_day::client::{send_request, ClientEvent, ClientRequest};
 use paddleproxy_faults::{Control, CONTROL_VARIABLE};
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_fleet::Fleet;
@@ -98,7 +98,7 @@
     answer
 }
 
-fn asking(id: &str, key: &str, model: &str, session: &str, turns: &[String]) -> Asking {
+fn asking(id: &str, key: &str, model: &str, session: &str, turns: &[String]) -> ClientRequest {
     let turns: Vec<_> = turns
         .iter()
         .enumerate()
@@ -108,7 +108,7 @@
         })
         .collect();
     let body = serde_json::json!({ "model": model, "max_tokens": 8, "stream": true, "messages": turns });
-    Asking {
+    ClientRequest {
         path: String::new(),
         key: "app-key".into(),
         session: session.into(),
@@ -119,18 +119,21 @@
     }
 }
 
-async fn asked(router: &Router, asking: &Asking) -> Vec<Seen> {
+async fn asked(router: &Router, asking: &ClientRequest) -> Vec<ClientEvent> {
     asked_at(router.clients, asking).await
 }
 
-async fn asked_at(router: SocketAddr, asking: &Asking) -> Vec<Seen> {
+async fn asked_at(router: SocketAddr, asking: &ClientRequest) -> Vec<ClientEvent> {
     let seen = std::cell::RefCell::new(Vec::new());
-    ask(router, asking, Instant::now() + Duration::from_secs(8), |what| seen.borrow_mut().push(what)).await;
+    send_request(router, asking, Instant::now() + Duration::from_secs(8), |what| {
+        seen.borrow_mut().push(what)
+    })
+    .await;
     seen.into_inner()
 }
 
-fn finished(seen: &[Seen]) -> bool {
-    seen.contains(&Seen::Final("finished"))
+fn finished(seen: &[ClientEvent]) -> bool {
+    seen.contains(&ClientEvent::Final("finished"))
 }
 
 fn local(work: impl std::future::Future<Output = ()>) {
@@ -141,7 +144,7 @@
 
 impl Stage {
     /// Work with a key is under way when its router is killed: its server took it and says nothing.
-    async fn killed_under_way(&self, router: &mut Router, asking: &Asking) {
+    async fn killed_under_way(&self, router: &mut Router, asking: &ClientRequest) {
         let names: Vec<String> = self.fleet.names().cloned().collect();
         let silent = |silent: bool| {
             names.iter().for_each(|name| {
@@ -162,7 +165,7 @@
             }
         }
         router.child.kill().await.unwrap();
-        assert!(matches!(cut.await.last(), Some(Seen::Broke { .. })));
+        assert!(matches!(cut.await.last(), Some(ClientEvent::Broke { .. })));
         silent(false);
     }
 }
@@ -180,7 +183,7 @@
         for start in 0..2 {
             let mut router = stage.router().await;
             let again = asked(&router, &notice(&format!("again-{start}"), "key-2")).await;
-            assert!(again.contains(&Seen::Head { status: 409, retry_after_ms: 0.0 }), "{again:?}");
+            assert!(again.contains(&ClientEvent::Head { status: 409, retry_after_ms: 0.0 }), "{again:?}");
             let other =
                 asked(&router, &notice(&format!("other-{start}"), &format!("key-{}", 3 + start))).await;
             assert!(finished(&other), "{other:?}");
@@ -210,7 +213,10 @@
             stage.faults.set_wall_offset_ms(step_ms).unwrap();
             let mut router = stage.router().await;
             let again = asked(&router, &notice(&format!("again-{row}"), &key)).await;
-            assert!(again.contains(&Seen::Head { status: 409, retry_after_ms: 0.0 }), "{step_ms}: {again:?}");
+            assert!(
+                again.contains(&ClientEvent::Head { status: 409, retry_after_ms: 0.0 }),
+                "{step_ms}: {again:?}"
+            );
             router.child.kill().await.unwrap();
             stage.faults.set_wall_offset_ms(0).unwrap();
         }
--- a/crates/day/src/audit.rs
+++ b/crates/day/src/checker.rs
@@ -9,8 +9,8 @@
 use paddleproxy_settings::day::DaySettings;
 use serde::{Deserialize, Serialize};
 
-use crate::fellows::{self, FellowsFacts};
-use crate::zones::{self, ZonesFacts};
+use crate::failover_rules::{self, FailoverFacts};
+use crate::peer_rules::{self, PeerFacts};
 
 /// The figures by which a day is judged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -30,11 +30,11 @@
     #[serde(default)]
     pub shapes: Vec<String>,
     /// Where routers know each other.
-    #[serde(default)]
-    pub fellows: Option<FellowsFacts>,
+    #[serde(default, rename = "fellows")]
+    pub peers: Option<PeerFacts>,
     /// Where they agree on failover.
-    #[serde(default)]
-    pub zones: Option<ZonesFacts>,
+    #[serde(default, rename = "zones")]
+    pub failover: Option<FailoverFacts>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -88,12 +88,12 @@
                 .filter(|_| !day.shapes.is_empty())
                 .map(|router| day.shape_of(router).to_owned())
                 .collect(),
-            zones: day.router.failover.as_ref().map(|failover| ZonesFacts {
+            failover: day.router.failover.as_ref().map(|failover| FailoverFacts {
                 expects: day.expects.clone(),
                 reserve: failover.reserve,
                 common: !failover.alone,
             }),
-            fellows: day.router.peers.as_ref().map(|peers| FellowsFacts {
+            peers: day.router.peers.as_ref().map(|peers| PeerFacts {
                 routers: day.routers,
                 heals_ms: 5000.0,
                 asks_ms: crate::rig::ROUND_MS,
@@ -150,8 +150,8 @@
         cold_servers(facts, &lines),
         pins(facts, &lines),
     ];
-    rules.extend(facts.zones.iter().flat_map(|facts| zones::rules(facts, &lines)));
-    rules.extend(facts.fellows.iter().flat_map(|facts| fellows::rules(facts, &lines)));
+    rules.extend(facts.failover.iter().flat_map(|facts| failover_rules::rules(facts, &lines)));
+    rules.extend(facts.peers.iter().flat_map(|facts| peer_rules::rules(facts, &lines)));
     rules
 }
 
@@ -211,7 +211,7 @@
         }
     }
     let downs = downs(lines);
-    let spans = fellows::spans(lines);
+    let spans = peer_rules::spans(lines);
     for ((op, attempt), asked) in &tries {
         let never_taken = matches!(asked.broke, Some((_, false)));
         let until_ms = asked.broke.map_or(f64::INFINITY, |(at, _)| at + 50.0);
@@ -232,7 +232,7 @@
         // and has the client's whole patience for: it can't know how long that has lasted already.
         let until_ms = asked.head_ms.unwrap_or(f64::INFINITY);
         let stops = spans.iter().filter(|span| span.stopped(asked.router, asked.asked_ms, until_ms));
-        let due = |span: &fellows::Span| match asked.asked_ms >= span.from_ms - UNREAD_MS {
+        let due = |span: &peer_rules::Span| match asked.asked_ms >= span.from_ms - UNREAD_MS {
             true => span.to_ms + asked.deadline_ms - asked.asked_ms,
             false => span.to_ms,
         };
@@ -419,7 +419,7 @@
 fn pins(facts: &Facts, lines: &[Line]) -> Rule {
     let mut rule = Rule::new("nothing left pinned");
     let end_ms = lines.last().map_or(0.0, |line| line.at_ms);
-    let (downs, stops) = (downs(lines), fellows::spans(lines));
+    let (downs, stops) = (downs(lines), peer_rules::spans(lines));
     let mut out: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     let mut open: BTreeMap<&str, f64> = BTreeMap::new();
     let mut sent: BTreeMap<&str, f64> = BTreeMap::new();
@@ -479,7 +479,7 @@
         let far = unreachable.iter().any(|(from, to)| *from < to_ms && from_ms < *to + facts.connect_ms);
         // Through a relay its connection is made at once, and the last one may be out for all of its client's time.
         let deadline_ms = deadline_of.get(completion_of(request)).copied().unwrap_or(0.0);
-        let out_ms = match facts.fellows {
+        let out_ms = match facts.peers {
             Some(_) => facts.connect_ms.max(deadline_ms - from_ms),
             None => facts.connect_ms,
         };
--- a/crates/day/src/client.rs
+++ b/crates/day/src/client.rs
@@ -14,7 +14,7 @@
 
 /// What a client sends.
 #[derive(Clone, Debug, Default)]
-pub struct Asking {
+pub struct ClientRequest {
     /// Of the form in which it speaks; the messages API where empty.
     pub path: String,
     pub key: String,
@@ -28,7 +28,7 @@
 
 /// What a client sees, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum ClientEvent {
     Head {
         status: u16,
         retry_after_ms: f64,
@@ -47,25 +47,30 @@
 
 /// Sends one request on a connection of its own and hands each thing seen to `see`; nothing is waited for past
 /// `until`.
-pub async fn ask(address: SocketAddr, asking: &Asking, until: Instant, mut see: impl FnMut(Seen)) {
+pub async fn send_request(
+    address: SocketAddr,
+    asking: &ClientRequest,
+    until: Instant,
+    mut see: impl FnMut(ClientEvent),
+) {
     let mut connected = false;
     let mut done = false;
-    let mut noting = |seen: Seen| {
-        done |= matches!(seen, Seen::Final(_));
+    let mut noting = |seen: ClientEvent| {
+        done |= matches!(seen, ClientEvent::Final(_));
         see(seen);
     };
     // Whatever went wrong, and whether or not it was in time, the client saw no final answer or it did.
     let _ = timeout_at(until, exchange(address, asking, &mut connected, &mut noting)).await;
     if !done {
-        see(Seen::Broke { connected });
+        see(ClientEvent::Broke { connected });
     }
 }
 
 async fn exchange(
     address: SocketAddr,
-    asking: &Asking,
+    asking: &ClientRequest,
     connected: &mut bool,
-    see: &mut impl FnMut(Seen),
+    see: &mut impl FnMut(ClientEvent),
 ) -> Result<()> {
     let stream = TcpStream::connect(address).await?;
     *connected = true;
@@ -87,10 +92,10 @@
     let header =
         |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
     let retry_after_ms = header("retry-after-ms").or(header("retry-after").map(|s| s * 1e3)).unwrap_or(0.0);
-    see(Seen::Head { status, retry_after_ms });
+    see(ClientEvent::Head { status, retry_after_ms });
     if status != 200 {
         response.into_body().collect().await?;
-        see(Seen::Final(if matches!(status, 429 | 503 | 529) { "rate-limited" } else { "aborted" }));
+        see(ClientEvent::Final(if matches!(status, 429 | 503 | 529) { "rate-limited" } else { "aborted" }));
         return Ok(());
     }
     let kind = response.headers().get("content-type").map(|kind| kind.as_bytes().to_vec());
@@ -101,13 +106,13 @@
     let answer: serde_json::Value = serde_json::from_slice(&body)?;
     let text = answer["content"][0]["text"].as_str().or(answer["choices"][0]["message"]["content"].as_str());
     let text = text.ok_or_else(|| anyhow!("no text in the answer"))?;
-    see(Seen::First);
-    see(Seen::Text(text.to_owned()));
-    see(Seen::Final("finished"));
+    see(ClientEvent::First);
+    see(ClientEvent::Text(text.to_owned()));
+    see(ClientEvent::Final("finished"));
     Ok(())
 }
 
-async fn streamed(response: Response<Incoming>, see: &mut impl FnMut(Seen)) -> Result<()> {
+async fn streamed(response: Response<Incoming>, see: &mut impl FnMut(ClientEvent)) -> Result<()> {
     let mut body = response.into_body();
     let mut reader = SseReader::new(1 << 20);
     let (mut first, mut done) = (false, false);
@@ -115,7 +120,7 @@
         reader.push(&frame?.into_data().unwrap_or_default());
         while let Some(data) = reader.next_event().map_err(|cause| anyhow!(cause))? {
             if done {
-                see(Seen::More);
+                see(ClientEvent::More);
             }
             let event: serde_json::Value = match data {
                 SseData::Json(json) => serde_json::from_str(&json)?,
@@ -125,26 +130,26 @@
             let chat = event["choices"][0]["delta"]["content"].as_str().filter(|text| !text.is_empty());
             if let Some(text) = chat {
                 if !std::mem::replace(&mut first, true) {
-                    see(Seen::First);
+                    see(ClientEvent::First);
                 }
-                see(Seen::Text(text.to_owned()));
+                see(ClientEvent::Text(text.to_owned()));
             }
             let kind =
                 if event["error"].is_object() { "error" } else { event["type"].as_str().unwrap_or("") };
             match kind {
                 "content_block_delta" => {
                     if !std::mem::replace(&mut first, true) {
-                        see(Seen::First);
+                        see(ClientEvent::First);
                     }
-                    see(Seen::Text(event["delta"]["text"].as_str().unwrap_or("").to_owned()));
+                    see(ClientEvent::Text(event["delta"]["text"].as_str().unwrap_or("").to_owned()));
                 }
                 "message_stop" if !done => {
                     done = true;
-                    see(Seen::Final("finished"));
+                    see(ClientEvent::Final("finished"));
                 }
                 "error" if !done => {
                     done = true;
-                    see(Seen::Final("aborted"));
+                    see(ClientEvent::Final("aborted"));
                 }
                 _ => {}
             }
--- a/crates/day/src/zones.rs
+++ b/crates/day/src/failover_rules.rs
@@ -6,11 +6,11 @@
 use paddleproxy_settings::rooms::Expect;
 use serde::{Deserialize, Serialize};
 
-use crate::audit::Rule;
+use crate::checker::Rule;
 
 /// The figures by which plans are judged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ZonesFacts {
+pub struct FailoverFacts {
     pub expects: Vec<Expect>,
     pub reserve: f64,
     /// Whether they agree at all; each by itself is only compared with.
@@ -91,7 +91,7 @@
 }
 
 /// Rules on plans; of a day in which each decides alone only what any way of deciding owes.
-pub fn rules(facts: &ZonesFacts, lines: &[Line]) -> Vec<Rule> {
+pub fn rules(facts: &FailoverFacts, lines: &[Line]) -> Vec<Rule> {
     let said = said(lines);
     if !facts.common {
         return vec![calm(&said)];
@@ -114,7 +114,7 @@
 }
 
 /// Where a plan gives a zone more than the page before did, that is within the room that the zone then had.
-fn roomy(facts: &ZonesFacts, said: &[Said]) -> Rule {
+fn roomy(facts: &FailoverFacts, said: &[Said]) -> Rule {
     let mut rule = Rule::new("no zone beyond its room by plan");
     let pages = firsts(said.iter().filter(|said| said.page.1 > 0));
     let mut before: Option<&Said> = None;
@@ -180,7 +180,7 @@
 }
 
 /// What the day expects of plans.
-fn expected(facts: &ZonesFacts, said: &[Said]) -> Rule {
+fn expected(facts: &FailoverFacts, said: &[Said]) -> Rule {
     let mut rule = Rule::new("plans as the day expects");
     for expect in &facts.expects {
         let span = expect.from_ms..expect.to_ms;
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,18 +1,18 @@
 //! Plays a scripted day: real router processes, stand-in servers, clients of our own; records what the sockets
 //! carried, and judges the five rules from that record alone.
 
-pub mod audit;
+pub mod checker;
 pub mod client;
-pub mod fellows;
+pub mod failover_rules;
 mod load;
 mod mesh;
+pub mod peer_rules;
 pub mod play;
 pub mod random;
 pub mod report;
 mod rig;
 mod stage;
 mod troubles;
-pub mod zones;
 
 /// Memory that a process holds, in MiB, where the system tells it; by its id, or "self".
 pub fn resident_mib(process: &str) -> Option<f64> {
--- a/crates/day/src/load.rs
+++ b/crates/day/src/load.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 use tokio::time::{sleep, sleep_until};
 
-use crate::client::{ask, Asking, Seen};
+use crate::client::{send_request, ClientEvent, ClientRequest};
 use crate::mesh::{End, Mesh};
 
 /// What troubles make of the clients.
@@ -143,7 +143,7 @@
             };
             let leaves = load.leaves.max(self.mood.gives_up.get());
             let leaves_after = (chance.f64() < leaves).then(|| chance.f64() * target_ms);
-            let asking = Asking {
+            let asking = ClientRequest {
                 path: load.path.clone(),
                 key: load.key.clone(),
                 session: session.to_owned(),
@@ -163,7 +163,7 @@
                 target_ms,
             });
             let mut outcome = Tried::default();
-            let seeing = |seen: Seen| outcome.see(&self.record, &op, attempt, seen);
+            let seeing = |seen: ClientEvent| outcome.see(&self.record, &op, attempt, seen);
             // A stream that has begun may take long; nothing here takes a minute.
             let until = self.record.at(now_ms + load.client_timeout_ms + 60_000.0);
             // A link that is cut takes no connection; one that is up when it is made stays so.
@@ -171,7 +171,7 @@
                 mesh.weather(&End::Clients, &End::Router(router), Carries::Clients).cut.is_some()
             });
             let address = if cut { SocketAddr::from(([127, 0, 0, 1], 1)) } else { address };
-            let asked = ask(address, &asking, until, seeing);
+            let asked = send_request(address, &asking, until, seeing);
             match leaves_after {
                 None => asked.await,
                 Some(ms) => {
@@ -213,21 +213,21 @@
 }
 
 impl Tried {
-    fn see(&mut self, record: &Record, op: &str, attempt: u32, seen: Seen) {
+    fn see(&mut self, record: &Record, op: &str, attempt: u32, seen: ClientEvent) {
         let op = op.to_owned();
         match seen {
-            Seen::Head { status, retry_after_ms } => {
+            ClientEvent::Head { status, retry_after_ms } => {
                 self.retry_after_ms = retry_after_ms;
                 record.add(What::Head { op, attempt, status });
             }
-            Seen::First => record.add(What::First { op, attempt }),
-            Seen::Text(text) => self.text.push_str(&text),
-            Seen::Final(how) => {
+            ClientEvent::First => record.add(What::First { op, attempt }),
+            ClientEvent::Text(text) => self.text.push_str(&text),
+            ClientEvent::Final(how) => {
                 self.how = how;
                 record.add(What::Final { op, attempt, how: how.to_owned() });
             }
-            Seen::More => record.add(What::More { op, attempt }),
-            Seen::Broke { connected } => {
+            ClientEvent::More => record.add(What::More { op, attempt }),
+            ClientEvent::Broke { connected } => {
                 self.how = if connected { "broke" } else { "unreachable" };
                 record.add(What::Broke { op, attempt, connected });
             }
--- a/crates/day/src/fellows.rs
+++ b/crates/day/src/peer_rules.rs
@@ -5,11 +5,11 @@
 use paddleproxy_fleet::record::{Line, What};
 use serde::{Deserialize, Serialize};
 
-use crate::audit::Rule;
+use crate::checker::Rule;
 
 /// The figures by which fellows are judged.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FellowsFacts {
+pub struct PeerFacts {
     pub routers: usize,
     /// Time in which all are of one view after the last fault, in ms.
     pub heals_ms: f64,
@@ -34,7 +34,7 @@
 }
 
 /// Rules on fellows; none where the day has none.
-pub fn rules(facts: &FellowsFacts, lines: &[Line]) -> Vec<Rule> {
+pub fn rules(facts: &PeerFacts, lines: &[Line]) -> Vec<Rule> {
     let said: Vec<Said> = lines
         .iter()
         .filter_map(|line| match &line.what {
@@ -107,7 +107,7 @@
 }
 
 /// Nobody is called failed who was not stopped, killed or cut.
-fn blamed(facts: &FellowsFacts, said: &[Said], spans: &[Span]) -> Rule {
+fn blamed(facts: &PeerFacts, said: &[Said], spans: &[Span]) -> Rule {
     let mut rule = Rule::new("none called failed without cause");
     // Whom each router held for failed when it was last asked: what counts is when it began to.
     let mut held: BTreeMap<usize, BTreeSet<(usize, u64)>> = BTreeMap::new();
@@ -166,7 +166,7 @@
 }
 
 /// Some time after the last fault all that run have one view, with all that run in it.
-fn healed(facts: &FellowsFacts, said: &[Said], spans: &[Span], lines: &[Line]) -> Rule {
+fn healed(facts: &PeerFacts, said: &[Said], spans: &[Span], lines: &[Line]) -> Rule {
     let mut rule = Rule::new("one view after healing");
     let end_ms = lines.iter().map(|line| line.at_ms).fold(0.0, f64::max);
     let mut begins: Vec<f64> = spans.iter().map(|span| span.from_ms).collect();
@@ -223,7 +223,7 @@
 
 /// What a customer got through at all routers together keeps its limit: in any window its rate, its burst, and one
 /// request for each router, since a part of a request is none.
-fn limited(facts: &FellowsFacts, lines: &[Line]) -> Rule {
+fn limited(facts: &PeerFacts, lines: &[Line]) -> Rule {
     let mut rule = Rule::new("customers' limits in common");
     let mut customers: BTreeMap<&str, &str> = BTreeMap::new();
     let mut passed: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -13,7 +13,7 @@
 use paddleproxy_settings::day::DaySettings;
 use tokio::time::{sleep, timeout};
 
-use crate::audit::Facts;
+use crate::checker::Facts;
 use crate::load::Clients;
 use crate::rig;
 pub use crate::stage::Program;
@@ -79,7 +79,7 @@
 ///
 /// # Errors
 /// What could not be started.
-pub async fn keep(
+pub async fn run_until_stopped(
     day: DaySettings,
     program: &Path,
     dir: &Path,
--- a/crates/day/src/random.rs
+++ b/crates/day/src/random.rs
@@ -19,15 +19,15 @@
 }
 
 /// What scripts are drawn over.
-pub struct Cast {
+pub struct Topology {
     pub routers: usize,
     pub zones: Vec<String>,
     pub servers: Vec<String>,
 }
 
-impl Cast {
-    pub fn of(day: &DaySettings) -> Cast {
-        Cast {
+impl Topology {
+    pub fn of(day: &DaySettings) -> Topology {
+        Topology {
             routers: day.routers,
             zones: day.router.names.zones.clone(),
             servers: day.fleet.servers.iter().map(|row| row.name.clone()).collect(),
@@ -42,28 +42,28 @@
 const LENGTH_S: u64 = 32;
 
 /// The script of a seed: always the same.
-pub fn draw(seed: u64, cast: &Cast) -> Script {
+pub fn draw(seed: u64, topology: &Topology) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = rng.usize(TROUBLES);
-    let troubles = (0..count).map(|_| trouble(&mut rng, cast)).collect();
+    let troubles = (0..count).map(|_| trouble(&mut rng, topology)).collect();
     Script { seed, length_s: LENGTH_S, failover: rng.bool(), troubles }
 }
 
-fn trouble(rng: &mut fastrand::Rng, cast: &Cast) -> String {
+fn trouble(rng: &mut fastrand::Rng, topology: &Topology) -> String {
     let between = |rng: &mut fastrand::Rng, range: &std::ops::Range<f64>| {
         range.start + (range.end - range.start) * rng.f64()
     };
     let at = format!("at=\"{:.1}s\" for=\"{:.1}s\"", between(rng, &BEGINS_S), between(rng, &LASTS_S));
-    let zone = |rng: &mut fastrand::Rng| cast.zones[rng.usize(..cast.zones.len())].clone();
-    let server = |rng: &mut fastrand::Rng| cast.servers[rng.usize(..cast.servers.len())].clone();
+    let zone = |rng: &mut fastrand::Rng| topology.zones[rng.usize(..topology.zones.len())].clone();
+    let server = |rng: &mut fastrand::Rng| topology.servers[rng.usize(..topology.servers.len())].clone();
     let routers = |rng: &mut fastrand::Rng, most: usize| {
-        let mut all: Vec<usize> = (0..cast.routers).collect();
+        let mut all: Vec<usize> = (0..topology.routers).collect();
         rng.shuffle(&mut all);
-        let some = rng.usize(1..=most.min(cast.routers).max(1));
+        let some = rng.usize(1..=most.min(topology.routers).max(1));
         all[..some].iter().map(usize::to_string).collect::<Vec<_>>().join(" ")
     };
     let end = |rng: &mut fastrand::Rng| match rng.usize(..5) {
-        0 => format!("router:{}", rng.usize(..cast.routers)),
+        0 => format!("router:{}", rng.usize(..topology.routers)),
         1 => format!("routers:{}", zone(rng)),
         2 => format!("workers:{}", zone(rng)),
         3 => format!("zone:{}", zone(rng)),
@@ -131,7 +131,7 @@
 }
 
 /// Where scripts are played.
-pub struct Room<'a> {
+pub struct ScriptRunner<'a> {
     pub program: &'a Path,
     /// The document that every script includes.
     pub common: &'a Path,
@@ -146,7 +146,7 @@
     pub file: PathBuf,
 }
 
-impl Room<'_> {
+impl ScriptRunner<'_> {
     fn write(&self, script: &Script, name: &str) -> Result<(DaySettings, PathBuf)> {
         let common = std::fs::canonicalize(self.common)
             .with_context(|| format!("finding {}", self.common.display()))?;
@@ -162,14 +162,14 @@
         Ok((day::parse(&parts(text))?, file))
     }
 
-    /// The cast of the common part.
+    /// The topology of the common part.
     ///
     /// # Errors
     /// A document that can't be read.
-    pub fn cast(&self) -> Result<Cast> {
+    pub fn topology(&self) -> Result<Topology> {
         std::fs::create_dir_all(self.dir)?;
         let bare = Script { seed: 0, length_s: 1, failover: false, troubles: Vec::new() };
-        Ok(Cast::of(&self.write(&bare, "bare")?.0))
+        Ok(Topology::of(&self.write(&bare, "bare")?.0))
     }
 
     /// Plays one script.
--- a/crates/day/src/random/tests.rs
+++ b/crates/day/src/random/tests.rs
@@ -10,14 +10,14 @@
 fn every_drawn_script_is_a_day_and_the_same_for_its_seed() {
     let dir = tempfile::tempdir().unwrap();
     let common = common();
-    let room = Room { program: Path::new("none"), common: &common, dir: dir.path() };
-    let cast = room.cast().unwrap();
-    assert_eq!((cast.routers, cast.zones.len(), cast.servers.len()), (9, 3, 24));
+    let runner = ScriptRunner { program: Path::new("none"), common: &common, dir: dir.path() };
+    let topology = runner.topology().unwrap();
+    assert_eq!((topology.routers, topology.zones.len(), topology.servers.len()), (9, 3, 24));
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..30 {
-        let script = draw(seed, &cast);
-        assert_eq!(script, draw(seed, &cast));
-        let (day, _) = room.write(&script, "one").unwrap();
+        let script = draw(seed, &topology);
+        assert_eq!(script, draw(seed, &topology));
+        let (day, _) = runner.write(&script, "one").unwrap();
         assert_eq!(day.troubles.len(), script.troubles.len());
         assert_eq!(day.router.failover.is_some(), script.failover);
         kinds.extend(day.troubles.iter().map(|trouble| trouble.what.name().to_owned()));
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -8,8 +8,8 @@
 use paddleproxy_settings::day::TEMPLATE;
 use serde::Serialize;
 
-use crate::audit::{rules, Facts, Rule};
-use crate::zones::{planned, Planned};
+use crate::checker::{rules, Facts, Rule};
+use crate::failover_rules::{planned, Planned};
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
@@ -98,13 +98,13 @@
                 by(ops.values(), |op| facts.shapes.get(op.router).map_or(TEMPLATE, |name| name).to_owned())
             }
         },
-        phases: match facts.fellows {
+        phases: match facts.peers {
             None => Vec::new(),
             Some(_) => {
                 let (first_ms, last_ms) = span(lines);
                 // Whoever asks for more than its limit allows says nothing of the routers.
                 let limited =
-                    |name: &str| facts.fellows.iter().flat_map(|f| &f.limits).any(|row| row.0 == name);
+                    |name: &str| facts.peers.iter().flat_map(|f| &f.limits).any(|row| row.0 == name);
                 let free = ops.values().filter(|op| !limited(op.customer));
                 by(free, |op| {
                     let phase = match op.asked_ms {
@@ -118,7 +118,7 @@
             }
         },
         cpu_ms: cpu_ms(lines),
-        planned: facts.zones.as_ref().map(|_| planned(lines)),
+        planned: facts.failover.as_ref().map(|_| planned(lines)),
         troubles,
     }
 }
--- a/crates/day/tests/judge.rs
+++ b/crates/day/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The judge is judged: for each rule a small record that breaks it is caught, and one just inside is not.
 
-use paddleproxy_day::audit::{rules, Facts, Rule, WorkloadFacts};
-use paddleproxy_day::fellows::FellowsFacts;
+use paddleproxy_day::checker::{rules, Facts, Rule, WorkloadFacts};
+use paddleproxy_day::peer_rules::PeerFacts;
 use paddleproxy_fleet::record::{Line, What};
 
 fn facts() -> Facts {
@@ -30,8 +30,8 @@
             workload("notice", "non-idempotent", "all"),
         ],
         shapes: Vec::new(),
-        fellows: None,
-        zones: None,
+        peers: None,
+        failover: None,
     }
 }
 
@@ -265,9 +265,9 @@
 
 #[test]
 fn silence_after_healing_counts_where_there_was_time_to_ask() {
-    let fellows =
-        FellowsFacts { routers: 3, heals_ms: 5000.0, asks_ms: 1200.0, blamed_ms: 5000.0, limits: Vec::new() };
-    let facts = Facts { fellows: Some(fellows), ..facts() };
+    let peers =
+        PeerFacts { routers: 3, heals_ms: 5000.0, asks_ms: 1200.0, blamed_ms: 5000.0, limits: Vec::new() };
+    let facts = Facts { peers: Some(peers), ..facts() };
     let verdict = |fault_ms: f64, lines: &[(f64, What)]| {
         let fault = What::Fault { name: "link".into(), routers: vec![0], begins: true };
         let lines = lines.iter().cloned().chain([(fault_ms, fault)]);
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -10,7 +10,7 @@
 use std::sync::mpsc;
 
 use anyhow::{bail, Context, Result};
-use paddleproxy_day::audit::Facts;
+use paddleproxy_day::checker::Facts;
 use paddleproxy_day::report::report;
 use paddleproxy_emulator::{run, Memory, Options, Policy};
 use paddleproxy_settings::day::DaySettings;
--- a/crates/rehearsal/src/phases.rs
+++ b/crates/rehearsal/src/phases.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use paddleproxy_day::audit::Facts;
+use paddleproxy_day::checker::Facts;
 use paddleproxy_emulator::record::{Line, What};
 use serde::Serialize;
 
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{asking, finals, local, raw, start, Bench};
-use paddleproxy_day::client::Seen;
+use paddleproxy_day::client::ClientEvent;
 use paddleproxy_fleet::record::What;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -130,7 +130,7 @@
         bench.ask_and_leave(&request).await;
         bench.until("/metrics", "completions_left_total 1").await;
         let retry = bench.ask(&request).await;
-        assert_eq!(retry[0], Seen::Head { status: 409, retry_after_ms: 0.0 });
+        assert_eq!(retry[0], ClientEvent::Head { status: 409, retry_after_ms: 0.0 });
         assert_eq!(effects(&bench, "k"), 1);
         assert_idle(&bench).await;
     });
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use paddleproxy_day::client::{ask, Asking, Seen};
+use paddleproxy_day::client::{send_request, ClientEvent, ClientRequest};
 use paddleproxy_fleet::record::Record;
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings::{fleet, router};
@@ -109,18 +109,18 @@
     }
 
     /// Everything a client saw of one request.
-    pub async fn ask(&self, asking: &Asking) -> Vec<Seen> {
+    pub async fn ask(&self, asking: &ClientRequest) -> Vec<ClientEvent> {
         self.ask_and(asking, std::future::ready(())).await
     }
 
     /// The same, and something else is done as soon as the answer's first text is there.
-    pub async fn ask_and(&self, asking: &Asking, then: impl Future<Output = ()>) -> Vec<Seen> {
+    pub async fn ask_and(&self, asking: &ClientRequest, then: impl Future<Output = ()>) -> Vec<ClientEvent> {
         let seen = Rc::new(RefCell::new(Vec::new()));
         let (noted, (begun, begins)) = (seen.clone(), tokio::sync::oneshot::channel());
         let mut begun = Some(begun);
         let until = Instant::now() + Duration::from_secs(20);
-        let asks = ask(self.clients, asking, until, move |what| {
-            if matches!(what, Seen::Text(_)) {
+        let asks = send_request(self.clients, asking, until, move |what| {
+            if matches!(what, ClientEvent::Text(_)) {
                 begun.take().into_iter().for_each(|begun| _ = begun.send(()));
             }
             noted.borrow_mut().push(what);
@@ -135,7 +135,7 @@
     }
 
     /// Asks and is gone once the answer's first text is there.
-    pub async fn ask_and_leave(&self, asking: &Asking) {
+    pub async fn ask_and_leave(&self, asking: &ClientRequest) {
         let (begun, begins) = tokio::sync::oneshot::channel();
         let asks = self.ask_and(asking, async { _ = begun.send(()) });
         tokio::select! {
@@ -145,11 +145,11 @@
     }
 }
 
-pub fn asking(id: &str, model: &str, tokens: usize, streamed: bool) -> Asking {
+pub fn asking(id: &str, model: &str, tokens: usize, streamed: bool) -> ClientRequest {
     let content = format!("{id} {}", "abc ".repeat(tokens));
     let turn = serde_json::json!({ "role": "user", "content": content });
     let body = serde_json::json!({ "model": model, "max_tokens": 8, "stream": streamed, "messages": [turn] });
-    Asking {
+    ClientRequest {
         path: String::new(),
         key: "app-key".into(),
         session: id.into(),
@@ -160,10 +160,10 @@
     }
 }
 
-pub fn finals(seen: &[Seen]) -> Vec<&'static str> {
+pub fn finals(seen: &[ClientEvent]) -> Vec<&'static str> {
     seen.iter()
         .filter_map(|what| match what {
-            Seen::Final(how) => Some(*how),
+            ClientEvent::Final(how) => Some(*how),
             _ => None,
         })
         .collect()
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use common::{asking, finals, local, raw, start, start_router, WITH_PROBES};
-use paddleproxy_day::client::Seen;
+use paddleproxy_day::client::ClientEvent;
 use paddleproxy_fleet::record::What;
 use paddleproxy_settings::day::Dead;
 
-fn text(seen: &[Seen]) -> String {
+fn text(seen: &[ClientEvent]) -> String {
     seen.iter()
         .filter_map(|what| match what {
-            Seen::Text(text) => Some(text.as_str()),
+            ClientEvent::Text(text) => Some(text.as_str()),
             _ => None,
         })
         .collect()
