--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -1,5 +1,5 @@
-//! Judges the five rules and the service of a day from its record alone: what clients and model servers saw on
-//! their sockets, and what the list service sent. Nothing that a router says of itself is read.
+//! Judges the five rules and the service of a day from its record alone: what clients and model servers saw
+//! on their sockets, and what the list service sent. Nothing that a router says of itself is read.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -41,7 +41,8 @@
 pub struct WorkloadFacts {
     pub name: String,
     pub models: Vec<String>,
-    /// `idempotent`, `tokened` or `non-idempotent`; for tokened the group and window by which repeats are dropped.
+    /// `idempotent`, `tokened` or `non-idempotent`; for tokened the group and window by which repeats are
+    /// dropped.
     pub effect: String,
     pub group: String,
     pub window_ms: f64,
@@ -96,7 +97,7 @@
             peers: day.router.peers.as_ref().map(|peers| PeerFacts {
                 routers: day.routers,
                 heals_ms: 5000.0,
-                asks_ms: crate::rig::ROUND_MS,
+                asks_ms: crate::process_faults::POLL_ROUND_MS,
                 blamed_ms: 5000.0 + peers.lease_ms,
                 limits: day
                     .router
@@ -228,8 +229,9 @@
         if asked.more {
             broken("something came after the final answer".into());
         }
-        // A process that is stopped answers once it runs again, and then at once. What came meanwhile it reads only then,
-        // and has the client's whole patience for: it can't know how long that has lasted already.
+        // A process that is stopped answers once it runs again, and then at once. What came meanwhile it
+        // reads only then, and has the client's whole patience for: it can't know how long that has lasted
+        // already.
         let until_ms = asked.head_ms.unwrap_or(f64::INFINITY);
         let stops = spans.iter().filter(|span| span.stopped(asked.router, asked.asked_ms, until_ms));
         let due = |span: &peer_rules::Span| match asked.asked_ms >= span.from_ms - UNREAD_MS {
@@ -477,7 +479,8 @@
         rule.cases += 1;
         // A dispatch on its way to a server that can't be reached is out although no server sees it.
         let far = unreachable.iter().any(|(from, to)| *from < to_ms && from_ms < *to + facts.connect_ms);
-        // Through a relay its connection is made at once, and the last one may be out for all of its client's time.
+        // Through a relay its connection is made at once, and the last one may be out for all of its client's
+        // time.
         let deadline_ms = deadline_of.get(completion_of(request)).copied().unwrap_or(0.0);
         let out_ms = match facts.peers {
             Some(_) => facts.connect_ms.max(deadline_ms - from_ms),
@@ -485,8 +488,8 @@
         };
         let mut limit_ms = facts.pin_limit_ms + if far { out_ms } else { 0.0 };
         let mut spans = out.get(completion_of(request)).cloned().unwrap_or_default();
-        // Under a cut of its links a router may reach nobody; its time begins anew once that is over, and a dispatch
-        // that was sent into it may be out until its client's time ends.
+        // Under a cut of its links a router may reach nobody; its time begins anew once that is over, and a
+        // dispatch that was sent into it may be out until its client's time ends.
         let cuts = stops.iter().filter(|span| router.is_some_and(|router| span.cut(router, from_ms, to_ms)));
         for span in cuts {
             let heals_ms = span.to_ms + facts.connect_ms;
--- a/crates/day/src/client.rs
+++ b/crates/day/src/client.rs
@@ -45,8 +45,8 @@
     },
 }
 
-/// Sends one request on a connection of its own and hands each thing seen to `see`; nothing is waited for past
-/// `until`.
+/// Sends one request on a connection of its own and hands each thing seen to `see`; nothing is waited for
+/// past `until`.
 pub async fn send_request(
     address: SocketAddr,
     asking: &ClientRequest,
--- a/crates/day/src/failover_rules.rs
+++ b/crates/day/src/failover_rules.rs
@@ -29,7 +29,8 @@
 struct Said<'a> {
     at_ms: f64,
     mind: &'a str,
-    /// How often a majority had been down when that router started, and the page: keepers that start anew count from 1 again.
+    /// How often a majority had been down when that router started, and the page: keepers that start anew
+    /// count from 1 again.
     page: (usize, u64),
     moves: Moves<'a>,
     rooms: &'a [(String, f64, f64)],
@@ -210,7 +211,8 @@
 pub struct Planned {
     /// Pages that moved somebody or brought somebody back.
     pub changes: usize,
-    /// By zone: largest share moved; ms from the day's start to the first move, and to the end of the last return.
+    /// By zone: largest share moved; ms from the day's start to the first move, and to the end of the last
+    /// return.
     pub zones: Vec<(String, f64, f64, Option<f64>)>,
     /// Share of completions whose home stayed where it is without a plan.
     pub near: f64,
--- a/crates/day/src/lib.rs
+++ b/crates/day/src/lib.rs
@@ -1,5 +1,5 @@
-//! Plays a scripted day: real router processes, stand-in servers, clients of our own; records what the sockets
-//! carried, and judges the five rules from that record alone.
+//! Plays a scripted day with real router processes, emulated model servers and emulated clients. Records what
+//! the sockets carried and checks the rules of the day against that record alone.
 
 pub mod checker;
 pub mod client;
@@ -8,13 +8,13 @@
 mod mesh;
 pub mod peer_rules;
 pub mod play;
+mod process_faults;
 pub mod random;
 pub mod report;
-mod rig;
-mod stage;
+mod scenario;
 mod troubles;
 
-/// Memory that a process holds, in MiB, where the system tells it; by its id, or "self".
+/// Resident memory in MiB of a process, by its id or "self", on systems with procfs.
 pub fn resident_mib(process: &str) -> Option<f64> {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
--- a/crates/day/src/mesh.rs
+++ b/crates/day/src/mesh.rs
@@ -1,5 +1,6 @@
-//! Relays on every directed link, so that faults can be put between processes: routers' datagrams and calls to each
-//! other, routers to servers and to the list service. Clients ask it before they connect.
+//! Relays on every directed link, so that faults can be injected between processes: datagrams and calls
+//! between routers, and connections from routers to servers and to the list service. Clients connect to
+//! routers directly and query the state of their link first.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,15 +19,15 @@
 
 /// One end of a link.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Endpoint {
     Router(usize),
     Worker { name: String, zone: String },
     List,
     Clients,
 }
 
-/// A fault of links that is on.
-struct On {
+/// A link fault that is active now.
+struct ActiveFault {
     id: u64,
     from: Vec<Who>,
     to: Vec<Who>,
@@ -35,157 +36,159 @@
     weather: Weather,
 }
 
-/// The place of a process in the mesh: a router, or a namesake of one after all routers.
+/// A process in the mesh. Routers come first; after them follow spare nodes for second processes with a
+/// router's index.
 struct Node {
-    /// Where fellows reach it.
+    /// Receives the datagrams that other routers send to this node.
     relay: Rc<UdpSocket>,
     calls: RefCell<Option<TcpListener>>,
     address: SocketAddr,
-    /// Its own address, by which its datagrams and calls are known.
+    /// Source address of its datagrams and calls; identifies the sender.
     ip: Ipv4Addr,
-    /// Where it listens now.
-    real: Cell<Option<SocketAddr>>,
-    /// Until when its links from each other node are busy with what was sent, where bytes are capped.
-    busy: RefCell<BTreeMap<usize, Instant>>,
+    /// Address at which the process listens now; changes with each start.
+    target: Cell<Option<SocketAddr>>,
+    /// By sender: time until which a link with limited bandwidth is busy with earlier datagrams.
+    busy_until: RefCell<BTreeMap<usize, Instant>>,
 }
 
 pub struct Mesh {
     nodes: Vec<Node>,
     routers: usize,
     zones: Vec<String>,
-    on: RefCell<Vec<On>>,
-    next: Cell<u64>,
+    active_faults: RefCell<Vec<ActiveFault>>,
+    next_id: Cell<u64>,
     changed: Notify,
     rng: RefCell<fastrand::Rng>,
 }
 
-/// Processes beside the routers.
-const EXTRAS: usize = 2;
-/// How often a connection that is not made yet is looked at, in ms.
-const CLOSED_EVERY_MS: f64 = 5.0;
-/// What a segment lost on the way costs a connection, in ms.
-const AGAIN_MS: f64 = 200.0;
+/// Nodes for processes that are not among the day's routers.
+const SPARE_NODES: usize = 2;
+/// Interval at which a client connection that still waits for its upstream is checked for a close, in ms.
+const CLOSE_POLL_MS: f64 = 5.0;
+/// Delay of a connection by one lost segment, like a TCP retransmission, in ms.
+const RETRANSMIT_DELAY_MS: f64 = 200.0;
 
 fn duration(ms: f64) -> Duration {
     Duration::from_secs_f64(ms.max(0.0) / 1e3)
 }
 
-/// Passes once the other end of a connection has closed it, read or unread.
-async fn closed(stream: &TcpStream) {
+/// Returns once the peer has closed the connection, whether or not its data was read.
+async fn wait_for_close(stream: &TcpStream) {
     while !stream.ready(Interest::READABLE).await.is_ok_and(|ready| ready.is_read_closed()) {
-        // Bytes that nobody reads yet keep it ready.
-        sleep(duration(CLOSED_EVERY_MS)).await;
+        // Unread bytes keep the socket ready, so without this sleep the loop would spin.
+        sleep(duration(CLOSE_POLL_MS)).await;
     }
 }
 
 impl Mesh {
-    /// Relays between so many routers, of which each is in one of the zones.
+    /// Starts the relays between routers; `zones` holds the zone of each router.
     ///
     /// # Errors
-    /// No loopback address that is free.
+    /// No free port on the loopback interface.
     pub async fn start(zones: Vec<String>, seed: u64) -> Result<Rc<Mesh>> {
         let routers = zones.len();
         let net = fastrand::Rng::with_seed(u64::from(std::process::id()) ^ seed.rotate_left(17)).u8(2..250);
         let mut nodes = Vec::new();
-        for node in 0..routers + EXTRAS {
-            let calls = TcpListener::bind("127.0.0.1:0").await.context("a relay's port")?;
+        for node in 0..routers + SPARE_NODES {
+            let calls = TcpListener::bind("127.0.0.1:0").await.context("binding the TCP port of a relay")?;
             let address = calls.local_addr()?;
-            let relay = UdpSocket::bind(address).await.context("a relay's port for datagrams")?;
+            let relay = UdpSocket::bind(address).await.context("binding the UDP port of a relay")?;
             nodes.push(Node {
                 relay: Rc::new(relay),
                 calls: RefCell::new(Some(calls)),
                 address,
                 ip: Ipv4Addr::new(127, net, 200 + (node / 200) as u8, (node % 200 + 1) as u8),
-                real: Cell::new(None),
-                busy: RefCell::default(),
+                target: Cell::new(None),
+                busy_until: RefCell::default(),
             });
         }
         let mesh = Rc::new(Mesh {
             nodes,
             routers,
             zones,
-            on: RefCell::default(),
-            next: Cell::new(0),
+            active_faults: RefCell::default(),
+            next_id: Cell::new(0),
             changed: Notify::new(),
             rng: RefCell::new(fastrand::Rng::with_seed(seed)),
         });
         for node in 0..mesh.nodes.len() {
-            tokio::task::spawn_local(mesh.clone().datagrams(node));
+            tokio::task::spawn_local(mesh.clone().relay_datagrams(node));
             if let Some(calls) = mesh.nodes[node].calls.take() {
-                tokio::task::spawn_local(mesh.clone().calls(node, calls));
+                tokio::task::spawn_local(mesh.clone().relay_calls(node, calls));
             }
         }
         Ok(mesh)
     }
 
-    /// The first place for a process that is no router of the day.
-    pub fn extra(&self) -> usize {
+    /// The first node for a process that is not among the day's routers.
+    pub fn spare_node(&self) -> usize {
         self.routers
     }
 
-    /// Where a node listens for fellows, where they reach it, and whom it asks first.
-    pub fn own(&self, node: usize) -> (String, Option<String>, Vec<String>) {
+    /// Listen address of a node for its peers, the address to advertise to them, and the seeds that it
+    /// contacts first.
+    pub fn addresses_of(&self, node: usize) -> (String, Option<String>, Vec<String>) {
         let seeds = (0..self.routers.min(3)).map(|router| self.nodes[router].address.to_string());
         (format!("{}:0", self.nodes[node].ip), Some(self.nodes[node].address.to_string()), seeds.collect())
     }
 
-    pub fn listens(&self, node: usize, at: Option<SocketAddr>) {
-        self.nodes[node].real.set(at);
+    pub fn set_listen_address(&self, node: usize, address: Option<SocketAddr>) {
+        self.nodes[node].target.set(address);
     }
 
-    pub fn real(&self, node: usize) -> Option<SocketAddr> {
-        self.nodes[node].real.get()
+    pub fn listen_address(&self, node: usize) -> Option<SocketAddr> {
+        self.nodes[node].target.get()
     }
 
-    pub fn begin(&self, from: &[Who], to: &[Who], both: bool, carries: Carries, weather: Weather) -> u64 {
-        let id = self.next.replace(self.next.get() + 1);
+    pub fn add_fault(&self, from: &[Who], to: &[Who], both: bool, carries: Carries, weather: Weather) -> u64 {
+        let id = self.next_id.replace(self.next_id.get() + 1);
         let (from, to) = (from.to_vec(), to.to_vec());
-        self.on.borrow_mut().push(On { id, from, to, both, carries, weather });
+        self.active_faults.borrow_mut().push(ActiveFault { id, from, to, both, carries, weather });
         self.changed.notify_waiters();
         id
     }
 
-    pub fn end(&self, id: u64) {
-        self.on.borrow_mut().retain(|on| on.id != id);
+    pub fn remove_fault(&self, id: u64) {
+        self.active_faults.borrow_mut().retain(|fault| fault.id != id);
         self.changed.notify_waiters();
     }
 
-    fn is(&self, end: &End, who: &Who) -> bool {
+    fn matches(&self, end: &Endpoint, who: &Who) -> bool {
         let zone = |router: usize| self.zones.get(router % self.routers.max(1)).map(String::as_str);
         match (who, end) {
             (Who::All, _) => true,
-            (Who::Routers, End::Router(_)) | (Who::Workers, End::Worker { .. }) => true,
-            (Who::List, End::List) | (Who::Clients, End::Clients) => true,
-            (Who::Router(number), End::Router(router)) => number == router,
-            (Who::Zone(of) | Who::RoutersOf(of), End::Router(router)) => zone(*router) == Some(of),
-            (Who::Zone(of) | Who::WorkersOf(of), End::Worker { zone, .. }) => zone == of,
-            (Who::Server(of), End::Worker { name, .. }) => name == of,
+            (Who::Routers, Endpoint::Router(_)) | (Who::Workers, Endpoint::Worker { .. }) => true,
+            (Who::List, Endpoint::List) | (Who::Clients, Endpoint::Clients) => true,
+            (Who::Router(number), Endpoint::Router(router)) => number == router,
+            (Who::Zone(of) | Who::RoutersOf(of), Endpoint::Router(router)) => zone(*router) == Some(of),
+            (Who::Zone(of) | Who::WorkersOf(of), Endpoint::Worker { zone, .. }) => zone == of,
+            (Who::Server(of), Endpoint::Worker { name, .. }) => name == of,
             _ => false,
         }
     }
 
-    /// Routers that fellows may come to think gone by a fault between such ends.
-    pub fn touched(&self, from: &[Who], to: &[Who], carries: Carries) -> Vec<usize> {
+    /// Routers that their peers may take for failed because of a fault between these endpoints.
+    pub fn affected_routers(&self, from: &[Who], to: &[Who], carries: Carries) -> Vec<usize> {
         if !matches!(carries, Carries::All | Carries::Datagrams | Carries::Calls) {
             return Vec::new();
         }
-        let named = |router: &usize| {
-            let end = End::Router(*router);
-            from.iter().chain(to).any(|who| self.is(&end, who))
+        let affected = |router: &usize| {
+            let end = Endpoint::Router(*router);
+            from.iter().chain(to).any(|who| self.matches(&end, who))
         };
-        (0..self.routers).filter(named).collect()
+        (0..self.routers).filter(affected).collect()
     }
 
-    /// What the link does now to that kind of traffic.
-    pub fn weather(&self, from: &End, to: &End, what: Carries) -> Weather {
-        let any = |ends: &[Who], end: &End| ends.iter().any(|who| self.is(end, who));
-        let on = self.on.borrow();
-        let fits = |on: &&On| {
-            let forth = any(&on.from, from) && any(&on.to, to);
-            let back = on.both && any(&on.from, to) && any(&on.to, from);
-            (on.carries == Carries::All || on.carries == what) && (forth || back)
+    /// Combined effect of all active faults on this kind of traffic of a link.
+    pub fn link_conditions(&self, from: &Endpoint, to: &Endpoint, what: Carries) -> Weather {
+        let any_matches = |ends: &[Who], end: &Endpoint| ends.iter().any(|who| self.matches(end, who));
+        let faults = self.active_faults.borrow();
+        let applies = |fault: &&ActiveFault| {
+            let forward = any_matches(&fault.from, from) && any_matches(&fault.to, to);
+            let backward = fault.both && any_matches(&fault.from, to) && any_matches(&fault.to, from);
+            (fault.carries == Carries::All || fault.carries == what) && (forward || backward)
         };
-        on.iter().filter(fits).fold(Weather::default(), |sum, on| sum.and(on.weather))
+        faults.iter().filter(applies).fold(Weather::default(), |sum, fault| sum.and(fault.weather))
     }
 
     fn node_of(&self, address: SocketAddr) -> Option<usize> {
@@ -193,100 +196,101 @@
         self.nodes.iter().position(|node| node.ip == ip)
     }
 
-    fn chance(&self, share: f64) -> bool {
+    fn happens(&self, share: f64) -> bool {
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 
-    fn late_ms(&self, weather: &Weather) -> f64 {
+    fn random_delay_ms(&self, weather: &Weather) -> f64 {
         weather.delay_ms + weather.jitter_ms * self.rng.borrow_mut().f64()
     }
 
-    async fn datagrams(self: Rc<Self>, to: usize) {
-        let own = self.nodes[to].relay.clone();
+    async fn relay_datagrams(self: Rc<Self>, to: usize) {
+        let receiver = self.nodes[to].relay.clone();
         let mut bytes = vec![0; 65536];
         loop {
-            let Ok((count, source)) = own.recv_from(&mut bytes).await else {
+            let Ok((count, source)) = receiver.recv_from(&mut bytes).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
             let Some(from) = self.node_of(source) else { continue };
-            let weather = self.weather(&End::Router(from), &End::Router(to), Carries::Datagrams);
-            if weather.cut.is_some() || self.chance(weather.loss) {
+            let weather =
+                self.link_conditions(&Endpoint::Router(from), &Endpoint::Router(to), Carries::Datagrams);
+            if weather.cut.is_some() || self.happens(weather.loss) {
                 continue;
             }
-            let mut letter = bytes[..count].to_vec();
-            if self.chance(weather.spoilt) && !letter.is_empty() {
-                let at = self.rng.borrow_mut().usize(..letter.len());
-                letter[at] ^= 1 << self.rng.borrow_mut().u8(..8);
+            let mut packet = bytes[..count].to_vec();
+            if self.happens(weather.spoilt) && !packet.is_empty() {
+                let at = self.rng.borrow_mut().usize(..packet.len());
+                packet[at] ^= 1 << self.rng.borrow_mut().u8(..8);
             }
-            let mut wait_ms = self.late_ms(&weather);
+            let mut wait_ms = self.random_delay_ms(&weather);
             if let Some(per_s) = weather.bytes_per_s {
-                let mut busy = self.nodes[to].busy.borrow_mut();
-                let free = busy.get(&from).copied().unwrap_or_else(Instant::now).max(Instant::now());
-                let until = free + duration(count as f64 / per_s * 1e3);
-                busy.insert(from, until);
+                let mut busy_until = self.nodes[to].busy_until.borrow_mut();
+                let free_at = busy_until.get(&from).copied().unwrap_or_else(Instant::now).max(Instant::now());
+                let until = free_at + duration(count as f64 / per_s * 1e3);
+                busy_until.insert(from, until);
                 wait_ms += until.duration_since(Instant::now()).as_secs_f64() * 1e3;
             }
-            let times = 1 + usize::from(self.chance(weather.twice));
-            for time in 0..times {
-                // Sent on from where the sender is known, so that the answer finds the way back.
+            let copies = 1 + usize::from(self.happens(weather.twice));
+            for copy in 0..copies {
+                // Forwarded from the sender's relay address, so that the reply goes through the relays too.
                 let relay = self.nodes[from].relay.clone();
-                let Some(real) = self.nodes[to].real.get() else { continue };
-                let wait_ms = if time == 0 { wait_ms } else { wait_ms + self.late_ms(&weather) };
+                let Some(target) = self.nodes[to].target.get() else { continue };
+                let wait_ms = if copy == 0 { wait_ms } else { wait_ms + self.random_delay_ms(&weather) };
                 if wait_ms <= 0.0 {
-                    let _ = relay.try_send_to(&letter, real);
+                    let _ = relay.try_send_to(&packet, target);
                     continue;
                 }
-                let letter = letter.clone();
+                let packet = packet.clone();
                 tokio::task::spawn_local(async move {
                     sleep(duration(wait_ms)).await;
-                    let _ = relay.send_to(&letter, real).await;
+                    let _ = relay.send_to(&packet, target).await;
                 });
             }
         }
     }
 
-    async fn calls(self: Rc<Self>, to: usize, listener: TcpListener) {
+    async fn relay_calls(self: Rc<Self>, to: usize, listener: TcpListener) {
         loop {
             let Ok((stream, source)) = listener.accept().await else { continue };
             let from = self.node_of(source);
-            let real = self.nodes[to].real.get();
-            if let (Some(from), Some(real)) = (from, real) {
-                let ends = (End::Router(from), End::Router(to));
-                tokio::task::spawn_local(self.clone().link(stream, real, ends, Carries::Calls));
+            let target = self.nodes[to].target.get();
+            if let (Some(from), Some(target)) = (from, target) {
+                let ends = (Endpoint::Router(from), Endpoint::Router(to));
+                tokio::task::spawn_local(self.clone().relay_connection(stream, target, ends, Carries::Calls));
             }
         }
     }
 
-    /// A relay of one directed link to a fixed address.
+    /// Starts a relay for connections on one directed link to a fixed address; returns the relay's address.
     ///
     /// # Errors
-    /// No port that is free.
-    pub async fn relay(
+    /// No free port.
+    pub async fn start_relay(
         self: &Rc<Self>,
-        from: End,
-        to: End,
-        real: SocketAddr,
+        from: Endpoint,
+        to: Endpoint,
+        target: SocketAddr,
         what: Carries,
     ) -> Result<SocketAddr> {
-        let listener = TcpListener::bind("127.0.0.1:0").await.context("a relay's port")?;
+        let listener = TcpListener::bind("127.0.0.1:0").await.context("binding the TCP port of a relay")?;
         let address = listener.local_addr()?;
         let mesh = self.clone();
         tokio::task::spawn_local(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let ends = (from.clone(), to.clone());
-                tokio::task::spawn_local(mesh.clone().link(stream, real, ends, what));
+                tokio::task::spawn_local(mesh.clone().relay_connection(stream, target, ends, what));
             }
         });
         Ok(address)
     }
 
-    /// Waits while a link swallows what it is given; false where it resets.
-    async fn open(&self, from: &End, to: &End, what: Carries) -> bool {
+    /// Waits while a link silently drops traffic; false if it resets connections.
+    async fn wait_until_passing(&self, from: &Endpoint, to: &Endpoint, what: Carries) -> bool {
         loop {
             let changed = self.changed.notified();
-            match self.weather(from, to, what).cut {
+            match self.link_conditions(from, to, what).cut {
                 None => return true,
                 Some(Cut::Reset) => return false,
                 Some(Cut::Silent) => changed.await,
@@ -294,11 +298,11 @@
         }
     }
 
-    /// Passes once either way of a link is one that resets.
-    async fn resets(&self, from: &End, to: &End, what: Carries) {
+    /// Returns once either direction of a link resets connections.
+    async fn wait_for_reset(&self, from: &Endpoint, to: &Endpoint, what: Carries) {
         loop {
             let changed = self.changed.notified();
-            let cut = |a: &End, b: &End| self.weather(a, b, what).cut == Some(Cut::Reset);
+            let cut = |a: &Endpoint, b: &Endpoint| self.link_conditions(a, b, what).cut == Some(Cut::Reset);
             if cut(from, to) || cut(to, from) {
                 return;
             }
@@ -306,24 +310,33 @@
         }
     }
 
-    async fn link(self: Rc<Self>, client: TcpStream, real: SocketAddr, ends: (End, End), what: Carries) {
+    async fn relay_connection(
+        self: Rc<Self>,
+        client: TcpStream,
+        target: SocketAddr,
+        ends: (Endpoint, Endpoint),
+        what: Carries,
+    ) {
         let (from, to) = ends;
         let _ = client.set_nodelay(true);
         let reset = |stream: &TcpStream| {
             let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
         };
-        let joined = async {
-            // A handshake needs both ways.
-            (self.open(&from, &to, what).await && self.open(&to, &from, what).await).then_some(())?;
-            TcpStream::connect(real).await.ok()
+        let upstream = async {
+            // A TCP handshake needs both directions.
+            (self.wait_until_passing(&from, &to, what).await
+                && self.wait_until_passing(&to, &from, what).await)
+                .then_some(())?;
+            TcpStream::connect(target).await.ok()
         };
-        // Whose client is gone before the other end answered is never made: no request waits here for a server's return.
-        let joined = tokio::select! {
+        // If the client closes before the upstream connects, no upstream connection is made: a request must
+        // not wait here until a server returns.
+        let upstream = tokio::select! {
             biased;
-            joined = joined => joined,
-            () = closed(&client) => None,
+            upstream = upstream => upstream,
+            () = wait_for_close(&client) => None,
         };
-        let Some(server) = joined else {
+        let Some(server) = upstream else {
             reset(&client);
             return;
         };
@@ -331,48 +344,49 @@
         reset(&client);
         reset(&server);
         let ((client_in, client_out), (server_in, server_out)) = (client.into_split(), server.into_split());
-        let forth = self.pipe(client_in, server_out, &from, &to, what);
-        let back = self.pipe(server_in, client_out, &to, &from, what);
-        // Both ends are dropped where one breaks; a half that only ended lets the other go on.
+        let forward = self.copy_direction(client_in, server_out, &from, &to, what);
+        let backward = self.copy_direction(server_in, client_out, &to, &from, what);
+        // An error in one direction drops both connections; an orderly end of one direction lets the other
+        // continue.
         let both = async {
-            tokio::try_join!(forth, back).ok();
+            tokio::try_join!(forward, backward).ok();
         };
         tokio::select! {
             () = both => {}
-            () = self.resets(&from, &to, what) => {}
+            () = self.wait_for_reset(&from, &to, what) => {}
         }
     }
 
-    async fn pipe(
+    async fn copy_direction(
         &self,
         mut source: OwnedReadHalf,
         mut sink: OwnedWriteHalf,
-        from: &End,
-        to: &End,
+        from: &Endpoint,
+        to: &Endpoint,
         what: Carries,
     ) -> std::io::Result<()> {
-        let broke = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
+        let reset_error = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         let mut bytes = vec![0; 16 << 10];
         loop {
             let count = source.read(&mut bytes).await?;
-            if !self.open(from, to, what).await {
-                return Err(broke());
+            if !self.wait_until_passing(from, to, what).await {
+                return Err(reset_error());
             }
             if count == 0 {
-                // An orderly end is passed on as one.
+                // Forwards an orderly close as FIN instead of a reset.
                 let _ = socket2::SockRef::from(sink.as_ref()).set_linger(None);
                 return sink.shutdown().await;
             }
-            let weather = self.weather(from, to, what);
-            let mut wait_ms = self.late_ms(&weather);
-            if self.chance(weather.loss) {
-                wait_ms += AGAIN_MS;
+            let weather = self.link_conditions(from, to, what);
+            let mut wait_ms = self.random_delay_ms(&weather);
+            if self.happens(weather.loss) {
+                wait_ms += RETRANSMIT_DELAY_MS;
             }
             wait_ms += weather.bytes_per_s.map_or(0.0, |per_s| count as f64 / per_s * 1e3);
             if wait_ms > 0.0 {
                 sleep(duration(wait_ms)).await;
-                if !self.open(from, to, what).await {
-                    return Err(broke());
+                if !self.wait_until_passing(from, to, what).await {
+                    return Err(reset_error());
                 }
             }
             sink.write_all(&bytes[..count]).await?;
--- a/crates/day/src/peer_rules.rs
+++ b/crates/day/src/peer_rules.rs
@@ -76,7 +76,8 @@
             && self.touches(router, from_ms, to_ms)
     }
 
-    /// Whether links of that router were at fault at some time in between: it may not have reached who holds a state.
+    /// Whether links of that router were at fault at some time in between: it may not have reached who holds
+    /// a state.
     pub(crate) fn cut(&self, router: usize, from_ms: f64, to_ms: f64) -> bool {
         self.name == "link" && self.touches(router, from_ms, to_ms)
     }
@@ -132,8 +133,8 @@
     rule
 }
 
-/// What all may use is at most the whole: of each router the lesser of what it said before and after, so that none is
-/// counted with what it had given up.
+/// What all may use is at most the whole: of each router the lesser of what it said before and after, so that
+/// none is counted with what it had given up.
 fn shared(said: &[Said], spans: &[Span]) -> Rule {
     let mut rule = Rule::new("shares within the whole");
     let mut rows: BTreeMap<usize, Vec<&Said>> = BTreeMap::new();
@@ -196,7 +197,8 @@
         let displaced = first.values().filter(|said| said.mind == "displaced").count();
         first.retain(|_, said| said.mind != "displaced");
         let wanted = facts.routers - displaced;
-        // Silence tells something only where there was time to ask everybody: the next fault may come at once.
+        // Silence tells something only where there was time to ask everybody: the next fault may come at
+        // once.
         if first.len() < wanted && until_ms - healed_ms >= facts.asks_ms {
             broken(format!("{} of {wanted} routers say anything", first.len()));
         }
@@ -221,8 +223,8 @@
 /// Longest and shortest time over which a customer's requests are counted, in ms.
 const WINDOWS_MS: [f64; 3] = [1000.0, 4000.0, 16_000.0];
 
-/// What a customer got through at all routers together keeps its limit: in any window its rate, its burst, and one
-/// request for each router, since a part of a request is none.
+/// What a customer got through at all routers together keeps its limit: in any window its rate, its burst,
+/// and one request for each router, since a part of a request is none.
 fn limited(facts: &PeerFacts, lines: &[Line]) -> Rule {
     let mut rule = Rule::new("customers' limits in common");
     let mut customers: BTreeMap<&str, &str> = BTreeMap::new();
--- a/crates/day/src/random.rs
+++ b/crates/day/src/random.rs
@@ -1,5 +1,5 @@
-//! Random scripts for processes that know each other: drawn from a seed, played, and where one breaks a rule, made smaller
-//! until no trouble can be left out.
+//! Random scripts for processes that know each other: drawn from a seed, played, and where one breaks a rule,
+//! made smaller until no trouble can be left out.
 
 use std::path::{Path, PathBuf};
 
@@ -35,7 +35,8 @@
     }
 }
 
-/// Troubles of one script, the time in which they begin, and the quiet at its end in which all has to heal, in s.
+/// Troubles of one script, the time in which they begin, and the quiet at its end in which all has to heal,
+/// in s.
 const TROUBLES: std::ops::RangeInclusive<usize> = 2..=6;
 const BEGINS_S: std::ops::Range<f64> = 3.0..15.0;
 const LASTS_S: std::ops::Range<f64> = 0.5..5.0;
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -93,7 +93,8 @@
         customers: by(ops.values(), |op| op.customer.to_owned()),
         shapes: match facts.shapes.is_empty() {
             true => Vec::new(),
-            // Beyond the day's own, where one is rehearsed with more of them, routers are as the template says.
+            // Beyond the day's own, where one is rehearsed with more of them, routers are as the template
+            // says.
             false => {
                 by(ops.values(), |op| facts.shapes.get(op.router).map_or(TEMPLATE, |name| name).to_owned())
             }
@@ -139,7 +140,8 @@
 /// Time from the first trouble in which the plan may still be on its way, in ms.
 const SETTLES_MS: f64 = 3000.0;
 
-/// When the first trouble began and the last one ended, in ms; words of operators and bursts of clients are none.
+/// When the first trouble began and the last one ended, in ms; words of operators and bursts of clients are
+/// none.
 fn span(lines: &[Line]) -> (f64, f64) {
     let times = |wanted: bool| {
         lines.iter().filter_map(move |line| match &line.what {
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -1,147 +1,156 @@
-//! Brings about what the script says, when it says so.
+//! Runs the faults of a day's script at their scheduled times.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use paddleproxy_emulator::troubles::Ramp;
-use paddleproxy_fleet::record::What as Line;
+use paddleproxy_fleet::record::What as RecordWhat;
 use paddleproxy_fleet::server::Server;
 use paddleproxy_settings::day::{Dead, Trouble, What};
 use tokio::time::{sleep, sleep_until};
 
-use crate::rig;
-use crate::stage::Stage;
+use crate::process_faults;
+use crate::scenario::RunningScenario;
 
 fn wait(ms: f64) -> tokio::time::Sleep {
     sleep(Duration::from_secs_f64(ms.max(0.0) / 1e3))
 }
 
-/// One trouble, from its beginning to its end.
-pub async fn befall(stage: Rc<Stage>, trouble: Trouble) {
-    sleep_until(stage.record.at(trouble.at_ms)).await;
+/// Runs one trouble from its start to its end and records both.
+pub async fn run_trouble(scenario: Rc<RunningScenario>, trouble: Trouble) {
+    sleep_until(scenario.record.at(trouble.at_ms)).await;
     let name = match &trouble.what {
         What::Dead { how: Dead::Unreachable, .. } => "unreachable",
         what => what.name(),
     };
-    let note = |begins| stage.record.add(Line::Trouble { name: name.to_owned(), begins });
-    note(true);
+    let record_trouble = |begins| scenario.record.add(RecordWhat::Trouble { name: name.to_owned(), begins });
+    record_trouble(true);
     if let What::Rig(fault) = &trouble.what {
-        rig::befall(&stage, &trouble, fault).await;
-        note(false);
+        process_faults::run_fault(&scenario, &trouble, fault).await;
+        record_trouble(false);
         return;
     }
-    begin(&stage, &trouble).await;
+    begin(&scenario, &trouble).await;
     wait(trouble.for_ms).await;
-    end(&stage, &trouble).await;
-    note(false);
+    end(&scenario, &trouble).await;
+    record_trouble(false);
 }
 
-fn each(stage: &Stage, servers: &[String], change: impl Fn(&Server)) {
-    servers.iter().filter_map(|name| stage.fleet.server(name)).for_each(|server| change(server));
+fn on_each_server(scenario: &RunningScenario, servers: &[String], change: impl Fn(&Server)) {
+    servers.iter().filter_map(|name| scenario.fleet.server(name)).for_each(|server| change(server));
 }
 
-async fn begin(stage: &Rc<Stage>, trouble: &Trouble) {
-    let now_ms = stage.record.now_ms();
+async fn begin(scenario: &Rc<RunningScenario>, trouble: &Trouble) {
+    let now_ms = scenario.record.now_ms();
     match &trouble.what {
         What::Dead { servers, how, .. } => {
             for name in servers {
-                stage.fleet.kill(name, *how).await;
+                scenario.fleet.kill(name, *how).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = true)),
-        What::Slow { servers, factor } => each(stage, servers, |s| s.befalls(|t| t.slow = *factor)),
+        What::Silent { servers } => on_each_server(scenario, servers, |s| s.befalls(|t| t.silent = true)),
+        What::Slow { servers, factor } => {
+            on_each_server(scenario, servers, |s| s.befalls(|t| t.slow = *factor))
+        }
         What::Ageing { servers, factor } => {
-            each(stage, servers, |s| s.befalls(|t| t.ageing = Some((now_ms, *factor))))
+            on_each_server(scenario, servers, |s| s.befalls(|t| t.ageing = Some((now_ms, *factor))))
         }
-        What::Erring { servers, share, model } => each(stage, servers, |s| {
+        What::Erring { servers, share, model } => on_each_server(scenario, servers, |s| {
             s.change_trouble(|t| (t.erring, t.erring_model) = (*share, model.clone()));
         }),
         What::AnswerLost { servers, share } => {
-            each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = *share))
+            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.answer_lost = *share))
         }
         What::Pausing { servers, pause_ms, every_ms } => {
-            each(stage, servers, |s| s.befalls(|t| t.pausing = Some((*pause_ms, *every_ms))));
+            on_each_server(scenario, servers, |s| s.befalls(|t| t.pausing = Some((*pause_ms, *every_ms))));
         }
         What::Flush { servers } => {
-            servers.iter().filter_map(|name| stage.fleet.server(name)).for_each(|server| server.flush());
+            servers.iter().filter_map(|name| scenario.fleet.server(name)).for_each(|server| server.flush());
         }
         What::Drain { servers, notice_ms } => {
-            each(stage, servers, |s| s.befalls(|t| t.draining = true));
+            on_each_server(scenario, servers, |s| s.befalls(|t| t.draining = true));
             servers
                 .iter()
-                .filter_map(|name| stage.fleet.server(name))
+                .filter_map(|name| scenario.fleet.server(name))
                 .for_each(|server| server.list("draining"));
             wait(*notice_ms).await;
             for name in servers {
-                stage.fleet.kill(name, Dead::Refuse).await;
+                scenario.fleet.kill(name, Dead::Refuse).await;
             }
         }
         What::Links { cell, factor } => {
-            stage.fleet.shared.links.slow(*cell, *factor);
+            scenario.fleet.shared.links.slow(*cell, *factor);
         }
         What::ZoneLost { zone, routers } => {
-            for name in stage.fleet.in_zone(zone) {
-                stage.fleet.kill(&name, Dead::Unreachable).await;
+            for name in scenario.fleet.in_zone(zone) {
+                scenario.fleet.kill(&name, Dead::Unreachable).await;
             }
-            for router in stage.routers_of(zone).into_iter().filter(|_| *routers) {
-                stage.kill_router(router).await;
+            for router in scenario.routers_of(zone).into_iter().filter(|_| *routers) {
+                scenario.kill_router(router).await;
             }
         }
-        What::ListBehind { by_ms } => stage.fleet.shared.list.behind_ms.set(*by_ms),
-        What::ListDown => stage.fleet.shared.list.down.set(true),
-        What::ListLies { share } => stage.fleet.shared.list.anew(*share),
-        What::RouterKilled { router } => stage.kill_router(*router).await,
-        What::RouterStopped { router } => stage.stop_router(*router).await,
+        What::ListBehind { by_ms } => scenario.fleet.shared.list.behind_ms.set(*by_ms),
+        What::ListDown => scenario.fleet.shared.list.down.set(true),
+        What::ListLies { share } => scenario.fleet.shared.list.anew(*share),
+        What::RouterKilled { router } => scenario.kill_router(*router).await,
+        What::RouterStopped { router } => scenario.stop_router(*router).await,
         What::Ramp { key, factor } => {
             let (key, for_ms) = (key.clone(), trouble.for_ms);
-            *stage.mood.ramp.borrow_mut() = Some(Ramp { key, from_ms: now_ms, for_ms, factor: *factor });
+            *scenario.conditions.ramp.borrow_mut() =
+                Some(Ramp { key, from_ms: now_ms, for_ms, factor: *factor });
         }
-        What::Burst { key, factor } => *stage.mood.burst.borrow_mut() = Some((key.clone(), *factor)),
-        What::LongPrompts { share, factor } => stage.mood.long.set(Some((*share, *factor))),
-        What::HotBeginning { share, tokens } => stage.mood.hot.set(Some((*share, *tokens))),
-        What::GiveUp { share } => stage.mood.gives_up.set(*share),
+        What::Burst { key, factor } => *scenario.conditions.burst.borrow_mut() = Some((key.clone(), *factor)),
+        What::LongPrompts { share, factor } => scenario.conditions.long.set(Some((*share, *factor))),
+        What::HotBeginning { share, tokens } => scenario.conditions.hot.set(Some((*share, *tokens))),
+        What::GiveUp { share } => scenario.conditions.leave_share.set(*share),
         What::Rig(_) => {}
     }
 }
 
-async fn end(stage: &Rc<Stage>, trouble: &Trouble) {
-    let back = |servers: Vec<String>, as_new: bool| async move {
+async fn end(scenario: &Rc<RunningScenario>, trouble: &Trouble) {
+    let restart_servers = |servers: Vec<String>, as_new: bool| async move {
         for name in servers {
-            if let Err(cause) = stage.fleet.back(&name, as_new).await {
-                stage.fail(format!("{cause:#}"));
+            if let Err(cause) = scenario.fleet.back(&name, as_new).await {
+                scenario.record_failure(format!("{cause:#}"));
             }
         }
     };
     match &trouble.what {
-        What::Dead { servers, back_as_new, .. } => back(servers.clone(), *back_as_new).await,
-        What::Drain { servers, .. } => back(servers.clone(), false).await,
+        What::Dead { servers, back_as_new, .. } => restart_servers(servers.clone(), *back_as_new).await,
+        What::Drain { servers, .. } => restart_servers(servers.clone(), false).await,
         What::ZoneLost { zone, routers } => {
-            back(stage.fleet.in_zone(zone), false).await;
-            for router in stage.routers_of(zone).into_iter().filter(|_| *routers) {
-                stage.start_router(router).await;
+            restart_servers(scenario.fleet.in_zone(zone), false).await;
+            for router in scenario.routers_of(zone).into_iter().filter(|_| *routers) {
+                scenario.start_router(router).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = false)),
-        What::Slow { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.slow = 1.0)),
-        What::Ageing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.ageing = None)),
-        What::Erring { servers, .. } => each(stage, servers, |s| s.change_trouble(|t| t.erring = 0.0)),
+        What::Silent { servers } => on_each_server(scenario, servers, |s| s.befalls(|t| t.silent = false)),
+        What::Slow { servers, .. } => on_each_server(scenario, servers, |s| s.befalls(|t| t.slow = 1.0)),
+        What::Ageing { servers, .. } => on_each_server(scenario, servers, |s| s.befalls(|t| t.ageing = None)),
+        What::Erring { servers, .. } => {
+            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.erring = 0.0))
+        }
         What::AnswerLost { servers, .. } => {
-            each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = 0.0))
+            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.answer_lost = 0.0))
+        }
+        What::Pausing { servers, .. } => {
+            on_each_server(scenario, servers, |s| s.befalls(|t| t.pausing = None))
         }
-        What::Pausing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.pausing = None)),
         What::Flush { .. } => {}
         What::Links { cell, .. } => {
-            stage.fleet.shared.links.slow(*cell, 1.0);
-        }
-        What::ListBehind { .. } => stage.fleet.shared.list.behind_ms.set(0.0),
-        What::ListDown => stage.fleet.shared.list.down.set(false),
-        What::ListLies { .. } => stage.fleet.shared.list.anew(0.0),
-        What::RouterKilled { router } | What::RouterStopped { router } => stage.start_router(*router).await,
-        What::Ramp { .. } => *stage.mood.ramp.borrow_mut() = None,
-        What::Burst { .. } => *stage.mood.burst.borrow_mut() = None,
-        What::LongPrompts { .. } => stage.mood.long.set(None),
-        What::HotBeginning { .. } => stage.mood.hot.set(None),
-        What::GiveUp { .. } => stage.mood.gives_up.set(0.0),
+            scenario.fleet.shared.links.slow(*cell, 1.0);
+        }
+        What::ListBehind { .. } => scenario.fleet.shared.list.behind_ms.set(0.0),
+        What::ListDown => scenario.fleet.shared.list.down.set(false),
+        What::ListLies { .. } => scenario.fleet.shared.list.anew(0.0),
+        What::RouterKilled { router } | What::RouterStopped { router } => {
+            scenario.start_router(*router).await
+        }
+        What::Ramp { .. } => *scenario.conditions.ramp.borrow_mut() = None,
+        What::Burst { .. } => *scenario.conditions.burst.borrow_mut() = None,
+        What::LongPrompts { .. } => scenario.conditions.long.set(None),
+        What::HotBeginning { .. } => scenario.conditions.hot.set(None),
+        What::GiveUp { .. } => scenario.conditions.leave_share.set(0.0),
         What::Rig(_) => {}
     }
 }
--- a/crates/rehearsal/src/curves.rs
+++ b/crates/rehearsal/src/curves.rs
@@ -105,7 +105,8 @@
     Ok(svg)
 }
 
-/// The knob along the axis: of those whose values are numbers the one with most of them, the later of two alike.
+/// The knob along the axis: of those whose values are numbers the one with most of them, the later of two
+/// alike.
 fn along(grid: &[Point]) -> Option<&'static str> {
     let mut values: BTreeMap<&'static str, Vec<&String>> = BTreeMap::new();
     for (name, value) in grid.iter().flatten() {
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Plays a grid of variations of one day, each with several seeds, over all cores. Each run is a line of a CSV file;
-//! what stands there already is not played again.
+//! Plays a grid of variations of one day, each with several seeds, over all cores. Each run is a line of a
+//! CSV file; what stands there already is not played again.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the record of a day, played on sockets or in virtual time, says over time: service before, during and after
-//! each trouble, how long it takes to recover, and a page with plots.
+//! What the record of a day, played on sockets or in virtual time, says over time: service before, during and
+//! after each trouble, how long it takes to recover, and a page with plots.
 
 pub mod cost;
 mod curves;
--- a/crates/rehearsal/src/phases.rs
+++ b/crates/rehearsal/src/phases.rs
@@ -6,7 +6,8 @@
 
 /// Time before and after a trouble that it is compared with, in ms.
 const AROUND_MS: f64 = 10_000.0;
-/// Length of the windows in which recovery is looked for, and the part of the service before that counts as recovered.
+/// Length of the windows in which recovery is looked for, and the part of the service before that counts as
+/// recovered.
 const WINDOW_MS: f64 = 2000.0;
 const RECOVERED: f64 = 0.95;
 /// Points on a plot, about.
@@ -30,7 +31,8 @@
     pub to_ms: f64,
 }
 
-/// Service around one trouble, by workload: share of wishes in target that were asked before, during and after it.
+/// Service around one trouble, by workload: share of wishes in target that were asked before, during and
+/// after it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Phase {
     pub span: Span,
