--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -424,7 +424,8 @@
                 {
                     let after_ms = now_ms - row.started_ms;
                     rule.broken.push(format!(
-                        "{server} got {sum:.0} ms of work, its budget was {budget:.0} ms, {after_ms:.0} ms after its start"
+                        "{server} got {sum:.0} ms of work, its budget was {budget:.0} ms, \
+                         {after_ms:.0} ms after its start"
                     ));
                 }
             }
--- a/crates/day/src/failover_rules.rs
+++ b/crates/day/src/failover_rules.rs
@@ -151,7 +151,8 @@
             rule.cases += 1;
             if more && received > room + 1.0 {
                 rule.broken.push(format!(
-                    "page {} at {:.0} ms gives {zone} {received:.1}/s; {capacity:.1}/s less its own {demand:.1}/s are there",
+                    "page {} at {:.0} ms gives {zone} {received:.1}/s; \
+                     {capacity:.1}/s less its own {demand:.1}/s are there",
                     report.page.1, report.at_ms
                 ));
             }
--- a/crates/rehearsal/src/cost.rs
+++ b/crates/rehearsal/src/cost.rs
@@ -1,4 +1,4 @@
-//! What the emulator itself costs as deployments grow.
+//! Measures the cost of the emulator itself as deployments grow.
 
 use std::fmt::Write;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 
 use crate::curves::{draw, Axes, Curve, HEAD};
 
-/// One size: a day whose load grows with its servers.
+/// Cost of one deployment size. The load grows with the number of servers.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Size {
     pub servers: usize,
@@ -21,12 +21,12 @@
     pub dispatches: u64,
     pub virtual_s: f64,
     pub took_s: f64,
-    /// Memory of the process afterwards, in MiB, where the system tells it.
+    /// Resident memory of the process after the run, in MiB, on systems with procfs.
     pub memory_mib: Option<f64>,
 }
 
-/// Plays the day with so many copies of its fleet, one after the other, smallest first.
-pub fn sizes(day: &Rc<DaySettings>, fleets: &[usize], routers: usize, say: impl Fn(&Size)) -> Vec<Size> {
+/// Plays the day once for each number of copies of its fleet, smallest first; `report` gets each result.
+pub fn sizes(day: &Rc<DaySettings>, fleets: &[usize], routers: usize, report: impl Fn(&Size)) -> Vec<Size> {
     let mut all = Vec::new();
     for fleets in fleets {
         let options = Options {
@@ -36,7 +36,7 @@
             keep_record: false,
             ..Options::default()
         };
-        let began = Instant::now();
+        let started = Instant::now();
         let run = run(day, &options);
         let size = Size {
             servers: day.fleet.servers.len() * fleets,
@@ -44,19 +44,19 @@
             events: run.events,
             dispatches: run.dispatches,
             virtual_s: run.ended_ms / 1e3,
-            took_s: began.elapsed().as_secs_f64(),
+            took_s: started.elapsed().as_secs_f64(),
             memory_mib: resident_mib("self"),
         };
-        say(&size);
+        report(&size);
         all.push(size);
     }
     all
 }
 
-/// The sizes on a page with plots.
+/// An HTML page with plots of the sizes.
 ///
 /// # Errors
-/// What the drawing library says.
+/// An error of the drawing library.
 pub fn page(sizes: &[Size]) -> Result<String> {
     let curve = |name: &str, of: &dyn Fn(&Size) -> f64| Curve {
         name: name.to_owned(),
@@ -71,7 +71,7 @@
     let mut page =
         format!("{HEAD}<h1>What the emulator costs</h1><p>One thread; the load grows with the servers.</p>");
     for (title, unit, curve) in plots {
-        let axes = Axes { title, x: "servers", y: unit, places: None };
+        let axes = Axes { title, x: "servers", y: unit, labels: None };
         let _ = write!(page, "<p>{}</p>", draw(&axes, &[curve])?);
     }
     page.push_str("</html>");
--- a/crates/rehearsal/src/curves/tests.rs
+++ b/crates/rehearsal/src/curves/tests.rs
@@ -8,9 +8,9 @@
 }
 
 #[test]
-fn a_grid_becomes_one_curve_for_all_but_the_numbers_along_the_axis() {
+fn a_grid_gives_one_curve_per_combination_of_the_other_parameters() {
     let grid = grid();
-    assert_eq!(along(&grid), Some("load"));
+    assert_eq!(x_parameter(&grid), Some("load"));
     let row = |point: &Point, seed, service| Row {
         point: title(point),
         seed,
@@ -22,13 +22,13 @@
     assert_eq!(names, ["policy=design", "policy=random"]);
     assert_eq!(curves[0].points.len(), 2);
     assert!((curves[0].points[1].1 - 0.85).abs() < 1e-12 && curves[0].points[1].0 == 2.0);
-    let axes = Axes { title: "t", x: "load", y: "share", places: None };
+    let axes = Axes { title: "t", x: "load", y: "share", labels: None };
     let svg = draw(&axes, &curves).unwrap();
     assert!(svg.contains("policy=random") && svg.contains("load"));
 }
 
 #[test]
-fn policies_alone_have_places_instead_of_numbers() {
+fn a_grid_without_numeric_parameters_has_no_x_parameter() {
     let grid = vec![vec![("policy", "design".to_owned())], vec![("policy", "random".to_owned())]];
-    assert_eq!(along(&grid), None);
+    assert_eq!(x_parameter(&grid), None);
 }
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Plays a grid of variations of one day, each with several seeds, over all cores. Each run is a line of a
-//! CSV file; what stands there already is not played again.
+//! Plays a grid of variations of one day, each with several seeds, on all cores. Each run is a line of a CSV
+//! file; runs that the file already holds are not played again.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -19,14 +19,14 @@
 
 use crate::phases::rehearsal;
 
-/// One point of the grid: the knobs that are varied, by name, as they are written.
+/// One point of the grid: the varied parameters as name and value.
 pub type Point = Vec<(&'static str, String)>;
 
-/// The figures of one run, in the order of `FIGURES`.
+/// Names of the figures of one run; the columns of the CSV file have the same order.
 pub const FIGURES: [&str; 7] =
     ["service", "worst_during", "recovered_ms", "finished", "refused", "wasted", "rules_broken"];
 
-/// What a run of one point and seed came to.
+/// Result of the run of one point and seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub point: String,
@@ -36,22 +36,22 @@
 
 /// All points of the grid.
 pub fn points(settings: &ExperimentSettings) -> Vec<Point> {
-    let text = |values: &[f64]| values.iter().map(f64::to_string).collect::<Vec<_>>();
-    let whole = |values: &[usize]| values.iter().map(usize::to_string).collect::<Vec<_>>();
-    let knobs: [(&'static str, Vec<String>); 10] = [
+    let numbers = |values: &[f64]| values.iter().map(f64::to_string).collect::<Vec<_>>();
+    let integers = |values: &[usize]| values.iter().map(usize::to_string).collect::<Vec<_>>();
+    let parameters: [(&'static str, Vec<String>); 10] = [
         ("memory", settings.memory.clone()),
         ("policy", settings.policies.clone()),
-        ("routers", whole(&settings.routers)),
-        ("fleets", whole(&settings.fleets)),
-        ("load", text(&settings.load)),
-        ("retries", whole(&settings.retries)),
-        ("max_retry_after_ms", text(&settings.max_retry_after_ms)),
-        ("list_delay_ms", text(&settings.list_delay_ms)),
-        ("cold_ms", text(&settings.cold_ms)),
-        ("most_removed", text(&settings.most_removed)),
+        ("routers", integers(&settings.routers)),
+        ("fleets", integers(&settings.fleets)),
+        ("load", numbers(&settings.load)),
+        ("retries", integers(&settings.retries)),
+        ("max_retry_after_ms", numbers(&settings.max_retry_after_ms)),
+        ("list_delay_ms", numbers(&settings.list_delay_ms)),
+        ("cold_ms", numbers(&settings.cold_ms)),
+        ("most_removed", numbers(&settings.most_removed)),
     ];
     let mut grid: Vec<Point> = vec![Vec::new()];
-    for (name, values) in knobs.into_iter().filter(|(_, values)| !values.is_empty()) {
+    for (name, values) in parameters.into_iter().filter(|(_, values)| !values.is_empty()) {
         let with = |point: &Point, value: &String| {
             let mut point = point.clone();
             point.push((name, value.clone()));
@@ -65,7 +65,7 @@
     grid
 }
 
-/// A point's name: its knobs as they are set.
+/// Name of a point: its parameters with their values.
 pub fn title(point: &Point) -> String {
     let parts: Vec<_> = point.iter().map(|(name, value)| format!("{name}={value}")).collect();
     if parts.is_empty() {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Plays one point with one seed.
+/// Plays the day at one point of the grid with one seed; returns its figures.
 fn play(day: &Path, point: &Point, seed: u64) -> Result<[f64; FIGURES.len()]> {
     let mut day: DaySettings = paddleproxy_settings::day::load(day)?;
     let mut options = Options { seed, ..Options::default() };
@@ -84,7 +84,7 @@
         match *name {
             "policy" => {
                 let found = Policy::ALL.iter().find(|(known, _)| known == value);
-                options.policy = found.with_context(|| format!("there is no policy '{value}'"))?.1;
+                options.policy = found.with_context(|| format!("unknown policy '{value}'"))?.1;
             }
             "routers" => options.routers = Some(number()? as usize),
             "fleets" => options.fleets = number()? as usize,
@@ -98,10 +98,10 @@
             "cold_ms" => (day.fleet.cold_ms, day.router.decisions.cold_ms) = (number()?, number()?),
             "memory" => {
                 let found = Memory::ALL.iter().find(|(known, _)| known == value);
-                options.memory = found.with_context(|| format!("there is no memory '{value}'"))?.1;
+                options.memory = found.with_context(|| format!("unknown memory model '{value}'"))?.1;
             }
             "most_removed" => day.router.membership.most_removed = number()?,
-            other => bail!("there is no knob '{other}'"),
+            other => bail!("unknown parameter '{other}'"),
         }
     }
     let day = Rc::new(day);
@@ -124,20 +124,20 @@
         recovered.fold(0.0, f64::max),
         sum(&|row| row.finished as f64) / asked,
         sum(&|row| row.rate_limited as f64) / asked,
-        // Dispatches that servers worked on for nobody.
+        // Wasted: dispatches that servers worked on although their result was not used.
         run.balance[3] as f64 / (run.balance[0] as f64).max(1.0),
         report.rules.iter().filter(|rule| !rule.broken.is_empty()).count() as f64,
     ])
 }
 
-/// Plays what `csv` does not hold yet and appends it; all rows of the experiment.
+/// Plays the runs that `csv` does not hold yet and appends them; returns all rows of the experiment.
 ///
 /// # Errors
-/// A day that can't be read, a knob or policy that isn't there, or a file that can't be written.
+/// A day that can't be read, an unknown parameter or policy, or a file that can't be written.
 pub fn experiment(
     settings: &ExperimentSettings,
     csv: &Path,
-    done: impl Fn(usize, usize),
+    on_progress: impl Fn(usize, usize),
 ) -> Result<Vec<Row>> {
     let mut rows = read(csv)?;
     let all: Vec<_> = points(settings)
@@ -145,23 +145,25 @@
         .flat_map(|point| (1..=settings.seeds).map(move |seed| (point.clone(), seed)))
         .collect();
     let known: std::collections::BTreeSet<_> = rows.iter().map(|row| (row.point.clone(), row.seed)).collect();
-    let open: Vec<_> = all.iter().filter(|(point, seed)| !known.contains(&(title(point), *seed))).collect();
-    // Written anew from what was understood: a line that was cut off must not stay.
-    let mut out = std::fs::File::create(csv)?;
-    writeln!(out, "point,seed,{}", FIGURES.join(","))?;
+    let pending: Vec<_> =
+        all.iter().filter(|(point, seed)| !known.contains(&(title(point), *seed))).collect();
+    // The file is rewritten from the rows that were parsed, so that an incomplete last line does not stay.
+    let mut file = std::fs::File::create(csv)?;
+    writeln!(file, "point,seed,{}", FIGURES.join(","))?;
     for row in &rows {
-        writeln!(out, "{}", line(row))?;
+        writeln!(file, "{}", csv_line(row))?;
     }
     let next = AtomicUsize::new(0);
-    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(open.len().max(1));
-    done(all.len() - open.len(), all.len());
+    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(pending.len().max(1));
+    on_progress(all.len() - pending.len(), all.len());
     std::thread::scope(|scope| -> Result<()> {
-        // Each thread takes the next run; a bounded channel brings the rows to the one that writes.
+        // Each thread takes the next run; a bounded channel passes the rows to this thread, which writes
+        // them.
         let (sender, receiver) = mpsc::sync_channel(threads);
         for _ in 0..threads {
-            let (sender, next, open) = (sender.clone(), &next, &open);
+            let (sender, next, pending) = (sender.clone(), &next, &pending);
             scope.spawn(move || {
-                while let Some((point, seed)) = open.get(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some((point, seed)) = pending.get(next.fetch_add(1, Ordering::Relaxed)) {
                     let played = play(&settings.day, point, *seed);
                     let row = played.map(|figures| Row { point: title(point), seed: *seed, figures });
                     if sender.send(row).is_err() {
@@ -171,14 +173,14 @@
             });
         }
         drop(sender);
-        let mut count = all.len() - open.len();
+        let mut count = all.len() - pending.len();
         for row in receiver {
             let row = row?;
-            writeln!(out, "{}", line(&row))?;
-            out.flush()?;
+            writeln!(file, "{}", csv_line(&row))?;
+            file.flush()?;
             rows.push(row);
             count += 1;
-            done(count, all.len());
+            on_progress(count, all.len());
         }
         Ok(())
     })?;
@@ -189,7 +191,7 @@
     Ok(rows)
 }
 
-fn line(row: &Row) -> String {
+fn csv_line(row: &Row) -> String {
     let figures: Vec<_> = row.figures.iter().map(f64::to_string).collect();
     format!("{},{},{}", row.point, row.seed, figures.join(","))
 }
@@ -210,15 +212,15 @@
         };
         match row() {
             Some(row) => rows.push(row),
-            // The last line of a run that was cut off is played again.
+            // The last line may be incomplete after an interrupted experiment; its run is played again.
             None if number + 1 == text.lines().count() => {}
-            None => bail!("{}:{}: not a row of this experiment", csv.display(), number + 1),
+            None => bail!("{}:{}: not a valid row of an experiment", csv.display(), number + 1),
         }
     }
     Ok(rows)
 }
 
-/// Mean, and half the width of its 95% confidence interval by Student's t.
+/// Mean, and half the width of its 95% confidence interval (Student's t).
 pub fn interval(values: &[f64]) -> (f64, f64) {
     let count = values.len() as f64;
     let mean = values.iter().sum::<f64>() / count;
@@ -230,7 +232,8 @@
     (mean, t * (variance / count).sqrt())
 }
 
-/// A table of means with their intervals, and of each point's service against the first one's, seed by seed.
+/// A table of means with their confidence intervals, and of the difference between each point's service and
+/// that of the first point, paired by seed.
 pub fn summary(settings: &ExperimentSettings, rows: &[Row]) -> String {
     let mut text = format!("{}: {}\n\n", settings.name, settings.question);
     let mut by_point: BTreeMap<&str, Vec<&Row>> = BTreeMap::new();
@@ -254,11 +257,11 @@
         let with = |(mean, half): (f64, f64)| format!("{mean:.3} ± {half:.3}");
         let ((service, against), worst, refused, wasted) =
             ((figure(0), interval(&paired)), figure(1), figure(4).0, figure(5).0);
-        let back: Vec<f64> = of.iter().map(|of| of.figures[2]).collect();
-        let never = back.iter().filter(|ms| ms.is_infinite()).count();
-        let longest = back.iter().copied().filter(|ms| ms.is_finite()).fold(0.0, f64::max) / 1e3;
-        let back = if never > 0 {
-            format!("not in {never} of {}", back.len())
+        let recovery_ms: Vec<f64> = of.iter().map(|of| of.figures[2]).collect();
+        let never = recovery_ms.iter().filter(|ms| ms.is_infinite()).count();
+        let longest = recovery_ms.iter().copied().filter(|ms| ms.is_finite()).fold(0.0, f64::max) / 1e3;
+        let recovery = if never > 0 {
+            format!("not in {never} of {}", recovery_ms.len())
         } else {
             format!("at most {longest:.1}")
         };
@@ -266,7 +269,8 @@
         let (service, against, worst) = (with(service), with(against), with(worst));
         let _ = writeln!(
             text,
-            "| {name} | {service} | {against} | {worst} | {back} | {refused:.3} | {wasted:.3} | {broken:.0} |"
+            "| {name} | {service} | {against} | {worst} | {recovery} | \
+             {refused:.3} | {wasted:.3} | {broken:.0} |"
         );
     }
     text
--- a/crates/rehearsal/src/experiment/tests.rs
+++ b/crates/rehearsal/src/experiment/tests.rs
@@ -16,32 +16,32 @@
 }
 
 #[test]
-fn all_cores_find_what_one_does_and_a_run_goes_on_where_it_was_cut() {
+fn parallel_runs_match_sequential_ones_and_a_truncated_file_is_resumed() {
     let settings = settings();
-    let mut alone = Vec::new();
+    let mut sequential = Vec::new();
     for point in points(&settings) {
         for seed in 1..=settings.seeds {
             let figures = play(&settings.day, &point, seed).unwrap();
-            alone.push(Row { point: title(&point), seed, figures });
+            sequential.push(Row { point: title(&point), seed, figures });
         }
     }
-    alone.sort_by(|a, b| (&a.point, a.seed).cmp(&(&b.point, b.seed)));
+    sequential.sort_by(|a, b| (&a.point, a.seed).cmp(&(&b.point, b.seed)));
     let dir = tempfile::tempdir().unwrap();
     let csv = dir.path().join("runs.csv");
-    assert_eq!(experiment(&settings, &csv, |_, _| {}).unwrap(), alone);
-    // Cut off within the last line.
+    assert_eq!(experiment(&settings, &csv, |_, _| {}).unwrap(), sequential);
+    // Truncates the file within its last line, as an interrupted experiment does.
     let text = std::fs::read_to_string(&csv).unwrap();
     std::fs::write(&csv, &text[..text.len() - 30]).unwrap();
     let played = std::cell::Cell::new(0);
-    let again =
+    let resumed =
         experiment(&settings, &csv, |done, _| played.set(played.get() + usize::from(done > 7))).unwrap();
-    assert_eq!((again, played.get()), (alone, 1));
+    assert_eq!((resumed, played.get()), (sequential, 1));
 }
 
 #[test]
-fn the_interval_is_students() {
+fn the_interval_uses_students_t() {
     let (mean, half) = interval(&[1.0, 2.0, 3.0, 4.0, 5.0]);
-    // t(0.975, 4) is 2.776, the standard error sqrt(2.5 / 5).
+    // t(0.975, 4) is 2.776; the standard error is sqrt(2.5 / 5).
     assert!((mean - 3.0).abs() < 1e-12 && (half - 2.776 * 0.5f64.sqrt()).abs() < 1e-3, "{half}");
     assert!(interval(&[1.0]).1.is_nan());
 }
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the record of a day, played on sockets or in virtual time, says over time: service before, during and
-//! after each trouble, how long it takes to recover, and a page with plots.
+//! Analyses the record of a day, played on sockets or in virtual time, over time: service before, during and
+//! after each trouble, time to recover, and pages with plots. Also plays experiments, which vary parameters
+//! of a day.
 
 pub mod cost;
 mod curves;
--- a/crates/rehearsal/src/page.rs
+++ b/crates/rehearsal/src/page.rs
@@ -1,4 +1,4 @@
-//! One self-contained HTML page of a rehearsal.
+//! A self-contained HTML page with the report and plots of a day.
 
 use std::fmt::Write;
 
@@ -9,15 +9,15 @@
 use crate::curves::COLOURS;
 use crate::phases::{Rehearsal, Span};
 
-const SIZE: (u32, u32) = (960, 300);
+const SIZE_PX: (u32, u32) = (960, 300);
 
 type Series = (String, Vec<(f64, f64)>);
 
-/// A plot over time with troubles shaded; times in seconds.
-fn plot(title: &str, unit: &str, most: f64, series: &[Series], spans: &[&Span]) -> Result<String> {
+/// A plot over time in seconds; the times of troubles are shaded.
+fn plot(title: &str, unit: &str, y_max: f64, series: &[Series], spans: &[&Span]) -> Result<String> {
     let mut svg = String::new();
     {
-        let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
+        let area = SVGBackend::with_string(&mut svg, SIZE_PX).into_drawing_area();
         let fail = |cause: &dyn std::fmt::Display| anyhow!("drawing '{title}': {cause}");
         area.fill(&WHITE).map_err(|cause| fail(&cause))?;
         let end = series.iter().flat_map(|(_, points)| points).map(|(at, _)| *at).fold(1.0, f64::max);
@@ -26,11 +26,11 @@
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(58)
-            .build_cartesian_2d(0.0..end, 0.0..most)
+            .build_cartesian_2d(0.0..end, 0.0..y_max)
             .map_err(|cause| fail(&cause))?;
         for span in spans {
             let to = span.to_ms.max(span.from_ms + end * 2.0).min(end * 1e3);
-            let corners = [(span.from_ms / 1e3, 0.0), (to / 1e3, most)];
+            let corners = [(span.from_ms / 1e3, 0.0), (to / 1e3, y_max)];
             let shade = Rectangle::new(corners, RGBColor(220, 60, 60).mix(0.10).filled());
             chart.draw_series([shade]).map_err(|cause| fail(&cause))?;
         }
@@ -47,7 +47,7 @@
             let points = points.iter().copied().filter(|(_, value)| value.is_finite());
             chart
                 .draw_series(LineSeries::new(
-                    points.map(|(at, value)| (at, value.min(most))),
+                    points.map(|(at, value)| (at, value.min(y_max))),
                     colour.stroke_width(2),
                 ))
                 .map_err(|cause| fail(&cause))?
@@ -75,7 +75,7 @@
     value.map_or("-".into(), |value| format!("{value:.3}"))
 }
 
-/// The page; `how` says what the day was played on.
+/// The HTML page of a day; `how` describes how the day was played, for example in virtual time.
 ///
 /// # Errors
 /// A plot that can't be drawn.
@@ -89,7 +89,7 @@
     };
     let in_s =
         |points: &[(f64, f64)]| points.iter().map(|(at, value)| (at / 1e3, *value)).collect::<Vec<_>>();
-    let most = |series: &[Series]| {
+    let y_max = |series: &[Series]| {
         let all = series
             .iter()
             .flat_map(|(_, points)| points)
@@ -97,21 +97,27 @@
             .filter(|value| value.is_finite());
         all.fold(1.0, f64::max) * 1.05
     };
-    let firsts = over_time(|point| point.first_ms);
-    let ends = vec![
+    let first_token_ms = over_time(|point| point.first_ms);
+    let failures = vec![
         ("rate-limited".to_owned(), in_s(&rehearsal.refused_per_s)),
         ("broken".to_owned(), in_s(&rehearsal.broken_per_s)),
     ];
     let plots = [
         plot(
-            "Service: share of wishes in target, by when they were asked",
+            "Service: share of operations in target, by start time",
             "share",
             1.0,
             &over_time(|p| p.in_target),
             &spans,
         )?,
-        plot("Time to the first token, 90 of 100", "ms", most(&firsts), &firsts, &spans)?,
-        plot("Answers that were none", "a second", most(&ends), &ends, &spans)?,
+        plot(
+            "Time to the first token, 90th percentile",
+            "ms",
+            y_max(&first_token_ms),
+            &first_token_ms,
+            &spans,
+        )?,
+        plot("Rate-limited and broken requests", "a second", y_max(&failures), &failures, &spans)?,
     ];
     let mut page = String::from(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>Rehearsal</title><style>\
@@ -156,9 +162,9 @@
         let _ = write!(page, "<p>{plot}</p>");
     }
     page.push_str(
-        "<h2>Troubles</h2><p>Share of wishes in target that were asked in the 10 s before, during, and in the 10 s \
-         after; shaded above.</p><table><tr><th>trouble<th>from, s<th>to, s<th>workload<th>before<th>during<th>after\
-         <th>recovered after, s</tr>",
+        "<h2>Troubles</h2><p>Share of operations in target among those started in the 10 s before, during, and in \
+         the 10 s after each trouble; shaded above.</p><table><tr><th>trouble<th>from, s<th>to, s\
+         <th>workload<th>before<th>during<th>after<th>recovered after, s</tr>",
     );
     for phase in &rehearsal.troubles {
         for (row, (name, [before, during, after])) in phase.workloads.iter().enumerate() {
--- a/crates/rehearsal/src/phases.rs
+++ b/crates/rehearsal/src/phases.rs
@@ -4,26 +4,26 @@
 use paddleproxy_emulator::record::{Line, What};
 use serde::Serialize;
 
-/// Time before and after a trouble that it is compared with, in ms.
-const AROUND_MS: f64 = 10_000.0;
-/// Length of the windows in which recovery is looked for, and the part of the service before that counts as
-/// recovered.
-const WINDOW_MS: f64 = 2000.0;
-const RECOVERED: f64 = 0.95;
-/// Points on a plot, about.
-const POINTS: f64 = 150.0;
+/// Length of the periods before and after a trouble with which it is compared, in ms.
+const COMPARISON_MS: f64 = 10_000.0;
+/// Length of the windows in which recovery is detected, in ms, and the fraction of the service before the
+/// trouble that counts as recovered.
+const RECOVERY_WINDOW_MS: f64 = 2000.0;
+const RECOVERED_SHARE: f64 = 0.95;
+/// Approximate number of points on a plot.
+const PLOT_POINTS: f64 = 150.0;
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Rehearsal {
     pub troubles: Vec<Phase>,
-    /// By workload, over time.
+    /// Service over time, by workload.
     pub points: BTreeMap<String, Vec<Point>>,
     pub refused_per_s: Vec<(f64, f64)>,
     pub broken_per_s: Vec<(f64, f64)>,
     pub step_ms: f64,
 }
 
-/// When a trouble lasted.
+/// Time span of a trouble.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Span {
     pub name: String,
@@ -31,13 +31,14 @@
     pub to_ms: f64,
 }
 
-/// Service around one trouble, by workload: share of wishes in target that were asked before, during and
-/// after it.
+/// Service around one trouble: by workload, the share in target of the operations that started before, during
+/// and after it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Phase {
     pub span: Span,
     pub workloads: BTreeMap<String, [Option<f64>; 3]>,
-    /// Time after its end until service is back at 95% of before; None where it is not within the day.
+    /// Time from its end until service is back at 95% of the level before it; None if that is not within the
+    /// day.
     pub recovered_after_ms: Option<f64>,
 }
 
@@ -48,7 +49,7 @@
     pub first_ms: f64,
 }
 
-struct Wish<'a> {
+struct Operation<'a> {
     workload: &'a str,
     asked_ms: f64,
     target_ms: f64,
@@ -57,14 +58,14 @@
     left: bool,
 }
 
-impl Wish<'_> {
+impl Operation<'_> {
     fn in_target(&self) -> bool {
         self.finished && self.first_ms.is_some_and(|first| first - self.asked_ms <= self.target_ms)
     }
 }
 
 pub fn rehearsal(facts: &Facts, lines: &[Line]) -> Rehearsal {
-    let mut wishes: BTreeMap<&str, Wish> = BTreeMap::new();
+    let mut operations: BTreeMap<&str, Operation> = BTreeMap::new();
     let mut open: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
     let mut spans = Vec::new();
     let (mut refused, mut broken) = (Vec::new(), Vec::new());
@@ -75,20 +76,22 @@
                 let workload = facts.workloads.iter().find(|row| row.models.contains(model));
                 let workload = workload.map_or("", |row| row.name.as_str());
                 let (asked_ms, target_ms) = (line.at_ms, *target_ms);
-                let wish =
-                    Wish { workload, asked_ms, target_ms, first_ms: None, finished: false, left: false };
-                wishes.insert(op, wish);
+                let operation =
+                    Operation { workload, asked_ms, target_ms, first_ms: None, finished: false, left: false };
+                operations.insert(op, operation);
                 end_ms = end_ms.max(line.at_ms);
             }
-            What::First { op, .. } => set(&mut wishes, op, |wish| wish.first_ms = Some(line.at_ms)),
+            What::First { op, .. } => {
+                update(&mut operations, op, |operation| operation.first_ms = Some(line.at_ms))
+            }
             What::Final { op, how, .. } => {
-                set(&mut wishes, op, |wish| wish.finished = how == "finished");
+                update(&mut operations, op, |operation| operation.finished = how == "finished");
                 if how == "rate-limited" {
                     refused.push(line.at_ms);
                 }
             }
             What::Broke { .. } => broken.push(line.at_ms),
-            What::Left { op, .. } => set(&mut wishes, op, |wish| wish.left = true),
+            What::Left { op, .. } => update(&mut operations, op, |operation| operation.left = true),
             What::Trouble { name, begins: true } => open.entry(name).or_default().push(line.at_ms),
             What::Trouble { name, begins: false } => {
                 let began = open.get_mut(name.as_str()).filter(|began| !began.is_empty());
@@ -99,42 +102,47 @@
             _ => {}
         }
     }
-    let wishes: Vec<_> = wishes.into_values().filter(|wish| !wish.left).collect();
+    let operations: Vec<_> = operations.into_values().filter(|operation| !operation.left).collect();
     spans.sort_by(|a, b| a.from_ms.total_cmp(&b.from_ms));
-    let troubles = spans.into_iter().map(|span| phase(span, &wishes, end_ms)).collect();
-    let step_ms = (end_ms / POINTS).max(500.0);
+    let troubles = spans.into_iter().map(|span| phase(span, &operations, end_ms)).collect();
+    let step_ms = (end_ms / PLOT_POINTS).max(500.0);
     let mut points: BTreeMap<String, Vec<Point>> = BTreeMap::new();
     for workload in facts.workloads.iter().map(|row| row.name.as_str()) {
         let mut at_ms = 0.0;
         while at_ms < end_ms {
-            let there: Vec<_> = wishes
+            let in_step: Vec<_> = operations
+                .iter()
+                .filter(|operation| {
+                    operation.workload == workload && (at_ms..at_ms + step_ms).contains(&operation.asked_ms)
+                })
+                .collect();
+            let mut first_token_ms: Vec<_> = in_step
                 .iter()
-                .filter(|wish| wish.workload == workload && (at_ms..at_ms + step_ms).contains(&wish.asked_ms))
+                .filter_map(|operation| operation.first_ms.map(|first| first - operation.asked_ms))
                 .collect();
-            let mut firsts: Vec<_> =
-                there.iter().filter_map(|wish| wish.first_ms.map(|first| first - wish.asked_ms)).collect();
-            firsts.sort_by(f64::total_cmp);
-            if !there.is_empty() {
-                let in_target =
-                    there.iter().filter(|wish| wish.in_target()).count() as f64 / there.len() as f64;
-                let first_ms = firsts.get(firsts.len() * 9 / 10).copied().unwrap_or(f64::NAN);
+            first_token_ms.sort_by(f64::total_cmp);
+            if !in_step.is_empty() {
+                let in_target = in_step.iter().filter(|operation| operation.in_target()).count() as f64
+                    / in_step.len() as f64;
+                let first_ms = first_token_ms.get(first_token_ms.len() * 9 / 10).copied().unwrap_or(f64::NAN);
                 let point = Point { at_ms: at_ms + step_ms / 2.0, in_target, first_ms };
                 points.entry(workload.to_owned()).or_default().push(point);
             }
             at_ms += step_ms;
         }
     }
-    let (refused_per_s, broken_per_s) = (rates(&refused, step_ms, end_ms), rates(&broken, step_ms, end_ms));
+    let (refused_per_s, broken_per_s) =
+        (rates_per_s(&refused, step_ms, end_ms), rates_per_s(&broken, step_ms, end_ms));
     Rehearsal { troubles, points, refused_per_s, broken_per_s, step_ms }
 }
 
-fn set(wishes: &mut BTreeMap<&str, Wish>, op: &str, change: impl FnOnce(&mut Wish)) {
-    if let Some(wish) = wishes.get_mut(op) {
-        change(wish);
+fn update(operations: &mut BTreeMap<&str, Operation>, op: &str, change: impl FnOnce(&mut Operation)) {
+    if let Some(operation) = operations.get_mut(op) {
+        change(operation);
     }
 }
 
-fn rates(times: &[f64], step_ms: f64, end_ms: f64) -> Vec<(f64, f64)> {
+fn rates_per_s(times: &[f64], step_ms: f64, end_ms: f64) -> Vec<(f64, f64)> {
     let mut counts = vec![0.0; (end_ms / step_ms).ceil() as usize + 1];
     for at in times.iter().filter(|at| (0.0..end_ms).contains(*at)) {
         counts[(at / step_ms) as usize] += 1e3 / step_ms;
@@ -142,33 +150,36 @@
     counts.into_iter().enumerate().map(|(row, rate)| ((row as f64 + 0.5) * step_ms, rate)).collect()
 }
 
-/// Share in target of those asked in a time, if any were.
-fn service(wishes: &[Wish], workload: Option<&str>, from_ms: f64, to_ms: f64) -> Option<f64> {
-    let of = |wish: &&Wish| {
-        workload.is_none_or(|name| name == wish.workload) && wish.asked_ms >= from_ms && wish.asked_ms < to_ms
+/// Share in target of the operations that started in a period; None if there were none.
+fn service(operations: &[Operation], workload: Option<&str>, from_ms: f64, to_ms: f64) -> Option<f64> {
+    let selected = |operation: &&Operation| {
+        workload.is_none_or(|name| name == operation.workload)
+            && operation.asked_ms >= from_ms
+            && operation.asked_ms < to_ms
     };
-    let all = wishes.iter().filter(of).count();
-    let good = wishes.iter().filter(of).filter(|wish| wish.in_target()).count();
-    (all > 0).then(|| good as f64 / all as f64)
+    let total = operations.iter().filter(selected).count();
+    let in_target = operations.iter().filter(selected).filter(|operation| operation.in_target()).count();
+    (total > 0).then(|| in_target as f64 / total as f64)
 }
 
-fn phase(span: Span, wishes: &[Wish], end_ms: f64) -> Phase {
-    let mut names: Vec<_> = wishes.iter().map(|wish| wish.workload).collect();
+fn phase(span: Span, operations: &[Operation], end_ms: f64) -> Phase {
+    let mut names: Vec<_> = operations.iter().map(|operation| operation.workload).collect();
     names.sort_unstable();
     names.dedup();
-    let before = (span.from_ms - AROUND_MS).max(0.0);
-    let times = [(before, span.from_ms), (span.from_ms, span.to_ms), (span.to_ms, span.to_ms + AROUND_MS)];
-    let row = |name: &str| times.map(|(from, to)| service(wishes, Some(name), from, to));
+    let before = (span.from_ms - COMPARISON_MS).max(0.0);
+    let times =
+        [(before, span.from_ms), (span.from_ms, span.to_ms), (span.to_ms, span.to_ms + COMPARISON_MS)];
+    let row = |name: &str| times.map(|(from, to)| service(operations, Some(name), from, to));
     let workloads = names.into_iter().map(|name| (name.to_owned(), row(name))).collect();
-    let usual = service(wishes, None, before, span.from_ms).unwrap_or(1.0);
+    let baseline = service(operations, None, before, span.from_ms).unwrap_or(1.0);
     let mut from_ms = span.to_ms;
     let mut recovered_after_ms = None;
-    while recovered_after_ms.is_none() && from_ms + WINDOW_MS <= end_ms {
-        let now = service(wishes, None, from_ms, from_ms + WINDOW_MS);
-        if now.is_some_and(|now| now >= RECOVERED * usual) {
+    while recovered_after_ms.is_none() && from_ms + RECOVERY_WINDOW_MS <= end_ms {
+        let now = service(operations, None, from_ms, from_ms + RECOVERY_WINDOW_MS);
+        if now.is_some_and(|now| now >= RECOVERED_SHARE * baseline) {
             recovered_after_ms = Some(from_ms - span.to_ms);
         }
-        from_ms += WINDOW_MS / 8.0;
+        from_ms += RECOVERY_WINDOW_MS / 8.0;
     }
     Phase { span, workloads, recovered_after_ms }
 }
