--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -184,9 +184,13 @@
     router: usize,
     deadline_ms: f64,
     head_ms: Option<f64>,
+    /// Time and kind of each final answer.
     finals: Vec<(f64, String)>,
+    /// Whether anything came after the final answer.
     more: bool,
+    /// Time at which the connection ended without a final answer, and whether it had been established.
     broke: Option<(f64, bool)>,
+    /// Whether the client left before the end.
     left: bool,
 }
 
@@ -450,7 +454,7 @@
 fn pins(facts: &Facts, lines: &[Line]) -> Rule {
     let mut rule = Rule::new("nothing left pinned");
     let end_ms = lines.last().map_or(0.0, |line| line.at_ms);
-    let (downtimes, stops) = (downtimes(lines), peer_rules::spans(lines));
+    let (downtimes, faults) = (downtimes(lines), peer_rules::spans(lines));
     let mut in_flight: BTreeMap<&str, Vec<(f64, f64)>> = BTreeMap::new();
     let mut open_dispatches: BTreeMap<&str, f64> = BTreeMap::new();
     let mut sent_at: BTreeMap<&str, f64> = BTreeMap::new();
@@ -503,7 +507,7 @@
             continue;
         }
         // A router whose process was stopped meanwhile could not release it.
-        if router.is_some_and(|router| stops.iter().any(|span| span.stopped(router, sent_ms, to_ms))) {
+        if router.is_some_and(|router| faults.iter().any(|span| span.stopped(router, sent_ms, to_ms))) {
             continue;
         }
         rule.cases += 1;
@@ -521,7 +525,7 @@
         let mut spans = in_flight.get(completion_of(request)).cloned().unwrap_or_default();
         // While its links are cut, a router may be unable to reach any server. Its limit starts anew when the
         // cut ends, and a dispatch that was sent during the cut may be in flight until the client's deadline.
-        let cuts = stops.iter().filter(|span| router.is_some_and(|router| span.cut(router, from_ms, to_ms)));
+        let cuts = faults.iter().filter(|span| router.is_some_and(|router| span.cut(router, from_ms, to_ms)));
         for span in cuts {
             let heals_ms = span.to_ms + facts.connect_ms;
             spans.push((span.from_ms, heals_ms.max(deadline_ms.min(to_ms))));
--- a/crates/day/src/failover_rules.rs
+++ b/crates/day/src/failover_rules.rs
@@ -11,7 +11,9 @@
 /// Settings of a day that the failover rules need, stored with its record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FailoverFacts {
+    /// Shares of moved sessions that the script expects of zones.
     pub expects: Vec<Expect>,
+    /// Share of a zone's spare capacity that plans leave unused.
     pub reserve: f64,
     /// False if each router decides alone: such days serve for comparison, and only the rule on flapping
     /// applies.
@@ -31,13 +33,14 @@
 
 struct PlanReport<'a> {
     at_ms: f64,
-    mind: &'a str,
+    /// Cluster status of the router (`mind` in the record), such as "whole".
+    status: &'a str,
     /// Number of the allocation ("page" in the record), preceded by how often a majority of the routers had
     /// been down when the reporting router started: voters that all start anew count from 1 again.
-    page: (usize, u64),
+    allocation: (usize, u64),
     moves: Moves<'a>,
     /// By zone: demand and capacity, per second.
-    rooms: &'a [(String, f64, f64)],
+    zones: &'a [(String, f64, f64)],
 }
 
 impl PlanReport<'_> {
@@ -46,7 +49,7 @@
     }
 
     fn received_demand(&self, zone: &str) -> f64 {
-        let demand = |of: &str| self.rooms.iter().find(|(name, ..)| name == of).map_or(0.0, |room| room.1);
+        let demand = |of: &str| self.zones.iter().find(|(name, ..)| name == of).map_or(0.0, |zone| zone.1);
         self.moves.iter().filter(|(_, to, _)| to == zone).map(|(from, _, share)| share * demand(from)).sum()
     }
 }
@@ -73,7 +76,13 @@
             }
             What::Plan { router, mind, page, moves, rooms, .. } => {
                 let times = started.get(router).copied().unwrap_or(0);
-                reports.push(PlanReport { at_ms: line.at_ms, mind, page: (times, *page), moves, rooms });
+                reports.push(PlanReport {
+                    at_ms: line.at_ms,
+                    status: mind,
+                    allocation: (times, *page),
+                    moves,
+                    zones: rooms,
+                });
             }
             _ => {}
         }
@@ -85,16 +94,16 @@
 fn first_reports<'a>(
     reports: impl Iterator<Item = &'a PlanReport<'a>>,
 ) -> BTreeMap<(usize, u64), &'a PlanReport<'a>> {
-    let mut pages = BTreeMap::new();
+    let mut allocations = BTreeMap::new();
     reports.for_each(|report| {
-        pages.entry(report.page).or_insert(report);
+        allocations.entry(report.allocation).or_insert(report);
     });
-    pages
+    allocations
 }
 
 /// All zones named in any report.
 fn zones<'a>(reports: &[PlanReport<'a>]) -> BTreeSet<&'a String> {
-    reports.iter().flat_map(|report| report.rooms.iter().map(|room| &room.0)).collect()
+    reports.iter().flat_map(|report| report.zones.iter().map(|zone| &zone.0)).collect()
 }
 
 /// Results of the rules on plans. Where each router decides alone, only the rule on flapping applies.
@@ -115,11 +124,12 @@
 fn one_plan_per_allocation(reports: &[PlanReport]) -> Rule {
     let mut rule = Rule::new("one plan to a page");
     let mut known: BTreeMap<(usize, u64), Moves> = BTreeMap::new();
-    for report in reports.iter().filter(|report| report.page.1 > 0) {
+    for report in reports.iter().filter(|report| report.allocation.1 > 0) {
         rule.cases += 1;
-        let first = known.entry(report.page).or_insert(report.moves);
+        let first = known.entry(report.allocation).or_insert(report.moves);
         if *first != report.moves {
-            rule.broken.push(format!("page {} moves {:?} and {:?}", report.page.1, first, report.moves));
+            rule.broken
+                .push(format!("page {} moves {:?} and {:?}", report.allocation.1, first, report.moves));
         }
     }
     rule
@@ -129,19 +139,19 @@
 /// that the zone had then.
 fn within_spare_capacity(facts: &FailoverFacts, reports: &[PlanReport]) -> Rule {
     let mut rule = Rule::new("no zone beyond its room by plan");
-    let pages = first_reports(reports.iter().filter(|report| report.page.1 > 0));
+    let allocations = first_reports(reports.iter().filter(|report| report.allocation.1 > 0));
     let mut before: Option<&PlanReport> = None;
     // The largest spare capacity that any router reported shortly before: estimates differ, and the proposer
     // used one of them.
     let most = |zone: &String, at_ms: f64| {
         let near = reports.iter().filter(|report| (at_ms - ESTIMATE_AGE_MS..=at_ms).contains(&report.at_ms));
         let room = |report: &PlanReport| {
-            report.rooms.iter().find(|room| room.0 == *zone).map_or(0.0, |room| room.2 - room.1)
+            report.zones.iter().find(|row| row.0 == *zone).map_or(0.0, |row| row.2 - row.1)
         };
         near.map(room).fold(0.0, f64::max)
     };
-    for report in pages.values() {
-        for (zone, demand, capacity) in report.rooms {
+    for report in allocations.values() {
+        for (zone, demand, capacity) in report.zones {
             let received = report.received_demand(zone);
             let share = |report: &PlanReport| -> f64 {
                 report.moves.iter().filter(|(_, to, _)| to == zone).map(|(.., share)| share).sum()
@@ -153,7 +163,7 @@
                 rule.broken.push(format!(
                     "page {} at {:.0} ms gives {zone} {received:.1}/s; \
                      {capacity:.1}/s less its own {demand:.1}/s are there",
-                    report.page.1, report.at_ms
+                    report.allocation.1, report.at_ms
                 ));
             }
         }
@@ -164,11 +174,11 @@
 
 /// Times at which the sessions of each zone started to move away, by the first router that reported it.
 fn leave_times(reports: &[PlanReport]) -> BTreeMap<String, Vec<f64>> {
-    let pages = first_reports(reports.iter());
+    let allocations = first_reports(reports.iter());
     let mut leaves: BTreeMap<String, Vec<f64>> = BTreeMap::new();
     for zone in zones(reports) {
         let (mut before, mut growing) = (0.0, false);
-        for report in pages.values() {
+        for report in allocations.values() {
             let now = report.moved(zone);
             if now > before + 1e-9 && !growing {
                 leaves.entry(zone.clone()).or_default().push(report.at_ms);
@@ -201,10 +211,9 @@
     for expect in &facts.expects {
         let span = expect.from_ms..expect.to_ms;
         let mut seen = false;
-        for report in reports
-            .iter()
-            .filter(|report| span.contains(&report.at_ms) && report.mind == "whole" && report.page.1 > 0)
-        {
+        for report in reports.iter().filter(|report| {
+            span.contains(&report.at_ms) && report.status == "whole" && report.allocation.1 > 0
+        }) {
             (rule.cases, seen) = (rule.cases + 1, true);
             let moved = report.moved(&expect.zone);
             if !(expect.least - 1e-6..=expect.most + 1e-6).contains(&moved) {
@@ -236,8 +245,8 @@
 
 pub fn planned(lines: &[Line]) -> Planned {
     let reports = plan_reports(lines);
-    let pages = first_reports(reports.iter());
-    let moves: Vec<Moves> = pages.values().map(|report| report.moves).collect();
+    let allocations = first_reports(reports.iter());
+    let moves: Vec<Moves> = allocations.values().map(|report| report.moves).collect();
     let changes = moves.windows(2).filter(|pair| pair[0] != pair[1]).count();
     let names = zones(&reports);
     let zone = |name: &&String| {
--- a/crates/day/src/load.rs
+++ b/crates/day/src/load.rs
@@ -19,10 +19,14 @@
 /// Effects of the active troubles on the clients.
 #[derive(Default)]
 pub struct ClientConditions {
+    /// API key whose sessions are multiplied, and the factor.
     pub burst: RefCell<Option<(String, f64)>>,
     pub ramp: RefCell<Option<Ramp>>,
+    /// Share of the turns with a longer prompt, and the factor.
     pub long: Cell<Option<(f64, f64)>>,
+    /// Share of the sessions that start with one common prompt, and its length in tokens.
     pub hot: Cell<Option<(f64, usize)>>,
+    /// Share of the attempts whose client leaves early, if larger than that of the load.
     pub leave_share: Cell<f64>,
 }
 
--- a/crates/day/src/mesh.rs
+++ b/crates/day/src/mesh.rs
@@ -41,7 +41,9 @@
 struct Node {
     /// Receives the datagrams that other routers send to this node.
     relay: Rc<UdpSocket>,
+    /// Accepts the calls of other routers to this node, until its relay task takes it.
     calls: RefCell<Option<TcpListener>>,
+    /// Address of both relay sockets; the process advertises it to its peers.
     address: SocketAddr,
     /// Source address of its datagrams and calls; identifies the sender.
     ip: Ipv4Addr,
@@ -51,12 +53,14 @@
     busy_until: RefCell<BTreeMap<usize, Instant>>,
 }
 
+/// The relays of a day and the link faults that are active.
 pub struct Mesh {
     nodes: Vec<Node>,
     routers: usize,
     zones: Vec<String>,
     active_faults: RefCell<Vec<ActiveFault>>,
     next_id: Cell<u64>,
+    /// Notified when a fault starts or ends.
     changed: Notify,
     rng: RefCell<fastrand::Rng>,
 }
--- a/crates/day/src/peer_rules.rs
+++ b/crates/day/src/peer_rules.rs
@@ -26,10 +26,15 @@
     asked_ms: f64,
     received_ms: f64,
     router: usize,
-    mind: &'a str,
+    /// Cluster status of the router (`mind` in the record), such as "whole" or "displaced".
+    status: &'a str,
+    /// The router's share of each common limit.
     shares: &'a [f64],
+    /// Checksum of the router's view; equal views have equal checksums.
     digest: u32,
+    /// Indices of the other routers reported alive or suspect.
     alive: &'a [usize],
+    /// Routers reported failed: index and generation (`life` in the record).
     failed: &'a [(usize, u64)],
 }
 
@@ -42,7 +47,7 @@
                 asked_ms: *asked_ms,
                 received_ms: line.at_ms,
                 router: *router,
-                mind,
+                status: mind,
                 shares,
                 digest: *digest,
                 alive,
@@ -116,7 +121,7 @@
         rule.cases += report.alive.len();
         let now: BTreeSet<_> = report.failed.iter().copied().collect();
         let before = known_failed.insert(report.router, now.clone()).unwrap_or_default();
-        for (of, life) in now.difference(&before) {
+        for (of, generation) in now.difference(&before) {
             let touches = |span: &&Span| {
                 let there = span.routers.contains(of) || span.routers.contains(&report.router);
                 there && span.name != "noise" && span.from_ms <= report.received_ms
@@ -124,7 +129,7 @@
             let close = |span: &Span| report.asked_ms <= span.to_ms + facts.blamed_ms;
             if !spans.iter().filter(touches).any(close) {
                 rule.broken.push(format!(
-                    "router {} called router {of} (life {life}) failed at {:.0} ms",
+                    "router {} called router {of} (life {generation}) failed at {:.0} ms",
                     report.router, report.received_ms
                 ));
             }
@@ -197,8 +202,8 @@
             rule.broken.push(format!("{:.1} s after {from_ms:.0} ms: {what}", facts.heals_ms / 1e3))
         };
         // A displaced process (another one took over its router index) is not part of the view.
-        let displaced = first_reports.values().filter(|report| report.mind == "displaced").count();
-        first_reports.retain(|_, report| report.mind != "displaced");
+        let displaced = first_reports.values().filter(|report| report.status == "displaced").count();
+        first_reports.retain(|_, report| report.status != "displaced");
         let expected = facts.routers - displaced;
         // Missing reports count only if there was time to poll every router: the next fault may start at
         // once.
@@ -210,11 +215,11 @@
             broken(format!("{} different views", digests.len()));
         }
         for report in first_reports.values() {
-            if report.alive.len() + 1 != expected || report.mind != "whole" {
+            if report.alive.len() + 1 != expected || report.status != "whole" {
                 broken(format!(
                     "router {} is {} and holds {} others alive",
                     report.router,
-                    report.mind,
+                    report.status,
                     report.alive.len()
                 ));
             }
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -46,10 +46,13 @@
     /// Client address of each router. It changes with each start, since routers listen on port 0.
     pub client_addresses: Rc<RefCell<Vec<SocketAddr>>>,
     admin_addresses: RefCell<Vec<Option<SocketAddr>>>,
+    /// Process of each router; None while it is down.
     pub children: RefCell<Vec<Option<Child>>>,
     /// Router count in a router's settings, where it differs from the day's.
     pub router_counts: RefCell<Vec<Option<usize>>>,
+    /// Address at which each router reaches the list service: the service itself or a relay.
     list_addresses: RefCell<Vec<SocketAddr>>,
+    /// First failure of the test environment, if any.
     failure: RefCell<Option<String>>,
 }
 
