--- a/crates/day/src/random/tests.rs
+++ b/crates/day/src/random/tests.rs
@@ -7,21 +7,21 @@
 }
 
 #[test]
-fn every_drawn_script_is_a_day_and_the_same_for_its_seed() {
+fn every_generated_script_is_a_valid_day_and_reproducible() {
     let dir = tempfile::tempdir().unwrap();
     let common = common();
-    let room = Room { program: Path::new("none"), common: &common, dir: dir.path() };
-    let cast = room.cast().unwrap();
-    assert_eq!((cast.routers, cast.zones.len(), cast.servers.len()), (9, 3, 24));
+    let runner = ScriptRunner { program: Path::new("none"), common: &common, dir: dir.path() };
+    let topology = runner.topology().unwrap();
+    assert_eq!((topology.routers, topology.zones.len(), topology.servers.len()), (9, 3, 24));
     let mut kinds = std::collections::BTreeSet::new();
     for seed in 0..30 {
-        let script = draw(seed, &cast);
-        assert_eq!(script, draw(seed, &cast));
-        let (day, _) = room.write(&script, "one").unwrap();
+        let script = draw(seed, &topology);
+        assert_eq!(script, draw(seed, &topology));
+        let (day, _) = runner.write(&script, "one").unwrap();
         assert_eq!(day.troubles.len(), script.troubles.len());
         assert_eq!(day.router.failover.is_some(), script.failover);
         kinds.extend(day.troubles.iter().map(|trouble| trouble.kind.name().to_owned()));
-        // Everything has to be over in time for healing to be judged.
+        // All troubles end early enough for the routers to recover before the day ends.
         assert!(day.troubles.iter().all(|trouble| trouble.at_ms + trouble.for_ms <= 24_000.0));
     }
     assert!(kinds.len() >= 8, "{kinds:?}");
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use paddleproxy_day::client::{ask, Asking, Seen};
+use paddleproxy_day::client::{send_request, ClientEvent, ClientRequest};
 use paddleproxy_fleet::record::Record;
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings::{fleet, router};
@@ -112,18 +112,18 @@
     }
 
     /// Sends a request and returns everything that the client saw.
-    pub async fn ask(&self, asking: &Asking) -> Vec<Seen> {
+    pub async fn ask(&self, asking: &ClientRequest) -> Vec<ClientEvent> {
         self.ask_and(asking, std::future::ready(())).await
     }
 
     /// Like `ask`, and runs `then` as soon as the first text of the answer has arrived.
-    pub async fn ask_and(&self, asking: &Asking, then: impl Future<Output = ()>) -> Vec<Seen> {
+    pub async fn ask_and(&self, asking: &ClientRequest, then: impl Future<Output = ()>) -> Vec<ClientEvent> {
         let seen = Rc::new(RefCell::new(Vec::new()));
         let (recorded, (started, start)) = (seen.clone(), tokio::sync::oneshot::channel());
         let mut started = Some(started);
         let until = Instant::now() + Duration::from_secs(20);
-        let asks = ask(self.clients, asking, until, move |what| {
-            if matches!(what, Seen::Text(_)) {
+        let asks = send_request(self.clients, asking, until, move |what| {
+            if matches!(what, ClientEvent::Text(_)) {
                 started.take().into_iter().for_each(|started| _ = started.send(()));
             }
             recorded.borrow_mut().push(what);
@@ -138,7 +138,7 @@
     }
 
     /// Sends a request and disconnects once the first text of the answer has arrived.
-    pub async fn ask_and_leave(&self, asking: &Asking) {
+    pub async fn ask_and_leave(&self, asking: &ClientRequest) {
         let (started, start) = tokio::sync::oneshot::channel();
         let asks = self.ask_and(asking, async { _ = started.send(()) });
         tokio::select! {
@@ -148,11 +148,11 @@
     }
 }
 
-pub fn asking(id: &str, model: &str, tokens: usize, streamed: bool) -> Asking {
+pub fn asking(id: &str, model: &str, tokens: usize, streamed: bool) -> ClientRequest {
     let content = format!("{id} {}", "abc ".repeat(tokens));
     let turn = serde_json::json!({ "role": "user", "content": content });
     let body = serde_json::json!({ "model": model, "max_tokens": 8, "stream": streamed, "messages": [turn] });
-    Asking {
+    ClientRequest {
         path: String::new(),
         key: "app-key".into(),
         session: id.into(),
@@ -163,10 +163,10 @@
     }
 }
 
-pub fn finals(seen: &[Seen]) -> Vec<&'static str> {
+pub fn finals(seen: &[ClientEvent]) -> Vec<&'static str> {
     seen.iter()
         .filter_map(|what| match what {
-            Seen::Final(how) => Some(*how),
+            ClientEvent::Final(how) => Some(*how),
             _ => None,
         })
         .collect()
