--- a/crates/day/src/audit.rs
+++ b/crates/day/src/audit.rs
@@ -258,7 +258,7 @@
     let turned: BTreeSet<&str> = lines
         .iter()
         .filter_map(|line| match &line.what {
-            What::Turned { request, .. } => Some(request.as_str()),
+            What::Rejected { request, .. } => Some(request.as_str()),
             _ => None,
         })
         .collect();
@@ -340,10 +340,10 @@
     let mut told: BTreeMap<(usize, &str), f64> = BTreeMap::new();
     for line in lines {
         match &line.what {
-            What::Told { router, server, readiness, .. } if readiness == "ready" => {
+            What::ListSent { router, server, readiness, .. } if readiness == "ready" => {
                 told.remove(&(*router, server.as_str()));
             }
-            What::Told { router, server, .. } => {
+            What::ListSent { router, server, .. } => {
                 rule.cases += usize::from(!told.contains_key(&(*router, server.as_str())));
                 told.entry((*router, server)).or_insert(line.at_ms);
             }
@@ -377,7 +377,7 @@
             What::Died { server } => {
                 cold.remove(server.as_str());
             }
-            What::Told { router, server, cold: true, readiness } if readiness == "ready" => {
+            What::ListSent { router, server, cold: true, readiness } if readiness == "ready" => {
                 cold.get_mut(server.as_str()).into_iter().for_each(|row| row.told.push(*router));
             }
             What::Dispatch { server, request, work_ms, .. } => {
--- a/crates/day/src/fellows.rs
+++ b/crates/day/src/fellows.rs
@@ -38,16 +38,18 @@
     let said: Vec<Said> = lines
         .iter()
         .filter_map(|line| match &line.what {
-            What::Fellows { router, asked_ms, mind, shares, digest, alive, failed, .. } => Some(Said {
-                asked_ms: *asked_ms,
-                heard_ms: line.at_ms,
-                router: *router,
-                mind,
-                shares,
-                digest: *digest,
-                alive,
-                failed,
-            }),
+            What::PeerStatus { router, asked_ms, status: mind, shares, digest, alive, failed, .. } => {
+                Some(Said {
+                    asked_ms: *asked_ms,
+                    heard_ms: line.at_ms,
+                    router: *router,
+                    mind,
+                    shares,
+                    digest: *digest,
+                    alive,
+                    failed,
+                })
+            }
             _ => None,
         })
         .collect();
--- a/crates/day/src/report.rs
+++ b/crates/day/src/report.rs
@@ -127,7 +127,7 @@
     let (mut used, mut asked): (BTreeMap<usize, f64>, BTreeMap<usize, usize>) = Default::default();
     for line in lines {
         match &line.what {
-            What::Used { router, cpu_ms } => drop(used.insert(*router, *cpu_ms)),
+            What::CpuUsed { router, cpu_ms } => drop(used.insert(*router, *cpu_ms)),
             What::Asked { router, .. } => *asked.entry(*router).or_default() += 1,
             _ => {}
         }
--- a/crates/day/src/rig.rs
+++ b/crates/day/src/rig.rs
@@ -189,12 +189,12 @@
     Some(Line::Plan {
         router,
         asked_ms,
-        mind: name(&view["mind"]),
-        page: view["page"].as_u64().unwrap_or(0),
+        status: name(&view["mind"]),
+        allocation: view["page"].as_u64().unwrap_or(0),
         plan: view["plan"].as_u64().unwrap_or(0),
         moves: moves.collect(),
         verdicts: zones().map(|row| (name(&row["zone"]), name(&row["verdict"]["is"]))).collect(),
-        rooms: zones()
+        capacities: zones()
             .map(|row| (name(&row["zone"]), number(&row["demand_per_s"]), number(&row["capacity_per_s"])))
             .collect(),
         completions: view["completions"].as_u64()?,
@@ -210,13 +210,13 @@
         let rows = view[name].as_array().into_iter().flatten();
         rows.filter_map(|place| Some(place.as_u64()? as usize)).collect()
     };
-    Some(Line::Fellows {
+    Some(Line::PeerStatus {
         router,
         asked_ms,
-        life: view["life"].as_u64()?,
-        mind: view["mind"].as_str()?.to_owned(),
+        generation: view["life"].as_u64()?,
+        status: view["mind"].as_str()?.to_owned(),
         shares: view["shares"]["of"].as_array()?.iter().filter_map(Value::as_f64).collect(),
-        page: view["page"]["number"].as_u64()?,
+        allocation: view["page"]["number"].as_u64()?,
         digest: view["digest"].as_u64()? as u32,
         alive: members.iter().filter(here).filter_map(place).collect(),
         failed: members
@@ -224,8 +224,8 @@
             .filter(|row| row["state"] == "failed")
             .filter_map(|row| Some((place(row)?, row["life"].as_u64()?)))
             .collect(),
-        deaf_to: places("deaf_to"),
-        unheard_by: places("unheard_by"),
+        not_hearing: places("deaf_to"),
+        not_heard_by: places("unheard_by"),
     })
 }
 
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -264,7 +264,7 @@
     pub async fn end(&self, began: &BTreeMap<usize, (u32, f64)>) {
         for (router, (id, now_ms)) in self.used() {
             if let Some((_, then_ms)) = began.get(&router).filter(|(then, _)| *then == id) {
-                self.record.add(What::Used { router, cpu_ms: now_ms - then_ms });
+                self.record.add(What::CpuUsed { router, cpu_ms: now_ms - then_ms });
             }
         }
         for router in 0..self.day.routers {
--- a/crates/day/src/zones.rs
+++ b/crates/day/src/zones.rs
@@ -66,7 +66,7 @@
                 down.remove(router);
                 started.insert(*router, times);
             }
-            What::Plan { router, mind, page, moves, rooms, .. } => {
+            What::Plan { router, status: mind, allocation: page, moves, capacities: rooms, .. } => {
                 let times = started.get(router).copied().unwrap_or(0);
                 said.push(Said { at_ms: line.at_ms, mind, page: (times, *page), moves, rooms });
             }
--- a/crates/day/tests/judge.rs
+++ b/crates/day/tests/judge.rs
@@ -113,7 +113,7 @@
 }
 
 fn turned(request: &str) -> What {
-    What::Turned { server: "s".into(), request: request.into(), code: "full".into() }
+    What::Rejected { server: "s".into(), request: request.into(), code: "full".into() }
 }
 
 fn effect(key: &str, repeat: bool) -> What {
@@ -163,7 +163,7 @@
 }
 
 fn told(router: usize, readiness: &str, cold: bool) -> What {
-    What::Told { router, server: "s".into(), readiness: readiness.into(), cold }
+    What::ListSent { router, server: "s".into(), readiness: readiness.into(), cold }
 }
 
 #[test]
@@ -247,18 +247,18 @@
 /// What a router of three says when it is asked at that time.
 fn says(router: usize, asked_ms: f64, digest: u32) -> (f64, What) {
     let others = (0..3).filter(|other| *other != router).collect();
-    let said = What::Fellows {
+    let said = What::PeerStatus {
         router,
         asked_ms,
-        life: 1,
-        mind: "whole".into(),
+        generation: 1,
+        status: "whole".into(),
         shares: Vec::new(),
-        page: 1,
+        allocation: 1,
         digest,
         alive: others,
         failed: Vec::new(),
-        deaf_to: Vec::new(),
-        unheard_by: Vec::new(),
+        not_hearing: Vec::new(),
+        not_heard_by: Vec::new(),
     };
     (asked_ms + 1.0, said)
 }
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -37,7 +37,8 @@
         writes: bool,
     },
     /// It was turned away; nothing ran.
-    Turned {
+    #[serde(rename = "turned")]
+    Rejected {
         server: String,
         request: String,
         code: String,
@@ -64,7 +65,8 @@
         why: String,
     },
     /// The list service sent a router this word of a server.
-    Told {
+    #[serde(rename = "told")]
+    ListSent {
         router: usize,
         server: String,
         readiness: String,
@@ -87,36 +89,46 @@
         begins: bool,
     },
     /// What a router said of its fellows, asked at that time and heard at the line's.
-    Fellows {
+    #[serde(rename = "fellows")]
+    PeerStatus {
         router: usize,
         asked_ms: f64,
-        life: u64,
-        mind: String,
+        #[serde(rename = "life")]
+        generation: u64,
+        #[serde(rename = "mind")]
+        status: String,
         /// Of each thing shared out, and for how long without another word; none: its floor.
         shares: Vec<f64>,
-        page: u64,
+        #[serde(rename = "page")]
+        allocation: u64,
         digest: u32,
         alive: Vec<usize>,
         failed: Vec<(usize, u64)>,
-        deaf_to: Vec<usize>,
-        unheard_by: Vec<usize>,
+        #[serde(rename = "deaf_to")]
+        not_hearing: Vec<usize>,
+        #[serde(rename = "unheard_by")]
+        not_heard_by: Vec<usize>,
     },
     /// What a router said of failover, asked at that time and heard at the line's: the page and plan in force, which share
     /// of which zone's sessions has its home where, what it makes of each zone, and what each asks for and can take.
     Plan {
         router: usize,
         asked_ms: f64,
-        mind: String,
-        page: u64,
+        #[serde(rename = "mind")]
+        status: String,
+        #[serde(rename = "page")]
+        allocation: u64,
         plan: u64,
         moves: Vec<(String, String, f64)>,
         verdicts: Vec<(String, String)>,
-        rooms: Vec<(String, f64, f64)>,
+        #[serde(rename = "rooms")]
+        capacities: Vec<(String, f64, f64)>,
         completions: u64,
         moved: u64,
     },
     /// Time that a router's process was on a processor from the day's start to its end.
-    Used {
+    #[serde(rename = "used")]
+    CpuUsed {
         router: usize,
         cpu_ms: f64,
     },
--- a/crates/emulator/src/world/dispatches.rs
+++ b/crates/emulator/src/world/dispatches.rs
@@ -204,7 +204,7 @@
     pub(super) fn refused(&mut self, dispatch: usize, refusal: Refusal) {
         let server = self.nodes[self.dispatches[dispatch].server].name.clone();
         let (request, code) = (self.dispatches[dispatch].name.clone(), refusal.code().to_owned());
-        self.record(What::Turned { server, request, code });
+        self.record(What::Rejected { server, request, code });
         self.leaves_server(dispatch, 2);
         let end = SocketEnd::TurnedAway(refusal);
         let net_ms = self.dispatches[dispatch].net_ms;
--- a/crates/emulator/src/world/list.rs
+++ b/crates/emulator/src/world/list.rs
@@ -59,7 +59,7 @@
             servers.into_iter().filter(|entry| !left_out(&entry.name, self.lies)).collect();
         for entry in &servers {
             let (server, readiness) = (entry.name.clone(), entry.readiness.clone());
-            self.record(What::Told { router, server, readiness, cold: entry.age_ms.is_some() });
+            self.record(What::ListSent { router, server, readiness, cold: entry.age_ms.is_some() });
         }
         let after = known.map(|known| known as u64);
         let list = ServerList { epoch: self.list_epoch, version: version as u64, after, servers };
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -104,7 +104,7 @@
 
 fn turned(server: &Server, request: &str, refusal: Refusal) -> Response<Reply> {
     let (name, code) = (server.name(), refusal.code().to_owned());
-    server.record(What::Turned { server: name, request: request.to_owned(), code });
+    server.record(What::Rejected { server: name, request: request.to_owned(), code });
     json(server, refusal.status(), refusal.body())
 }
 
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -102,7 +102,7 @@
             servers.into_iter().filter(|entry| !left_out(&entry.name, self.lies.get())).map(way).collect();
         for entry in &servers {
             let (server, readiness) = (entry.name.clone(), entry.readiness.clone());
-            self.record.add(What::Told { router, server, readiness, cold: entry.age_ms.is_some() });
+            self.record.add(What::ListSent { router, server, readiness, cold: entry.age_ms.is_some() });
         }
         ServerList {
             epoch: self.epoch.get(),
