--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -320,7 +320,10 @@
     println!("took {took_s:.1} s, {} events, {} dispatches", run.events, run.dispatches);
     let [came, done, refused, dropped, open] = run.balance;
     println!("at servers: {came} came = {done} done + {refused} refused + {dropped} dropped + {open} open");
-    println!("law of Little: {:.2} in hand, {:.2} by rate and stay", run.mean_in_hand, run.rate_times_stay);
+    println!(
+        "law of Little: {:.2} in hand, {:.2} by rate and stay",
+        run.mean_in_system, run.rate_times_sojourn
+    );
     if run.cut_short {
         println!("cut short: the bound on events was reached");
     }
--- a/crates/day/src/play.rs
+++ b/crates/day/src/play.rs
@@ -45,7 +45,7 @@
     let clients = Rc::new(clients);
     let loads: Vec<_> =
         (0..day.clients.len()).map(|row| tokio::task::spawn_local(clients.clone().run(row))).collect();
-    let troubles: Vec<_> = paddleproxy_emulator::troubles::spread(&day, 1)
+    let troubles: Vec<_> = paddleproxy_emulator::troubles::expand_recurring(&day, 1)
         .into_iter()
         .map(|trouble| tokio::task::spawn_local(befall(stage.clone(), trouble)))
         .collect();
--- a/crates/emulator/src/repeats.rs
+++ b/crates/emulator/src/deduplication.rs
@@ -6,12 +6,12 @@
 
 /// Effects by group and key, with the time of each.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct SeenEffects {
     effects: BTreeMap<(String, String), f64>,
 }
 
 /// The name of the servers that drop repeats together with one in this zone and cell.
-pub fn group(of: Group, zone: &str, cell: u32) -> String {
+pub fn group_name(of: Group, zone: &str, cell: u32) -> String {
     match of {
         Group::All => "all".to_owned(),
         Group::Zone => format!("zone {zone}"),
@@ -19,10 +19,10 @@
     }
 }
 
-impl Seen {
+impl SeenEffects {
     /// Whether work that is about to take effect is a repeat; else its effect is noted. A key is remembered for the
     /// window as seen by the dispatch's arrival: one that came in time and was slow is dropped however late it runs.
-    pub fn repeats(
+    pub fn check_and_record(
         &mut self,
         group: String,
         key: &str,
--- a/crates/emulator/src/heap.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -29,19 +29,19 @@
     }
 }
 
-pub struct Heap<T> {
+pub struct EventQueue<T> {
     entries: BinaryHeap<Reverse<Entry<T>>>,
     next: u64,
     now_ms: f64,
 }
 
-impl<T> Default for Heap<T> {
+impl<T> Default for EventQueue<T> {
     fn default() -> Self {
-        Heap { entries: BinaryHeap::new(), next: 0, now_ms: 0.0 }
+        EventQueue { entries: BinaryHeap::new(), next: 0, now_ms: 0.0 }
     }
 }
 
-impl<T> Heap<T> {
+impl<T> EventQueue<T> {
     /// Puts an event in; one that lies in the past, or at no time, comes at once.
     pub fn put(&mut self, at_ms: f64, what: T) {
         let at_ms = if at_ms > self.now_ms { at_ms } else { self.now_ms };
--- a/crates/emulator/src/links.rs
+++ b/crates/emulator/src/links.rs
@@ -38,19 +38,19 @@
         self.open.remove(&transfer);
     }
 
-    pub fn set_slow(&mut self, now_ms: f64, factor: f64) {
+    pub fn set_slowdown(&mut self, now_ms: f64, factor: f64) {
         self.pass(now_ms);
         self.slow = factor.max(1e-3);
     }
 
     /// When the next transfer ends if nothing changes.
-    pub fn next_ms(&self) -> Option<f64> {
+    pub fn next_end_ms(&self) -> Option<f64> {
         let least = self.open.values().copied().min_by(f64::total_cmp)?;
         Some(self.at_ms + least.max(0.0) * self.open.len() as f64 * self.slow / self.tokens_per_ms)
     }
 
     /// The transfers that have ended by now.
-    pub fn ended(&mut self, now_ms: f64) -> Vec<u64> {
+    pub fn take_finished(&mut self, now_ms: f64) -> Vec<u64> {
         self.pass(now_ms);
         let done: Vec<_> = self.open.iter().filter(|(_, left)| **left <= 1e-6).map(|(id, _)| *id).collect();
         done.iter().for_each(|id| {
--- a/crates/emulator/src/links/tests.rs
+++ b/crates/emulator/src/links/tests.rs
@@ -6,14 +6,14 @@
 fn transfers_share_a_link_evenly() {
     let mut link = Link::new(1000.0);
     link.begin(0.0, 1, 100.0);
-    assert_eq!(link.next_ms(), Some(100.0));
+    assert_eq!(link.next_end_ms(), Some(100.0));
     // From 50 ms on two share: the first needs 100 ms more for its 50 tokens.
     link.begin(50.0, 2, 100.0);
-    assert_eq!(link.next_ms(), Some(150.0));
-    assert_eq!(link.ended(150.0), [1]);
-    assert_eq!(link.next_ms(), Some(200.0));
-    link.set_slow(175.0, 5.0);
-    assert_eq!(link.next_ms(), Some(300.0));
-    assert_eq!(link.ended(300.0), [2]);
-    assert_eq!(link.next_ms(), None);
+    assert_eq!(link.next_end_ms(), Some(150.0));
+    assert_eq!(link.take_finished(150.0), [1]);
+    assert_eq!(link.next_end_ms(), Some(200.0));
+    link.set_slowdown(175.0, 5.0);
+    assert_eq!(link.next_end_ms(), Some(300.0));
+    assert_eq!(link.take_finished(300.0), [2]);
+    assert_eq!(link.next_end_ms(), None);
 }
--- a/crates/emulator/src/policies.rs
+++ b/crates/emulator/src/policies.rs
@@ -21,7 +21,7 @@
     /// Shortest queue as reported, then fewest own.
     ShortestReported,
     /// The true load of all servers at this moment, which no router can see: a bound.
-    SeesAll,
+    LeastTrueLoad,
 }
 
 impl Policy {
@@ -31,14 +31,14 @@
         ("round-robin", Policy::RoundRobin),
         ("least-own", Policy::LeastOwn),
         ("shortest-reported", Policy::ShortestReported),
-        ("sees-all", Policy::SeesAll),
+        ("sees-all", Policy::LeastTrueLoad),
     ];
 
     pub fn name(self) -> &'static str {
         Policy::ALL.iter().find(|(_, policy)| *policy == self).map_or("", |(name, _)| name)
     }
 
-    pub fn decisions(self, settings: &Settings, seed: u64, truth: &Truth) -> Box<dyn Decisions> {
+    pub fn decisions(self, settings: &Settings, seed: u64, true_loads: &TrueLoads) -> Box<dyn Decisions> {
         match self {
             Policy::Design => Box::new(Control::new(settings.clone(), seed)),
             policy => Box::new(Baseline {
@@ -48,14 +48,14 @@
                 next: seed as usize,
                 workers: BTreeMap::new(),
                 open: BTreeMap::new(),
-                truth: truth.clone(),
+                true_loads: true_loads.clone(),
             }),
         }
     }
 }
 
 /// The true load of each server, as a share of what it can do.
-pub type Truth = Rc<RefCell<BTreeMap<WorkerId, f64>>>;
+pub type TrueLoads = Rc<RefCell<BTreeMap<WorkerId, f64>>>;
 
 struct Worker {
     listing: Listing,
@@ -79,7 +79,7 @@
     next: usize,
     workers: BTreeMap<WorkerId, Worker>,
     open: BTreeMap<CompletionId, Open>,
-    truth: Truth,
+    true_loads: TrueLoads,
 }
 
 impl Baseline {
@@ -112,9 +112,9 @@
                 };
                 least(&reported)
             }
-            Policy::SeesAll => {
-                let truth = self.truth.borrow();
-                let seen = |name: &WorkerId| truth.get(name).copied().unwrap_or(0.0) + own(name) / 1e6;
+            Policy::LeastTrueLoad => {
+                let true_loads = self.true_loads.borrow();
+                let seen = |name: &WorkerId| true_loads.get(name).copied().unwrap_or(0.0) + own(name) / 1e6;
                 least(&seen)
             }
         }
--- a/crates/emulator/src/chance.rs
+++ b/crates/emulator/src/random.rs
@@ -1,10 +1,10 @@
-//! Chance in streams of its own for each part, so that one more draw in one part shifts no other.
+//! RandomStream in streams of its own for each part, so that one more draw in one part shifts no other.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp};
 
-pub struct Chance {
+pub struct RandomStream {
     rng: SmallRng,
 }
 
@@ -16,9 +16,9 @@
     mixed ^ (mixed >> 31)
 }
 
-impl Chance {
+impl RandomStream {
     pub fn new(of: u64, part: u64, number: u64) -> Self {
-        Chance { rng: SmallRng::seed_from_u64(seed(of, part, number)) }
+        RandomStream { rng: SmallRng::seed_from_u64(seed(of, part, number)) }
     }
 
     /// From 0 to below 1.
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,7 +1,7 @@
 //! One model server as a state machine: continuous batching in steps, slots, a bounded queue, memory with kept texts,
 //! states that wait, warm-up by time and by work. Told what arrives and when a step ends; says what was done.
 
-mod memory;
+mod prefix_cache;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use paddleproxy_engine::Refusal;
 use paddleproxy_settings::fleet::{FleetSettings, KindOfServer};
 
-pub use memory::Kept;
+pub use prefix_cache::PrefixCache;
 
 /// What a kind of server can do.
 #[derive(Clone, Debug)]
@@ -67,23 +67,23 @@
     /// Its state comes from elsewhere, once a slot is free.
     pub fetches: bool,
     /// The place that was held for it ahead.
-    pub place: Option<u64>,
+    pub hold: Option<u64>,
 }
 
-/// What a server did, by the dispatch's id.
+/// What a server events, by the dispatch's id.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Did {
+pub enum ServerEvent {
     /// A slot is free: its state may come now.
     Fetch(u64),
     /// The prompt is read and its state waits; tokens found kept.
     Read {
         id: u64,
-        kept: f64,
+        cached_tokens: f64,
     },
     /// The first token of an answer is out.
     First {
         id: u64,
-        kept: f64,
+        cached_tokens: f64,
     },
     /// A further token; told only by servers that are asked to.
     Token(u64),
@@ -113,7 +113,7 @@
 struct Running {
     work: Work,
     phase: Phase,
-    kept: f64,
+    cached_tokens: f64,
     memory: f64,
     begun: bool,
 }
@@ -124,9 +124,9 @@
     }
 }
 
-/// What befalls a server at present.
+/// What faults a server at present.
 #[derive(Clone, Debug, Default)]
-pub struct Befalls {
+pub struct ActiveFaults {
     pub silent: bool,
     pub slow: f64,
     /// Since when and by which factor a second it grows slower.
@@ -137,17 +137,17 @@
 
 pub struct Server {
     pub kind: Kind,
-    pub befalls: Befalls,
+    pub faults: ActiveFaults,
     /// Whether each token is told, not the first and the last alone.
-    pub tells_tokens: bool,
+    pub reports_tokens: bool,
     started_ms: Option<f64>,
     worked_ms: f64,
     queue: VecDeque<Work>,
     running: BTreeMap<u64, Running>,
     /// States that wait, by the dispatch that read them.
     states: BTreeMap<u64, f64>,
-    kept: Kept,
-    /// Memory held by running work and waiting states.
+    prefix_cache: PrefixCache,
+    /// StoreRecovery held by running work and waiting states.
     held: f64,
     arrivals: VecDeque<(f64, f64)>,
     step_ends_ms: Option<f64>,
@@ -159,7 +159,7 @@
 /// What a server says of itself.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    pub in_hand: f64,
+    pub active_requests: f64,
     pub queue: f64,
     pub slots_share: f64,
     pub memory_share: f64,
@@ -168,17 +168,17 @@
 
 impl Server {
     pub fn new(kind: Kind) -> Self {
-        let kept = Kept::new(kind.memory_tokens);
+        let prefix_cache = PrefixCache::new(kind.memory_tokens);
         Server {
             kind,
-            befalls: Befalls::default(),
-            tells_tokens: false,
+            faults: ActiveFaults::default(),
+            reports_tokens: false,
             started_ms: None,
             worked_ms: 0.0,
             queue: VecDeque::new(),
             running: BTreeMap::new(),
             states: BTreeMap::new(),
-            kept,
+            prefix_cache,
             held: 0.0,
             arrivals: VecDeque::new(),
             step_ends_ms: None,
@@ -190,8 +190,8 @@
     /// A new process: it has kept nothing and is cold. The states that were lost with the old one.
     pub fn restart(&mut self, now_ms: f64) -> Vec<u64> {
         let lost = self.states.keys().copied().collect();
-        let befalls = Befalls { draining: false, silent: false, ..self.befalls.clone() };
-        *self = Server { befalls, tells_tokens: self.tells_tokens, ..Server::new(self.kind.clone()) };
+        let faults = ActiveFaults { draining: false, silent: false, ..self.faults.clone() };
+        *self = Server { faults, reports_tokens: self.reports_tokens, ..Server::new(self.kind.clone()) };
         self.started_ms = Some(now_ms);
         lost
     }
@@ -213,7 +213,7 @@
     }
 
     /// Notes work that arrives, whether it is taken or not; true where a cold server falls over under it.
-    pub fn presses(&mut self, now_ms: f64, work_ms: f64) -> bool {
+    pub fn record_arrival(&mut self, now_ms: f64, work_ms: f64) -> bool {
         if self.started_ms.is_none() {
             return false;
         }
@@ -239,18 +239,18 @@
     ///
     /// # Errors
     /// Why it is turned away; nothing ran.
-    pub fn arrive(&mut self, now_ms: f64, work: Work, did: &mut Vec<Did>) -> Result<(), Refusal> {
-        if self.befalls.draining {
+    pub fn arrive(&mut self, now_ms: f64, work: Work, events: &mut Vec<ServerEvent>) -> Result<(), Refusal> {
+        if self.faults.draining {
             return Err(Refusal::Draining);
         }
         if self.kind.role == Role::Writer && !work.fetches {
             return Err(Refusal::StateGone);
         }
-        let place = work.place.filter(|place| self.running.get(place).is_some_and(Running::is_held));
-        if let Some(place) = place {
-            self.drop_running(place);
+        let hold = work.hold.filter(|hold| self.running.get(hold).is_some_and(Running::is_held));
+        if let Some(hold) = hold {
+            self.drop_running(hold);
             self.queue.push_front(work);
-            self.admit(now_ms, did);
+            self.admit(now_ms, events);
             return Ok(());
         }
         let waits = self.slots_used() >= self.kind.slots
@@ -260,40 +260,42 @@
             return Err(Refusal::Full);
         }
         self.queue.push_back(work);
-        self.admit(now_ms, did);
+        self.admit(now_ms, events);
         Ok(())
     }
 
     /// Keeps a slot and memory for a dispatch to come; false where there is none at once.
-    pub fn hold(&mut self, place: u64, tokens: f64) -> bool {
+    pub fn hold(&mut self, hold: u64, tokens: f64) -> bool {
         let full = self.slots_used() >= self.kind.slots || !self.queue.is_empty();
-        if self.befalls.draining || full || tokens > self.free_memory() {
+        if self.faults.draining || full || tokens > self.free_memory() {
             return false;
         }
-        let work = Work { id: place, prompt: [].into(), tokens, answer: 0, fetches: false, place: None };
+        let work = Work { id: hold, prompt: [].into(), tokens, answer: 0, fetches: false, hold: None };
         self.held += tokens;
-        self.running
-            .insert(place, Running { work, phase: Phase::Held, kept: 0.0, memory: tokens, begun: false });
-        self.kept.shrink_to(self.kind.memory_tokens - self.held);
+        self.running.insert(
+            hold,
+            Running { work, phase: Phase::Held, cached_tokens: 0.0, memory: tokens, begun: false },
+        );
+        self.prefix_cache.shrink_to(self.kind.memory_tokens - self.held);
         true
     }
 
     /// A place that was held goes, if it was not taken yet.
-    pub fn give_up(&mut self, now_ms: f64, place: u64, did: &mut Vec<Did>) {
-        if self.running.get(&place).is_some_and(Running::is_held) {
-            self.drop_running(place);
-            self.admit(now_ms, did);
+    pub fn release_hold(&mut self, now_ms: f64, hold: u64, events: &mut Vec<ServerEvent>) {
+        if self.running.get(&hold).is_some_and(Running::is_held) {
+            self.drop_running(hold);
+            self.admit(now_ms, events);
         }
     }
 
     /// Takes what waits into free slots, in order.
-    fn admit(&mut self, now_ms: f64, did: &mut Vec<Did>) {
+    fn admit(&mut self, now_ms: f64, events: &mut Vec<ServerEvent>) {
         while self.slots_used() < self.kind.slots {
             let Some(next) = self.queue.front() else { break };
             let memory = next.tokens + f64::from(next.answer);
             if memory > self.kind.memory_tokens {
                 // Never fits: it would block all behind it.
-                did.push(Did::Refused { id: next.id, refusal: Refusal::Full });
+                events.push(ServerEvent::Refused { id: next.id, refusal: Refusal::Full });
                 self.queue.pop_front();
                 continue;
             }
@@ -303,21 +305,21 @@
             let Some(work) = self.queue.pop_front() else { break };
             self.held += memory;
             let (id, tokens) = (work.id, work.tokens);
-            let (phase, kept) = if work.fetches {
-                did.push(Did::Fetch(id));
+            let (phase, cached_tokens) = if work.fetches {
+                events.push(ServerEvent::Fetch(id));
                 (Phase::Fetching, tokens)
             } else {
-                let kept = self.kept.find(&work.prompt).min(tokens);
-                (Phase::Reading { left: tokens - kept }, kept)
+                let cached_tokens = self.prefix_cache.lookup(&work.prompt).min(tokens);
+                (Phase::Reading { left: tokens - cached_tokens }, cached_tokens)
             };
-            self.running.insert(id, Running { work, phase, kept, memory, begun: false });
+            self.running.insert(id, Running { work, phase, cached_tokens, memory, begun: false });
         }
-        self.kept.shrink_to(self.kind.memory_tokens - self.held);
+        self.prefix_cache.shrink_to(self.kind.memory_tokens - self.held);
         self.begin_step(now_ms);
     }
 
     /// The state that a dispatch waited for is here, or is nowhere.
-    pub fn fetched(&mut self, now_ms: f64, id: u64, there: bool, did: &mut Vec<Did>) {
+    pub fn fetched(&mut self, now_ms: f64, id: u64, there: bool, events: &mut Vec<ServerEvent>) {
         let Some(running) = self.running.get_mut(&id).filter(|running| running.phase == Phase::Fetching)
         else {
             return;
@@ -327,8 +329,8 @@
             self.begin_step(now_ms);
         } else {
             self.drop_running(id);
-            did.push(Did::Refused { id, refusal: Refusal::StateGone });
-            self.admit(now_ms, did);
+            events.push(ServerEvent::Refused { id, refusal: Refusal::StateGone });
+            self.admit(now_ms, events);
         }
     }
 
@@ -340,7 +342,7 @@
 
     /// Nobody waits for a dispatch any more. What waits for its state or its slot goes; what reads or writes goes on
     /// unless `stops`.
-    pub fn cancel(&mut self, now_ms: f64, id: u64, stops: bool, did: &mut Vec<Did>) {
+    pub fn cancel(&mut self, now_ms: f64, id: u64, stops: bool, events: &mut Vec<ServerEvent>) {
         self.queue.retain(|work| work.id != id);
         let goes = self.running.get(&id).is_some_and(|running| {
             stops
@@ -350,32 +352,32 @@
         if goes {
             self.drop_running(id);
         }
-        self.admit(now_ms, did);
+        self.admit(now_ms, events);
     }
 
     /// Whether a dispatch waits or runs here.
-    pub fn has(&self, id: u64) -> bool {
+    pub fn has_dispatch(&self, id: u64) -> bool {
         self.running.contains_key(&id) || self.queue.iter().any(|work| work.id == id)
     }
 
     /// A waiting state goes; false where there is none.
-    pub fn let_go(&mut self, now_ms: f64, id: u64, did: &mut Vec<Did>) -> bool {
+    pub fn release_state(&mut self, now_ms: f64, id: u64, events: &mut Vec<ServerEvent>) -> bool {
         let Some(tokens) = self.states.remove(&id) else { return false };
         self.held -= tokens;
-        self.admit(now_ms, did);
+        self.admit(now_ms, events);
         true
     }
 
-    pub fn holds(&self, id: u64) -> Option<f64> {
+    pub fn state_tokens(&self, id: u64) -> Option<f64> {
         self.states.get(&id).copied()
     }
 
     pub fn flush(&mut self) {
-        self.kept = Kept::new(self.kind.memory_tokens);
+        self.prefix_cache = PrefixCache::new(self.kind.memory_tokens);
     }
 
     /// When the step under way ends.
-    pub fn wakes_ms(&self) -> Option<f64> {
+    pub fn step_end_ms(&self) -> Option<f64> {
         self.step_ends_ms
     }
 
@@ -405,16 +407,16 @@
         let busy_ms = read / self.kind.read_tokens_per_ms + if writing { self.kind.token_ms } else { 0.0 };
         self.worked_ms += if self.started_ms.is_some() { busy_ms } else { 0.0 };
         let aged = self
-            .befalls
+            .faults
             .ageing
             .map_or(1.0, |(since, factor)| 1.0 + (factor - 1.0) * (now_ms - since).max(0.0) / 1e3);
-        let slow = self.befalls.slow.max(1.0) * aged.max(1.0);
-        let pause_ms = self.befalls.pausing.map_or(0.0, |(pause, every)| (pause - now_ms % every).max(0.0));
+        let slow = self.faults.slow.max(1.0) * aged.max(1.0);
+        let pause_ms = self.faults.pausing.map_or(0.0, |(pause, every)| (pause - now_ms % every).max(0.0));
         self.step_ends_ms = Some(now_ms + busy_ms * slow / self.capacity(now_ms) + pause_ms);
     }
 
     /// The step under way ends: each reading dispatch has read its part, each answer has one more token.
-    pub fn step(&mut self, now_ms: f64, did: &mut Vec<Did>) {
+    pub fn step(&mut self, now_ms: f64, events: &mut Vec<ServerEvent>) {
         if self.step_ends_ms.take().is_none() {
             return;
         }
@@ -432,18 +434,18 @@
                     } else {
                         running.phase = Phase::Writing { left: running.work.answer.max(1) };
                     }
-                    self.kept.keep(&running.work.prompt);
+                    self.prefix_cache.insert(&running.work.prompt);
                 }
                 Phase::Writing { left } => {
                     *left -= 1;
                     if !std::mem::replace(&mut running.begun, true) {
-                        did.push(Did::First { id: *id, kept: running.kept });
-                    } else if self.tells_tokens {
-                        did.push(Did::Token(*id));
+                        events.push(ServerEvent::First { id: *id, cached_tokens: running.cached_tokens });
+                    } else if self.reports_tokens {
+                        events.push(ServerEvent::Token(*id));
                     }
                     if *left == 0 {
-                        did.push(Did::Finished { id: *id });
-                        self.kept.keep(&running.work.prompt);
+                        events.push(ServerEvent::Finished { id: *id });
+                        self.prefix_cache.insert(&running.work.prompt);
                         ended.push(*id);
                     }
                 }
@@ -455,10 +457,10 @@
             if self.kind.role == Role::Reader {
                 self.states.insert(id, running.work.tokens);
                 self.held += running.work.tokens;
-                did.push(Did::Read { id, kept: running.kept });
+                events.push(ServerEvent::Read { id, cached_tokens: running.cached_tokens });
             }
         }
-        self.admit(now_ms, did);
+        self.admit(now_ms, events);
     }
 
     /// Its load as of a while back.
@@ -466,13 +468,13 @@
         if let Some((_, load)) = self.report.filter(|(at, _)| *at > now_ms - every_ms) {
             return load;
         }
-        let load = self.true_load();
+        let load = self.current_load();
         self.report = Some((now_ms, load));
         load
     }
 
     /// Its load at this very moment; nobody but a bound may look at it.
-    pub fn true_load(&self) -> Load {
+    pub fn current_load(&self) -> Load {
         let reading = |running: &Running| match running.phase {
             Phase::Reading { left } => left,
             _ => 0.0,
@@ -480,7 +482,7 @@
         let waiting: f64 = self.running.values().map(reading).sum();
         let queued: f64 = self.queue.iter().filter(|work| !work.fetches).map(|work| work.tokens).sum();
         Load {
-            in_hand: (self.running.len() + self.queue.len() + self.states.len()) as f64,
+            active_requests: (self.running.len() + self.queue.len() + self.states.len()) as f64,
             queue: self.queue.len() as f64,
             slots_share: self.slots_used() as f64 / self.kind.slots.max(1) as f64,
             memory_share: (self.held / self.kind.memory_tokens).clamp(0.0, 1.0),
--- a/crates/emulator/src/server/memory.rs
+++ b/crates/emulator/src/server/prefix_cache.rs
@@ -2,7 +2,7 @@
 
 /// Texts that a server keeps beside its work, least recently used first to go.
 #[derive(Debug)]
-pub struct Kept {
+pub struct PrefixCache {
     most: f64,
     /// Tokens that each beginning adds to the one before it, and when it was last used.
     texts: BTreeMap<u64, (f64, u64)>,
@@ -11,9 +11,15 @@
     uses: u64,
 }
 
-impl Kept {
+impl PrefixCache {
     pub fn new(most_tokens: f64) -> Self {
-        Kept { most: most_tokens, texts: BTreeMap::new(), by_use: BTreeSet::new(), tokens: 0.0, uses: 0 }
+        PrefixCache {
+            most: most_tokens,
+            texts: BTreeMap::new(),
+            by_use: BTreeSet::new(),
+            tokens: 0.0,
+            uses: 0,
+        }
     }
 
     fn touch(&mut self, key: u64, tokens: f64) {
@@ -27,7 +33,7 @@
     }
 
     /// Tokens of a prompt that are kept: the longest beginning of which no part is missing.
-    pub fn find(&mut self, prompt: &[(u64, f64)]) -> f64 {
+    pub fn lookup(&mut self, prompt: &[(u64, f64)]) -> f64 {
         let there = prompt.iter().take_while(|(key, _)| self.texts.contains_key(key)).count();
         let mut from = 0.0;
         for (key, end) in &prompt[..there] {
@@ -38,7 +44,7 @@
     }
 
     /// Keeps all of a prompt; what it pushes out is used least recently.
-    pub fn keep(&mut self, prompt: &[(u64, f64)]) {
+    pub fn insert(&mut self, prompt: &[(u64, f64)]) {
         let mut from = 0.0;
         for (key, end) in prompt {
             self.touch(*key, end - from);
--- a/crates/emulator/src/troubles.rs
+++ b/crates/emulator/src/troubles.rs
@@ -2,7 +2,7 @@
 
 use paddleproxy_settings::day::{DaySettings, Trouble};
 
-use crate::chance::{seed, Chance};
+use crate::random::{seed, RandomStream};
 
 /// Times that one trouble comes again at most.
 const AGAIN_MAX: usize = 10_000;
@@ -30,18 +30,18 @@
 }
 
 /// Whether a list that leaves out a share of the servers leaves out this one.
-pub fn left_out(name: &str, share: f64) -> bool {
+pub fn omits_server(name: &str, share: f64) -> bool {
     let mixed = name.bytes().fold(7, |mixed, byte| seed(mixed, 3, u64::from(byte)));
     ((mixed >> 11) as f64 / (1u64 << 53) as f64) < share
 }
 
 /// The troubles of a day as they come: those that come again by chance at each of their times.
-pub fn spread(day: &DaySettings, of: u64) -> Vec<Trouble> {
+pub fn expand_recurring(day: &DaySettings, of: u64) -> Vec<Trouble> {
     let mut all = Vec::new();
     for (row, trouble) in day.troubles.iter().enumerate() {
         all.push(trouble.clone());
         let Some(every_ms) = trouble.every_ms else { continue };
-        let mut chance = Chance::new(seed(day.seed, 8, of), 9, row as u64);
+        let mut chance = RandomStream::new(seed(day.seed, 8, of), 9, row as u64);
         let mut at_ms = trouble.at_ms;
         for _ in 0..AGAIN_MAX {
             // Never while the last one lasts.
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -6,7 +6,7 @@
     Arrival, CompletionId, CustomerId, Effect, Group, PrefixId, SessionId, WorkloadId,
 };
 
-use crate::chance::{seed, Chance};
+use crate::random::{seed, RandomStream};
 use crate::record::What;
 use crate::server::Prompt;
 use crate::troubles::Ramp;
@@ -25,7 +25,7 @@
 
 pub(crate) struct Session {
     load: usize,
-    chance: Chance,
+    chance: RandomStream,
     key: u64,
     beginning: (u64, f64),
     /// What was said so far: the end of each turn.
@@ -70,13 +70,13 @@
         let gap_ms = self.load_chance[load].gap_ms(rate);
         let next_ms = self.now_ms + gap_ms;
         if next_ms <= self.day.length_ms {
-            self.heap.put(next_ms, Ev::Session { load });
+            self.queue.put(next_ms, Ev::Session { load });
         }
         if self.now_ms > self.day.length_ms || self.open_sessions >= SESSIONS_MAX {
             return;
         }
         let key = self.load_chance[load].number() >> 11;
-        let mut chance = Chance::new(self.options.seed, 3, key);
+        let mut chance = RandomStream::new(self.options.seed, 3, key);
         let row = &self.day.clients[load];
         let beginning = match self.mood.hot.filter(|(share, _)| chance.happens(*share)) {
             Some((_, tokens)) => (seed(7, 0, tokens as u64) >> 11, tokens),
@@ -170,14 +170,14 @@
         let name = format!("op{op}");
         self.record(What::Asked { op: name, attempt, router, model, customer, deadline_ms, target_ms });
         if let Some(part) = leaves_ms {
-            self.heap.put(now_ms + part * target_ms, Ev::Leaves { op, attempt });
+            self.queue.put(now_ms + part * target_ms, Ev::Leaves { op, attempt });
         }
         let net_ms = self.options.net_ms;
         if self.routers[router].up {
-            self.heap.put(now_ms + net_ms, Ev::AtRouter { op, attempt });
+            self.queue.put(now_ms + net_ms, Ev::AtRouter { op, attempt });
         } else {
             let what = Sees::Broke { connected: false };
-            self.heap.put(now_ms + 2.0 * net_ms, Ev::Sees { op, attempt, what });
+            self.queue.put(now_ms + 2.0 * net_ms, Ev::Sees { op, attempt, what });
         }
     }
 
@@ -238,7 +238,7 @@
             let s = &mut self.sessions[session];
             if s.turn < load.turns {
                 let think_ms = load.think_ms * (0.5 + s.chance.share());
-                self.heap.put(self.now_ms + think_ms, Ev::Turn { session });
+                self.queue.put(self.now_ms + think_ms, Ev::Turn { session });
             } else {
                 self.open_sessions -= 1;
             }
@@ -268,6 +268,6 @@
         }
         self.ops[op].attempt += 1;
         self.ops[op].at = None;
-        self.heap.put(self.now_ms + waits_ms, Ev::Attempt { op });
+        self.queue.put(self.now_ms + waits_ms, Ev::Attempt { op });
     }
 }
--- a/crates/emulator/src/world/dispatches.rs
+++ b/crates/emulator/src/world/dispatches.rs
@@ -39,17 +39,17 @@
         let net_ms = self.dispatches[dispatch].net_ms;
         let (up, mode) = (self.nodes[server].up, self.nodes[server].mode);
         match (up, mode) {
-            (true, _) => self.heap.put(self.now_ms + net_ms, Ev::Arrive { dispatch }),
+            (true, _) => self.queue.put(self.now_ms + net_ms, Ev::Arrive { dispatch }),
             (false, Dead::Unreachable) => {
                 let at_ms = self.now_ms + self.day.router.engines.connect_ms;
-                self.heap.put(at_ms, Ev::End { dispatch, end: SocketEnd::ConnectTimedOut });
+                self.queue.put(at_ms, Ev::End { dispatch, end: SocketEnd::ConnectTimedOut });
             }
             (false, _) => {
-                self.heap
+                self.queue
                     .put(self.now_ms + 2.0 * net_ms, Ev::End { dispatch, end: SocketEnd::ConnectRefused });
             }
         }
-        self.heap.put(sending.until_ms, Ev::End { dispatch, end: SocketEnd::TimedOut });
+        self.queue.put(sending.until_ms, Ev::End { dispatch, end: SocketEnd::TimedOut });
     }
 
     /// A dispatch ends at its router, by whatever comes first.
@@ -67,7 +67,7 @@
             return;
         }
         if matches!(end, SocketEnd::TimedOut | SocketEnd::Stalled) {
-            self.heap.put(self.now_ms + self.options.net_ms, Ev::Cancel { dispatch });
+            self.queue.put(self.now_ms + self.options.net_ms, Ev::Cancel { dispatch });
         }
         if granted {
             let what = if end == SocketEnd::AnswerDone { Sees::Finished } else { Sees::Aborted };
@@ -108,7 +108,7 @@
         let noise = self.day.fleet.report_noise;
         if noise > 0.0 {
             let chance = &mut self.nodes[server].chance;
-            for figure in [&mut load.in_hand, &mut load.queue, &mut load.waiting_tokens] {
+            for figure in [&mut load.active_requests, &mut load.queue, &mut load.waiting_tokens] {
                 *figure *= 1.0 + noise * (2.0 * chance.share() - 1.0);
             }
         }
@@ -118,7 +118,7 @@
 
     pub(super) fn probed(&mut self, server: Option<usize>, router: usize, boot: u64, worker: WorkerId) {
         if let Some(server) = server {
-            self.nodes[server].model.presses(self.now_ms, 0.3);
+            self.nodes[server].model.record_arrival(self.now_ms, 0.3);
             self.report(router, boot, server);
         }
         let took_ms = 2.0 * self.options.net_ms;
@@ -141,7 +141,9 @@
         };
         let net_ms = self.dispatches[dispatch].net_ms;
         if !self.nodes[server].up || self.nodes[server].start != self.dispatches[dispatch].start {
-            return self.heap.put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ConnectRefused });
+            return self
+                .queue
+                .put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ConnectRefused });
         }
         self.mark(server);
         let fetches =
@@ -152,7 +154,7 @@
             tokens: self.dispatches[dispatch].tokens,
             answer: self.ops[op].answer,
             fetches,
-            place: None,
+            hold: None,
         };
         let work_ms = self.nodes[server].model.work_ms(&work);
         let request = self.dispatches[dispatch].name.clone();
@@ -171,24 +173,24 @@
         self.dispatches[dispatch].arrived_ms = Some(self.now_ms);
         self.nodes[server].arrivals += 1;
         self.run.balance[0] += 1;
-        if self.nodes[server].model.presses(self.now_ms, work_ms) {
+        if self.nodes[server].model.record_arrival(self.now_ms, work_ms) {
             self.record(What::FellOver { server: name });
-            self.nodes[server].model.befalls.silent = true;
+            self.nodes[server].model.faults.silent = true;
         }
-        if self.nodes[server].model.befalls.silent {
+        if self.nodes[server].model.faults.silent {
             return;
         }
         let most = self.day.fleet.kinds[self.nodes[server].kind].connections;
         if most.is_some_and(|most| self.nodes[server].model.open() >= most) {
             self.leaves_server(dispatch, 3);
             let end = SocketEnd::BrokeBeforeAnswer;
-            return self.heap.put(self.now_ms + net_ms, Ev::End { dispatch, end });
+            return self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end });
         }
         let (share, of) = self.nodes[server].erring.clone();
         if of.is_none_or(|of| of == model) && self.nodes[server].chance.happens(share) {
             self.leaves_server(dispatch, 3);
             return self
-                .heap
+                .queue
                 .put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ErrorStatus(500) });
         }
         let lost = self.nodes[server].answer_lost;
@@ -208,7 +210,7 @@
         self.leaves_server(dispatch, 2);
         let end = SocketEnd::TurnedAway(refusal);
         let net_ms = self.dispatches[dispatch].net_ms;
-        self.heap.put(self.now_ms + net_ms, Ev::End { dispatch, end });
+        self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end });
     }
 
     /// A server is done with a dispatch: 1 served, 2 refused, 3 failed or not wanted any more.
--- a/crates/emulator/src/world/list.rs
+++ b/crates/emulator/src/world/list.rs
@@ -23,7 +23,7 @@
             let node = &mut self.routers[router];
             node.news_ms = node.news_ms.max(self.now_ms + late_ms);
             let (at_ms, boot) = (node.news_ms, node.boot);
-            self.heap.put(at_ms, Ev::News { router, boot });
+            self.queue.put(at_ms, Ev::News { router, boot });
         }
     }
 
@@ -35,7 +35,7 @@
         let boot = if boot == 0 { self.routers[router].boot } else { boot };
         if self.list_down {
             return self
-                .heap
+                .queue
                 .put(self.now_ms + self.day.router.list.retry_ms.max(50.0), Ev::News { router, boot });
         }
         let late_ms = self.day.fleet.list_delay_ms;
@@ -56,7 +56,7 @@
         let servers: Vec<_> =
             newest.into_values().filter(|entry| known.is_some() || entry.readiness != "gone").collect();
         let servers: Vec<ServerEntry> =
-            servers.into_iter().filter(|entry| !left_out(&entry.name, self.lies)).collect();
+            servers.into_iter().filter(|entry| !omits_server(&entry.name, self.lies)).collect();
         for entry in &servers {
             let (server, readiness) = (entry.name.clone(), entry.readiness.clone());
             self.record(What::ListSent { router, server, readiness, cold: entry.age_ms.is_some() });
@@ -73,7 +73,7 @@
     pub(super) fn list_anew(&mut self, share: f64) {
         (self.list_epoch, self.lies) = (self.list_epoch + 1, share);
         for router in 0..self.routers.len() {
-            self.heap.put(self.now_ms, Ev::News { router, boot: 0 });
+            self.queue.put(self.now_ms, Ev::News { router, boot: 0 });
         }
     }
 
@@ -88,13 +88,13 @@
         let node = &mut self.routers[router];
         let asks = node.membership.due_probes(now_ms);
         if let Some(at_ms) = node.membership.next_wake_ms(now_ms) {
-            self.heap.put(at_ms, Ev::List { router, boot });
+            self.queue.put(at_ms, Ev::List { router, boot });
         }
         for worker in asks {
             let server = self.by_name.get(&*worker.0).copied();
-            let there = server.is_some_and(|row| self.nodes[row].up && !self.nodes[row].model.befalls.silent);
+            let there = server.is_some_and(|row| self.nodes[row].up && !self.nodes[row].model.faults.silent);
             let after_ms = if there { 2.0 * self.options.net_ms } else { self.day.router.engines.probe_ms };
-            self.heap.put(now_ms + after_ms, Ev::There { router, boot, worker, there });
+            self.queue.put(now_ms + after_ms, Ev::There { router, boot, worker, there });
         }
     }
 
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,13 +1,13 @@
 //! The deployment: servers, routers with their real books and gates, the list, and what travels between them.
 
-mod befalls;
 mod clients;
 mod dispatches;
 mod list;
 mod routers;
+mod server_lifecycle;
 mod servers;
+mod transfers;
 mod troubles;
-mod wires;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -23,14 +23,14 @@
 use paddleproxy_settings::day::{DaySettings, Dead, Trouble};
 use paddleproxy_store::retention::{self, Text};
 
-use crate::chance::{seed, Chance};
-use crate::heap::Heap;
+use crate::deduplication::{self, SeenEffects};
+use crate::event_queue::EventQueue;
 use crate::links::Link;
-use crate::policies::{Policy, Truth};
+use crate::policies::{Policy, TrueLoads};
+use crate::random::{seed, RandomStream};
 use crate::record::{Line, What};
-use crate::repeats::{self, Seen};
-use crate::server::{Befalls, Did, Kind, Load, Server, Work};
-use crate::troubles::{left_out, spread};
+use crate::server::{ActiveFaults, Kind, Load, Server, ServerEvent, Work};
+use crate::troubles::{expand_recurring, omits_server};
 
 use clients::{Op, Session};
 
@@ -48,30 +48,30 @@
     /// Network between clients and routers and whatever else is near, one way, in ms.
     pub net_ms: f64,
     /// Events after which a run ends and says so.
-    pub most_events: u64,
+    pub max_events: u64,
     pub keep_record: bool,
-    pub memory: Memory,
+    pub recovery: StoreRecovery,
 }
 
 /// What a router's store gives back at its next start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Memory {
+pub enum StoreRecovery {
     /// Nothing: the table is empty.
-    Nothing,
+    Empty,
     #[default]
-    Kept,
+    Intact,
     /// What it kept, an hour later.
     HourOld,
     /// What it kept, each of another server.
-    Lies,
+    WrongServers,
 }
 
-impl Memory {
-    pub const ALL: [(&'static str, Memory); 4] = [
-        ("nothing", Memory::Nothing),
-        ("kept", Memory::Kept),
-        ("hour-old", Memory::HourOld),
-        ("lies", Memory::Lies),
+impl StoreRecovery {
+    pub const ALL: [(&'static str, StoreRecovery); 4] = [
+        ("nothing", StoreRecovery::Empty),
+        ("kept", StoreRecovery::Intact),
+        ("hour-old", StoreRecovery::HourOld),
+        ("lies", StoreRecovery::WrongServers),
     ];
 }
 
@@ -84,9 +84,9 @@
             load: 1.0,
             fleets: 1,
             net_ms: 0.3,
-            most_events: 2_000_000_000,
+            max_events: 2_000_000_000,
             keep_record: true,
-            memory: Memory::default(),
+            recovery: StoreRecovery::default(),
         }
     }
 }
@@ -104,10 +104,10 @@
     pub dispatches: u64,
     pub overdue: u64,
     pub unpinned: u64,
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Law of Little at the servers: mean number in hand, and arrivals times mean time.
-    pub mean_in_hand: f64,
-    pub rate_times_stay: f64,
+    pub mean_in_system: f64,
+    pub rate_times_sojourn: f64,
     /// Dispatches that arrived at servers, and those done, refused, lost, still open at the end: the first is the sum.
     pub balance: [u64; 5],
 }
@@ -225,7 +225,7 @@
     pub started_ms: Option<f64>,
     pub erring: (f64, Option<String>),
     pub answer_lost: f64,
-    chance: Chance,
+    chance: RandomStream,
     in_hand_since_ms: f64,
     in_hand_area: f64,
     arrivals: u64,
@@ -289,7 +289,7 @@
     /// The day's troubles as they come.
     pub troubles: Rc<[Trouble]>,
     pub options: Options,
-    pub heap: Heap<Ev>,
+    pub queue: EventQueue<Ev>,
     pub now_ms: f64,
     pub nodes: Vec<Node>,
     by_name: BTreeMap<String, usize>,
@@ -304,12 +304,12 @@
     /// Start of the list service, and the share of the servers that it leaves out.
     list_epoch: u64,
     lies: f64,
-    seen: Seen,
-    truth: Truth,
+    seen_effects: SeenEffects,
+    true_loads: TrueLoads,
     pub sessions: Vec<Session>,
     pub ops: Vec<Op>,
     pub open_sessions: usize,
-    pub load_chance: Vec<Chance>,
+    pub load_chance: Vec<RandomStream>,
     pub mood: clients::Mood,
     lines: Vec<Line>,
     run: Run,
@@ -320,11 +320,11 @@
     let mut world = World::new(day.clone(), options.clone());
     world.begin();
     let end_ms = day.length_ms + day.rest_ms;
-    while let Some((at_ms, event)) = world.heap.take() {
+    while let Some((at_ms, event)) = world.queue.take() {
         if at_ms > end_ms {
             break;
         }
-        if world.heap.count() > options.most_events {
+        if world.queue.count() > options.max_events {
             world.run.cut_short = true;
             break;
         }
@@ -358,7 +358,7 @@
                     started_ms: None,
                     erring: (0.0, None),
                     answer_lost: 0.0,
-                    chance: Chance::new(options.seed, 1, nodes.len() as u64),
+                    chance: RandomStream::new(options.seed, 1, nodes.len() as u64),
                     in_hand_since_ms: 0.0,
                     in_hand_area: 0.0,
                     arrivals: 0,
@@ -371,14 +371,14 @@
             links.push(Link::new(fleet.near_tokens_per_s));
             links.push(Link::new(fleet.far_tokens_per_s));
         }
-        let truth = Truth::default();
+        let true_loads = TrueLoads::default();
         let zones = day.router.names.zones.len().max(1);
         let router = |number: usize| RouterNode {
             up: false,
             boot: 0,
             zone: number % zones,
             reports: day.router_of(number).reports,
-            ledger: ledger(&day, &options, number, routers, 0, &truth),
+            ledger: ledger(&day, &options, number, routers, 0, &true_loads),
             membership: membership(&day),
             admission: admission(&day),
             saved: None,
@@ -392,9 +392,9 @@
         let routers = (0..routers).map(router).collect();
         let by_name = nodes.iter().enumerate().map(|(row, node)| (node.name.clone(), row)).collect();
         let load_chance =
-            (0..day.clients.len()).map(|row| Chance::new(options.seed, 2, row as u64)).collect();
+            (0..day.clients.len()).map(|row| RandomStream::new(options.seed, 2, row as u64)).collect();
         World {
-            heap: Heap::default(),
+            queue: EventQueue::default(),
             now_ms: 0.0,
             nodes,
             by_name,
@@ -407,8 +407,8 @@
             list_down: false,
             list_epoch: 1,
             lies: 0.0,
-            seen: Seen::default(),
-            truth,
+            seen_effects: SeenEffects::default(),
+            true_loads,
             sessions: Vec::new(),
             ops: Vec::new(),
             open_sessions: 0,
@@ -416,7 +416,7 @@
             mood: clients::Mood::default(),
             lines: Vec::new(),
             run: Run::default(),
-            troubles: spread(&day, options.seed).into(),
+            troubles: expand_recurring(&day, options.seed).into(),
             day,
             options,
         }
@@ -433,11 +433,11 @@
         for load in 0..self.day.clients.len() {
             let (rate, chance) = (self.rate(load), &mut self.load_chance[load]);
             let at_ms = chance.gap_ms(rate);
-            self.heap.put(at_ms, Ev::Session { load });
+            self.queue.put(at_ms, Ev::Session { load });
         }
         for (row, trouble) in self.troubles.clone().iter().enumerate() {
-            self.heap.put(trouble.at_ms, Ev::Trouble { row, begins: true });
-            self.heap.put(trouble.at_ms + trouble.for_ms, Ev::Trouble { row, begins: false });
+            self.queue.put(trouble.at_ms, Ev::Trouble { row, begins: true });
+            self.queue.put(trouble.at_ms + trouble.for_ms, Ev::Trouble { row, begins: false });
         }
     }
 
@@ -455,13 +455,13 @@
                 open += 1;
             }
         }
-        run.mean_in_hand = area / end_ms;
-        run.rate_times_stay = stay / end_ms;
+        run.mean_in_system = area / end_ms;
+        run.rate_times_sojourn = stay / end_ms;
         run.balance[4] = open;
         for router in &self.routers {
             add(&mut run, router.ledger.counts());
         }
-        run.events = self.heap.count();
+        run.events = self.queue.count();
         run.ended_ms = self.now_ms;
         run.lines = self.lines;
         run
@@ -520,7 +520,7 @@
 
 fn report_of(load: &Load) -> LoadReport {
     LoadReport {
-        active_requests: Some(load.in_hand),
+        active_requests: Some(load.active_requests),
         queue: Some(load.queue),
         slots_share: Some(load.slots_share),
         latency_ms: None,
@@ -535,7 +535,7 @@
     number: usize,
     routers: usize,
     boot: u64,
-    truth: &Truth,
+    true_loads: &TrueLoads,
 ) -> Ledger<Box<dyn Decisions>> {
     let zones = day.router.names.zones.len().max(1);
     let settings = paddleproxy::interface::Settings {
@@ -544,7 +544,8 @@
         zone: Some(paddleproxy::interface::ZoneId(number % zones)),
         ..day.router_of(number).decisions
     };
-    let decisions = options.policy.decisions(&settings, seed(options.seed, 100 + boot, number as u64), truth);
+    let decisions =
+        options.policy.decisions(&settings, seed(options.seed, 100 + boot, number as u64), true_loads);
     Ledger::with_decisions(decisions, settings, day.router.front.answer_slack_ms)
 }
 
--- a/crates/emulator/src/world/routers.rs
+++ b/crates/emulator/src/world/routers.rs
@@ -13,7 +13,7 @@
         node.boot += 1;
         let boot = node.boot;
         add(&mut self.run, node.ledger.counts());
-        node.ledger = ledger(&self.day, &self.options, router, count, boot, &self.truth);
+        node.ledger = ledger(&self.day, &self.options, router, count, boot, &self.true_loads);
         node.membership = membership(&self.day);
         node.admission = admission(&self.day);
         let mut rows = [].into();
@@ -35,10 +35,10 @@
     /// What a router that starts believes of what its store holds.
     pub(super) fn believed(&self, router: usize) -> Vec<CacheEntry> {
         const HOUR_MS: f64 = 3_600_000.0;
-        let late_ms = match self.options.memory {
-            Memory::Nothing => return Vec::new(),
-            Memory::HourOld => HOUR_MS,
-            Memory::Kept | Memory::Lies => 0.0,
+        let late_ms = match self.options.recovery {
+            StoreRecovery::Empty => return Vec::new(),
+            StoreRecovery::HourOld => HOUR_MS,
+            StoreRecovery::Intact | StoreRecovery::WrongServers => 0.0,
         };
         let node = &self.routers[router];
         let starts = node.membership.starts();
@@ -51,7 +51,7 @@
             entries,
         );
         let lies = |mut row: retention::RecoveredCacheEntry| {
-            if self.options.memory == Memory::Lies {
+            if self.options.recovery == StoreRecovery::WrongServers {
                 let at = names.iter().position(|name| ***name == *row.server.0).unwrap_or(0);
                 row.server = WorkerId(Arc::from(names[(at + 1) % names.len()].as_str()));
             }
@@ -74,7 +74,7 @@
             self.sees(asked.op, asked.attempt, Sees::Broke { connected: true });
         }
         for dispatch in out.into_values() {
-            self.heap.put(self.now_ms + self.options.net_ms, Ev::Cancel { dispatch });
+            self.queue.put(self.now_ms + self.options.net_ms, Ev::Cancel { dispatch });
         }
     }
 
@@ -83,7 +83,7 @@
         if node.up {
             node.admission.stop();
             let boot = node.boot;
-            self.heap.put(self.now_ms + self.day.router.front.stop_ms, Ev::StopEnds { router, boot });
+            self.queue.put(self.now_ms + self.day.router.front.stop_ms, Ev::StopEnds { router, boot });
         }
     }
 
@@ -125,7 +125,7 @@
         let place = match entered {
             Ok(place) => Some(place),
             Err(turned) => {
-                self.run.turned_away += 1;
+                self.run.rejected += 1;
                 let what = Sees::RateLimited { retry_after_ms: turned.retry_after_ms };
                 return self.send_client(op, attempt, what);
             }
@@ -146,12 +146,12 @@
     pub(super) fn client_gone(&mut self, op: usize) {
         if let Some((router, boot, completion)) = self.ops[op].at.take() {
             let input = Box::new(Input::Left { completion });
-            self.heap.put(self.now_ms + self.options.net_ms, Ev::Tell { router, boot, input });
+            self.queue.put(self.now_ms + self.options.net_ms, Ev::Tell { router, boot, input });
         }
     }
 
     pub(super) fn send_client(&mut self, op: usize, attempt: u32, what: Sees) {
-        self.heap.put(self.now_ms + self.options.net_ms, Ev::Sees { op, attempt, what });
+        self.queue.put(self.now_ms + self.options.net_ms, Ev::Sees { op, attempt, what });
     }
 
     pub(super) fn tell(&mut self, router: usize, boot: u64, input: Input) {
@@ -178,11 +178,11 @@
             Effect::Send(sending) => self.send(router, boot, sending),
             Effect::Stop { completion, seq } => {
                 if let Some(dispatch) = self.routers[router].out.get(&(completion, seq)).copied() {
-                    self.heap.put(self.now_ms + net_ms, Ev::Cancel { dispatch });
+                    self.queue.put(self.now_ms + net_ms, Ev::Cancel { dispatch });
                     if self.dispatches[dispatch].granted {
                         self.answer(router, completion, Sees::Aborted);
                     }
-                    self.heap.put(self.now_ms, Ev::End { dispatch, end: SocketEnd::Stopped });
+                    self.queue.put(self.now_ms, Ev::End { dispatch, end: SocketEnd::Stopped });
                 }
             }
             Effect::Grant { completion, seq } => {
@@ -214,26 +214,26 @@
             Effect::Arm { in_ms, timer } => {
                 let input = Box::new(Input::TimerFired(timer));
                 let at_ms = self.now_ms + in_ms;
-                self.heap.put(at_ms, Ev::Tell { router, boot, input });
+                self.queue.put(at_ms, Ev::Tell { router, boot, input });
             }
             Effect::ReleaseUnclaimed { .. } => {}
             Effect::Release { worker, completion, seq } => {
                 let Some(server) = self.by_name.get(&*worker.0).copied() else { return };
                 let start = self.nodes[server].start;
                 if let Some(dispatch) = self.routers[router].sent.get(&(completion, seq)).copied() {
-                    self.heap.put(self.now_ms + net_ms, Ev::Release { server, start, dispatch });
+                    self.queue.put(self.now_ms + net_ms, Ev::Release { server, start, dispatch });
                 }
             }
             Effect::Probe { worker } => {
                 let server = self.by_name.get(&*worker.0).copied();
                 let heard = server
-                    .filter(|server| self.nodes[*server].up && !self.nodes[*server].model.befalls.silent);
+                    .filter(|server| self.nodes[*server].up && !self.nodes[*server].model.faults.silent);
                 let after_ms = if heard.is_some() { 2.0 * net_ms } else { self.day.router.engines.probe_ms };
-                self.heap.put(self.now_ms + after_ms, Ev::Probe { server: heard, router, boot, worker });
+                self.queue.put(self.now_ms + after_ms, Ev::Probe { server: heard, router, boot, worker });
             }
             Effect::CacheUpdated { worker, session, tokens, prefix } => {
                 let at_ms = self.now_ms;
-                let remembers = self.options.memory != Memory::Nothing;
+                let remembers = self.options.recovery != StoreRecovery::Empty;
                 let node = &mut self.routers[router];
                 if let Some(start) = node.membership.start(&worker).filter(|_| remembers) {
                     for (text, tokens) in retention::texts(session, tokens, prefix) {
--- a/crates/emulator/src/world/befalls.rs
+++ b/crates/emulator/src/world/server_lifecycle.rs
@@ -15,8 +15,8 @@
         rows.map(|(row, _)| row).collect()
     }
 
-    pub(super) fn befalls(&mut self, servers: &[usize], change: impl Fn(&mut Befalls)) {
-        servers.iter().for_each(|row| change(&mut self.nodes[*row].model.befalls));
+    pub(super) fn befalls(&mut self, servers: &[usize], change: impl Fn(&mut ActiveFaults)) {
+        servers.iter().for_each(|row| change(&mut self.nodes[*row].model.faults));
     }
 
     pub(super) fn list_says(&mut self, server: usize, readiness: &str) {
@@ -54,7 +54,7 @@
             } else {
                 SocketEnd::BrokeBeforeAnswer
             };
-            self.heap.put(self.now_ms + self.options.net_ms, Ev::End { dispatch, end });
+            self.queue.put(self.now_ms + self.options.net_ms, Ev::End { dispatch, end });
         }
         for row in 0..self.dispatches.len() {
             if self.dispatches[row].server == server && self.dispatches[row].start == start {
@@ -94,7 +94,7 @@
             })
             .collect();
         for dispatch in granted {
-            self.heap.put(at_ms, Ev::End { dispatch, end: SocketEnd::Stalled });
+            self.queue.put(at_ms, Ev::End { dispatch, end: SocketEnd::Stalled });
         }
     }
 }
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -4,12 +4,12 @@
 
 impl World {
     /// What a server did is carried on, and its next step is awaited.
-    pub(super) fn after(&mut self, server: usize, did: Vec<Did>) {
+    pub(super) fn after(&mut self, server: usize, did: Vec<ServerEvent>) {
         for did in did {
             match did {
-                Did::Fetch(id) => self.fetch(server, id as usize),
-                Did::Refused { id, refusal } => self.refused(id as usize, refusal),
-                Did::Read { id, kept } => {
+                ServerEvent::Fetch(id) => self.fetch(server, id as usize),
+                ServerEvent::Refused { id, refusal } => self.refused(id as usize, refusal),
+                ServerEvent::Read { id, cached_tokens: kept } => {
                     let dispatch = id as usize;
                     self.dispatches[dispatch].kept = kept;
                     let (name, request) =
@@ -21,14 +21,14 @@
                         self.let_go(server, dispatch, "unwanted");
                     } else {
                         let (start, lease_ms) = (self.nodes[server].start, self.day.fleet.lease_ms);
-                        self.heap.put(self.now_ms + lease_ms, Ev::Lease { server, start, dispatch });
+                        self.queue.put(self.now_ms + lease_ms, Ev::Lease { server, start, dispatch });
                         let net_ms = self.dispatches[dispatch].net_ms;
-                        self.heap.put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ReadDone });
+                        self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ReadDone });
                     }
                 }
-                Did::Token(_) => {}
-                Did::First { id, kept } => self.first(server, id as usize, kept),
-                Did::Finished { id } => {
+                ServerEvent::Token(_) => {}
+                ServerEvent::First { id, cached_tokens: kept } => self.first(server, id as usize, kept),
+                ServerEvent::Finished { id } => {
                     let dispatch = id as usize;
                     let end = if self.dispatches[dispatch].lost {
                         SocketEnd::BrokeBeforeAnswer
@@ -37,23 +37,23 @@
                     };
                     self.leaves_server(dispatch, 1);
                     let net_ms = self.dispatches[dispatch].net_ms;
-                    self.heap.put(self.now_ms + net_ms, Ev::End { dispatch, end });
+                    self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end });
                 }
             }
         }
-        if let Some(at_ms) = self.nodes[server].model.wakes_ms() {
-            if !self.nodes[server].model.befalls.silent {
+        if let Some(at_ms) = self.nodes[server].model.step_end_ms() {
+            if !self.nodes[server].model.faults.silent {
                 let start = self.nodes[server].start;
-                self.heap.put(at_ms, Ev::Step { server, start });
+                self.queue.put(at_ms, Ev::Step { server, start });
             }
         }
-        if self.options.policy == Policy::SeesAll {
-            let load = self.nodes[server].model.true_load();
+        if self.options.policy == Policy::LeastTrueLoad {
+            let load = self.nodes[server].model.current_load();
             let worker = WorkerId(Arc::from(self.nodes[server].name.as_str()));
             let kind = &self.nodes[server].model.kind;
-            let busy =
-                load.in_hand / kind.slots as f64 + load.waiting_tokens / (kind.read_tokens_per_ms * 1e3);
-            self.truth.borrow_mut().insert(worker, busy);
+            let busy = load.active_requests / kind.slots as f64
+                + load.waiting_tokens / (kind.read_tokens_per_ms * 1e3);
+            self.true_loads.borrow_mut().insert(worker, busy);
         }
     }
 
@@ -72,7 +72,7 @@
         if self.ops[op].streamed && !lost {
             let input = Box::new(Input::Began { completion, seq, took_ms });
             let net_ms = self.dispatches[dispatch].net_ms;
-            self.heap.put(self.now_ms + net_ms, Ev::Tell { router, boot, input });
+            self.queue.put(self.now_ms + net_ms, Ev::Tell { router, boot, input });
         }
     }
 
@@ -86,15 +86,15 @@
         let Some(rule) = self.day.fleet.repeats.iter().find(|rule| rule.model == *model) else {
             return false;
         };
-        let group = repeats::group(rule.group, &self.nodes[server].zone, self.nodes[server].cell);
-        self.seen.repeats(group, key, arrived_ms, self.now_ms, rule.window_ms)
+        let group = deduplication::group_name(rule.group, &self.nodes[server].zone, self.nodes[server].cell);
+        self.seen_effects.check_and_record(group, key, arrived_ms, self.now_ms, rule.window_ms)
     }
 
     pub(super) fn step(&mut self, server: usize, start: u64) {
         let node = &self.nodes[server];
         // A step foretold before the server's pace changed comes again at its time.
-        let due = node.model.wakes_ms().is_some_and(|at| at <= self.now_ms + 1e-9);
-        if !node.up || node.start != start || node.model.befalls.silent || !due {
+        let due = node.model.step_end_ms().is_some_and(|at| at <= self.now_ms + 1e-9);
+        if !node.up || node.start != start || node.model.faults.silent || !due {
             return;
         }
         self.mark(server);
--- a/crates/emulator/src/world/wires.rs
+++ b/crates/emulator/src/world/transfers.rs
@@ -30,7 +30,7 @@
     pub(super) fn let_go(&mut self, server: usize, dispatch: usize, why: &str) {
         self.mark(server);
         let mut did = Vec::new();
-        if self.nodes[server].model.let_go(self.now_ms, dispatch as u64, &mut did) {
+        if self.nodes[server].model.release_state(self.now_ms, dispatch as u64, &mut did) {
             let (name, request) = (self.nodes[server].name.clone(), self.dispatches[dispatch].name.clone());
             self.record(What::StateGone { server: name, request, why: why.to_owned() });
         }
@@ -44,7 +44,10 @@
         let there = self.dispatches.get(from).and_then(|read| {
             let reader = &self.nodes[read.server];
             let same = reader.up && reader.start == read.start;
-            reader.model.holds(from as u64).filter(|_| same && !self.transfers.contains_key(&(from as u64)))
+            reader
+                .model
+                .state_tokens(from as u64)
+                .filter(|_| same && !self.transfers.contains_key(&(from as u64)))
         });
         match there {
             Some(tokens) => {
@@ -60,9 +63,9 @@
     }
 
     pub(super) fn await_link(&mut self, link: usize) {
-        if let Some(at_ms) = self.links[link].next_ms() {
+        if let Some(at_ms) = self.links[link].next_end_ms() {
             let version = self.links[link].version;
-            self.heap.put(at_ms, Ev::LinkEnds { link, version });
+            self.queue.put(at_ms, Ev::LinkEnds { link, version });
         }
     }
 
@@ -72,7 +75,7 @@
             for part in 0..2 {
                 let link = (cell as usize + copy * cells) * 2 + part;
                 if link < self.links.len() {
-                    self.links[link].set_slow(self.now_ms, factor);
+                    self.links[link].set_slowdown(self.now_ms, factor);
                     self.await_link(link);
                 }
             }
@@ -83,10 +86,10 @@
         if self.links[link].version != version {
             return;
         }
-        for from in self.links[link].ended(self.now_ms) {
+        for from in self.links[link].take_finished(self.now_ms) {
             let Some((dispatch, _)) = self.transfers.remove(&from) else { continue };
             let reader = self.dispatches[from as usize].server;
-            let there = self.nodes[reader].model.holds(from).is_some();
+            let there = self.nodes[reader].model.state_tokens(from).is_some();
             self.let_go(reader, from as usize, "taken");
             self.fetched(dispatch, there);
         }
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -63,7 +63,7 @@
                 let servers = self.named(servers);
                 self.befalls(&servers, |befalls| befalls.draining = true);
                 servers.into_iter().for_each(|server| self.list_says(server, "draining"));
-                self.heap.put(now_ms + notice_ms, Ev::Dies { row });
+                self.queue.put(now_ms + notice_ms, Ev::Dies { row });
             }
             Befalls::Links { cell, factor } => self.slow_links(*cell, *factor),
             Befalls::ZoneLost { zone, routers } => {
@@ -150,7 +150,7 @@
             Befalls::ListBehind { .. } => {
                 self.behind_ms = 0.0;
                 (0..self.routers.len())
-                    .for_each(|router| self.heap.put(self.now_ms, Ev::News { router, boot: 0 }));
+                    .for_each(|router| self.queue.put(self.now_ms, Ev::News { router, boot: 0 }));
             }
             Befalls::ListDown => self.list_down = false,
             Befalls::ListLies { .. } => self.list_anew(0.0),
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use paddleproxy_emulator::record::What;
-use paddleproxy_emulator::troubles::spread;
+use paddleproxy_emulator::troubles::expand_recurring;
 use paddleproxy_emulator::{run, Options, Policy, Run};
 use paddleproxy_settings::day::{load, DaySettings, Trouble, What as TroubleKind};
 
@@ -37,9 +37,9 @@
         let [came, done, refused, dropped, open] = run.balance;
         assert_eq!(came, done + refused + dropped + open, "{name}");
         assert!(
-            (run.mean_in_hand / run.rate_times_stay - 1.0).abs() < 0.2,
+            (run.mean_in_system / run.rate_times_sojourn - 1.0).abs() < 0.2,
             "{name}: {run:?}",
-            run = run.mean_in_hand
+            run = run.mean_in_system
         );
         assert_eq!((run.overdue, run.cut_short), (0, false), "{name}");
     }
@@ -75,7 +75,7 @@
     let with = |change: &dyn Fn(&mut DaySettings)| {
         let mut day = base.clone();
         change(&mut day);
-        run(&Rc::new(day), &Options { most_events: 600_000, ..Options::default() })
+        run(&Rc::new(day), &Options { max_events: 600_000, ..Options::default() })
     };
     // No clients at all; a server of one slot; no reader; nothing but readers; no server that lives.
     assert_eq!(
@@ -129,11 +129,11 @@
         ..trouble(TroubleKind::Flush { servers: vec!["north-m1".into()] })
     };
     let often = with(&|day| day.troubles = vec![short.clone()]);
-    let all = spread(&often, 1);
+    let all = expand_recurring(&often, 1);
     let expected = often.length_ms / 500.0;
     assert!((all.len() as f64) > 0.5 * expected && (all.len() as f64) < 1.6 * expected, "{}", all.len());
     assert!(all.windows(2).all(|pair| pair[1].at_ms >= pair[0].at_ms + 50.0));
-    assert!(all.iter().zip(spread(&often, 1)).all(|(one, again)| one.at_ms == again.at_ms));
+    assert!(all.iter().zip(expand_recurring(&often, 1)).all(|(one, again)| one.at_ms == again.at_ms));
     // A law of Zipf makes the first beginning the most frequent.
     let zipf = with(&|day| day.clients[0].zipf = 1.0);
     let drawn: Vec<_> = (0..1000).map(|n| zipf.clients[0].beginning_at(n as f64 / 1000.0)).collect();
@@ -186,7 +186,7 @@
     let run = run(&Rc::new(late), &Options::default());
     assert!(run.ended_ms >= 1e7 && !run.cut_short, "{}", run.ended_ms);
     assert!(finished(&run) > 0.97 && run.overdue == 0, "{}", finished(&run));
-    assert!((run.mean_in_hand / run.rate_times_stay - 1.0).abs() < 0.2);
+    assert!((run.mean_in_system / run.rate_times_sojourn - 1.0).abs() < 0.2);
 }
 
 /// A shape is what its switches say: all routers in it play as if the template said so, and not as without it.
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use paddleproxy::interface::Role;
-use paddleproxy_emulator::server::{Did, Kind, Server, Work};
+use paddleproxy_emulator::server::{Kind, Server, ServerEvent, Work};
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp};
@@ -36,7 +36,7 @@
     let (mut next_ms, mut next, mut stay, mut done) = (gaps.sample(&mut rng), 0, 0.0, 0);
     let (mut area, mut before_ms, mut did) = (0.0, 0.0, Vec::new());
     while done < count {
-        let step_ms = server.wakes_ms().unwrap_or(f64::INFINITY);
+        let step_ms = server.step_end_ms().unwrap_or(f64::INFINITY);
         let now_ms = step_ms.min(next_ms);
         area += came.len() as f64 * (now_ms - before_ms);
         before_ms = now_ms;
@@ -51,7 +51,7 @@
             server
                 .arrive(
                     now_ms,
-                    Work { id: next, prompt, tokens, answer, fetches: !reads, place: None },
+                    Work { id: next, prompt, tokens, answer, fetches: !reads, hold: None },
                     &mut did,
                 )
                 .unwrap();
@@ -60,9 +60,9 @@
         }
         while let Some(what) = did.pop() {
             match what {
-                Did::Fetch(id) => server.fetched(now_ms, id, true, &mut did),
-                Did::Read { id, .. } | Did::Finished { id } => {
-                    server.let_go(now_ms, id, &mut did);
+                ServerEvent::Fetch(id) => server.fetched(now_ms, id, true, &mut did),
+                ServerEvent::Read { id, .. } | ServerEvent::Finished { id } => {
+                    server.release_state(now_ms, id, &mut did);
                     stay += now_ms - came.remove(&id).unwrap();
                     done += 1;
                 }
@@ -81,10 +81,11 @@
 fn one_slot_with_poisson_arrivals_is_m_m_1() {
     for load in [0.3, 0.6, 0.8] {
         let work_ms = 40.0;
-        let (stay_ms, in_hand) = mean_stay_ms(kind(Role::Reader, 1), load / work_ms, work_ms, 100_000);
+        let (stay_ms, active_requests) =
+            mean_stay_ms(kind(Role::Reader, 1), load / work_ms, work_ms, 100_000);
         near(stay_ms, work_ms / (1.0 - load), 0.05);
         // The law of Little, with the rate that was asked for.
-        near(in_hand, load / work_ms * stay_ms, 0.02);
+        near(active_requests, load / work_ms * stay_ms, 0.02);
     }
 }
 
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -47,7 +47,7 @@
     pub fn slow(&self, cell: u32, factor: f64) {
         for near in [true, false] {
             self.on((cell, near), |wire, now_ms| {
-                wire.link.set_slow(now_ms, factor);
+                wire.link.set_slowdown(now_ms, factor);
                 wire.changed.notify_waiters();
             });
         }
@@ -65,7 +65,7 @@
         let transfer = Transfer { links: self, which, id };
         loop {
             let notified = changed.notified();
-            let next_ms = self.on(which, |wire, _| wire.link.next_ms());
+            let next_ms = self.on(which, |wire, _| wire.link.next_end_ms());
             let Some(next_ms) = next_ms.filter(|_| !self.ended(which, id)) else { break };
             tokio::select! {
                 _ = sleep_until(self.record.at(next_ms)) => {}
@@ -77,7 +77,7 @@
 
     fn ended(&self, which: Which, id: u64) -> bool {
         self.on(which, |wire, now_ms| {
-            let ended = wire.link.ended(now_ms);
+            let ended = wire.link.take_finished(now_ms);
             if !ended.is_empty() {
                 wire.done.extend(ended);
                 wire.changed.notify_waiters();
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use paddleproxy_emulator::troubles::left_out;
+use paddleproxy_emulator::troubles::omits_server;
 use paddleproxy_engine::{ServerEntry, ServerList};
 
 use crate::record::{Record, What};
@@ -98,8 +98,11 @@
             Some(address) => ServerEntry { address: address.clone(), ..entry },
             None => entry,
         };
-        let servers: Vec<ServerEntry> =
-            servers.into_iter().filter(|entry| !left_out(&entry.name, self.lies.get())).map(way).collect();
+        let servers: Vec<ServerEntry> = servers
+            .into_iter()
+            .filter(|entry| !omits_server(&entry.name, self.lies.get()))
+            .map(way)
+            .collect();
         for entry in &servers {
             let (server, readiness) = (entry.name.clone(), entry.readiness.clone());
             self.record.add(What::ListSent { router, server, readiness, cold: entry.age_ms.is_some() });
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use paddleproxy_emulator::repeats::{self, Seen};
-use paddleproxy_emulator::server::{Befalls, Did, Kind, Prompt, Server as Model, Work};
+use paddleproxy_emulator::deduplication::{self, SeenEffects};
+use paddleproxy_emulator::server::{ActiveFaults, Kind, Prompt, Server as Model, ServerEvent, Work};
 use paddleproxy_engine::{Load, Refusal, ServerEntry, IN_HAND, QUEUE, WAITING_TOKENS};
 use paddleproxy_settings::fleet::{FleetSettings, KindOfServer, ServerRow};
 use tokio::sync::{mpsc, Notify};
@@ -25,7 +25,7 @@
     pub list: Rc<ListService>,
     pub links: Links,
     /// What the servers that drop repeats remember.
-    seen: RefCell<Seen>,
+    seen: RefCell<SeenEffects>,
     pub chance: RefCell<fastrand::Rng>,
 }
 
@@ -129,7 +129,7 @@
     pub fn new(shared: Rc<Shared>, row: ServerRow, address: SocketAddr) -> Rc<Self> {
         let kind = &shared.settings.kinds[row.kind];
         let mut model = Model::new(Kind::of(&shared.settings, kind));
-        model.tells_tokens = true;
+        model.reports_tokens = true;
         Rc::new(Server {
             name: RefCell::new(row.name.clone()),
             shared,
@@ -168,13 +168,13 @@
         change(&mut self.state.borrow_mut().trouble);
     }
 
-    pub fn befalls(&self, change: impl FnOnce(&mut Befalls)) {
-        change(&mut self.state.borrow_mut().model.befalls);
+    pub fn befalls(&self, change: impl FnOnce(&mut ActiveFaults)) {
+        change(&mut self.state.borrow_mut().model.faults);
         self.changed.notify_one();
     }
 
     pub fn silent(&self) -> bool {
-        self.state.borrow().model.befalls.silent
+        self.state.borrow().model.faults.silent
     }
 
     pub fn list(&self, readiness: &str) {
@@ -238,7 +238,7 @@
         loop {
             let wakes = {
                 let model = &self.state.borrow().model;
-                model.wakes_ms().filter(|_| !model.befalls.silent)
+                model.step_end_ms().filter(|_| !model.faults.silent)
             };
             let Some(at_ms) = wakes else {
                 self.changed.notified().await;
@@ -258,20 +258,20 @@
     }
 
     /// Does something to the model and tells those who wait what came of it.
-    fn act<T>(self: &Rc<Self>, act: impl FnOnce(&mut Model, &mut Vec<Did>) -> T) -> T {
+    fn act<T>(self: &Rc<Self>, act: impl FnOnce(&mut Model, &mut Vec<ServerEvent>) -> T) -> T {
         let mut did = Vec::new();
         let result = act(&mut self.state.borrow_mut().model, &mut did);
         for did in did {
             let (id, heard) = match did {
-                Did::Fetch(id) => (id, Heard::Fetch),
-                Did::Read { id, kept } => {
+                ServerEvent::Fetch(id) => (id, Heard::Fetch),
+                ServerEvent::Read { id, cached_tokens: kept } => {
                     self.has_read(id);
                     (id, Heard::Read { kept })
                 }
-                Did::First { id, kept } => (id, Heard::First { kept }),
-                Did::Token(id) => (id, Heard::Token),
-                Did::Finished { id } => (id, Heard::Finished),
-                Did::Refused { id, refusal } => (id, Heard::Refused(refusal)),
+                ServerEvent::First { id, cached_tokens: kept } => (id, Heard::First { kept }),
+                ServerEvent::Token(id) => (id, Heard::Token),
+                ServerEvent::Finished { id } => (id, Heard::Finished),
+                ServerEvent::Refused { id, refusal } => (id, Heard::Refused(refusal)),
             };
             let waiter = self.state.borrow().waiting.get(&id).and_then(|(_, waiter)| waiter.clone());
             // There is room for all that a dispatch can hear.
@@ -289,8 +289,8 @@
     pub fn presses(&self, work_ms: f64) -> bool {
         let now_ms = self.now_ms();
         let model = &mut self.state.borrow_mut().model;
-        let falls = model.presses(now_ms, work_ms);
-        model.befalls.silent |= falls;
+        let falls = model.record_arrival(now_ms, work_ms);
+        model.faults.silent |= falls;
         falls
     }
 
@@ -298,7 +298,7 @@
     pub fn work(&self, prompt: &str, answer: u32, fetches: bool) -> (Work, f64) {
         let tokens = prompt.len().div_ceil(TOKEN_BYTES) as f64;
         let id = self.next.replace(self.next.get() + 1);
-        let work = Work { id, prompt: beginnings(prompt), tokens, answer, fetches, place: None };
+        let work = Work { id, prompt: beginnings(prompt), tokens, answer, fetches, hold: None };
         let work_ms = self.state.borrow().model.work_ms(&work);
         (work, work_ms)
     }
@@ -317,7 +317,7 @@
         let (sender, heard) = mpsc::channel(work.answer as usize + 8);
         {
             let mut state = self.state.borrow_mut();
-            work.place = state.places.remove(completion_of(request));
+            work.hold = state.places.remove(completion_of(request));
             state.waiting.insert(id, (request.to_owned(), Some(sender)));
         }
         let asker = Asker { server: self.clone(), start: self.start.get(), id };
@@ -339,7 +339,7 @@
         let now_ms = self.now_ms();
         self.act(|model, did| model.cancel(now_ms, id, stops, did));
         let mut state = self.state.borrow_mut();
-        if !state.model.has(id) {
+        if !state.model.has_dispatch(id) {
             state.waiting.remove(&id);
         }
     }
@@ -377,7 +377,7 @@
     /// A state that may be taken, which nobody else may from now on; its tokens.
     pub fn begin_move(&self, block: u64) -> Option<f64> {
         let mut state = self.state.borrow_mut();
-        let tokens = state.model.holds(block)?;
+        let tokens = state.model.state_tokens(block)?;
         let kept = state.states.get_mut(&block).filter(|kept| !kept.moving)?;
         kept.moving = true;
         Some(tokens)
@@ -387,7 +387,7 @@
         let gone = self.state.borrow_mut().states.remove(&block);
         if let Some(gone) = gone {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.let_go(now_ms, block, did));
+            self.act(|model, did| model.release_state(now_ms, block, did));
             self.state_gone(&gone.request, why);
         }
     }
@@ -406,7 +406,7 @@
     fn give_up(self: &Rc<Self>, place: Option<u64>) {
         if let Some(place) = place {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.give_up(now_ms, place, did));
+            self.act(|model, did| model.release_hold(now_ms, place, did));
         }
     }
 
@@ -433,8 +433,14 @@
     pub fn effect(&self, request: &str, key: &str, model: &str, arrived_ms: f64) {
         let rule = self.shared.settings.repeats.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
-            let group = repeats::group(rule.group, &self.row.zone, self.row.cell);
-            self.shared.seen.borrow_mut().repeats(group, key, arrived_ms, self.now_ms(), rule.window_ms)
+            let group = deduplication::group_name(rule.group, &self.row.zone, self.row.cell);
+            self.shared.seen.borrow_mut().check_and_record(
+                group,
+                key,
+                arrived_ms,
+                self.now_ms(),
+                rule.window_ms,
+            )
         });
         let (server, request, key) = (self.name(), request.to_owned(), key.to_owned());
         self.record(What::Effect { server, request, key, repeat });
@@ -448,7 +454,8 @@
             true => figure * (1.0 + noise * (2.0 * self.shared.chance.borrow_mut().f64() - 1.0)),
             false => figure,
         };
-        let metrics = [(IN_HAND, load.in_hand), (QUEUE, load.queue), (WAITING_TOKENS, load.waiting_tokens)];
+        let metrics =
+            [(IN_HAND, load.active_requests), (QUEUE, load.queue), (WAITING_TOKENS, load.waiting_tokens)];
         Load {
             mem_utilization: Some(load.memory_share),
             application_utilization: Some(load.slots_share),
--- a/crates/rehearsal/src/experiment.rs
+++ b/crates/rehearsal/src/experiment.rs
@@ -12,7 +12,7 @@
 use anyhow::{bail, Context, Result};
 use paddleproxy_day::audit::Facts;
 use paddleproxy_day::report::report;
-use paddleproxy_emulator::{run, Memory, Options, Policy};
+use paddleproxy_emulator::{run, Options, Policy, StoreRecovery};
 use paddleproxy_settings::day::DaySettings;
 use paddleproxy_settings::experiment::ExperimentSettings;
 use statrs::distribution::{ContinuousCDF, StudentsT};
@@ -97,8 +97,8 @@
             "list_delay_ms" => day.fleet.list_delay_ms = number()?,
             "cold_ms" => (day.fleet.cold_ms, day.router.decisions.cold_ms) = (number()?, number()?),
             "memory" => {
-                let found = Memory::ALL.iter().find(|(known, _)| known == value);
-                options.memory = found.with_context(|| format!("there is no memory '{value}'"))?.1;
+                let found = StoreRecovery::ALL.iter().find(|(known, _)| known == value);
+                options.recovery = found.with_context(|| format!("there is no memory '{value}'"))?.1;
             }
             "most_removed" => day.router.membership.most_removed = number()?,
             other => bail!("there is no knob '{other}'"),
