--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs one `Control` for each router behind the simulator's wire; decides nothing.
+//! Adapter between an external simulator and the decision module: runs one `Control` for each simulated
+//! router and translates the simulator's line protocol. It makes no decisions of its own.
 
 mod wire;
 
--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire: batches of lines in, one reply for each out.
+//! The simulator's line protocol: reads batches of tab-separated lines and writes one reply for each batch.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{BufRead, Write};
@@ -13,13 +13,14 @@
 use paddleproxy_platform::report;
 use paddleproxy_platform::settings::{self, Provision};
 
-/// One router: its decisions and the wire's names for rows of its settings. None once it has failed.
+/// One router: its decision module and the protocol's names for the rows of its settings.
 struct Instance {
     control: Control,
-    names: Provision,
+    provision: Provision,
 }
 
-/// Lists of workers as sent, by number; names of zones and kinds differ by instance only in their rows.
+/// A list of workers as sent. It serves several instances, so names of zones and kinds are resolved for each
+/// of them.
 type Rows = Vec<RawRow>;
 
 struct RawRow {
@@ -33,13 +34,15 @@
 }
 
 #[derive(Default)]
-struct Drill {
+struct Adapter {
+    /// By router; `None` once the instance has failed.
     instances: BTreeMap<u64, Option<Instance>>,
+    /// By `set_id`.
     lists: HashMap<u32, Rows>,
     workers: HashMap<Box<str>, WorkerId>,
 }
 
-/// The parts of one line after its message name.
+/// The fields of a line after its message name, read in order. `-` marks an absent field.
 struct Fields<'a> {
     rest: Option<&'a str>,
 }
@@ -72,14 +75,14 @@
 
     fn number<T: std::str::FromStr>(&mut self, field: &str) -> Result<T> {
         let part = self.text(field)?;
-        part.parse().map_err(|_| anyhow!("field {field}: '{part}' is not what belongs here"))
+        part.parse().map_err(|_| anyhow!("field {field}: '{part}' is not a valid number"))
     }
 
     fn optional_number<T: std::str::FromStr>(&mut self, field: &str) -> Result<Option<T>> {
         let Some(part) = self.optional() else {
             return Ok(None);
         };
-        part.parse().map(Some).map_err(|_| anyhow!("field {field}: '{part}' is not what belongs here"))
+        part.parse().map(Some).map_err(|_| anyhow!("field {field}: '{part}' is not a valid number"))
     }
 
     fn seconds(&mut self, field: &str) -> Result<f64> {
@@ -101,19 +104,19 @@
 
 /// Serves batches until the input ends.
 pub fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<()> {
-    let mut drill = Drill::default();
+    let mut adapter = Adapter::default();
     let mut line = String::new();
-    let mut number = 0u64;
-    let mut clock: Option<f64> = None;
+    let mut line_number = 0u64;
+    let mut batch_ms: Option<f64> = None;
     let mut actions = Vec::new();
-    let mut list: Option<(u32, usize)> = None;
+    let mut open_list: Option<(u32, usize)> = None;
     loop {
         line.clear();
-        number += 1;
-        if input.read_line(&mut line).with_context(|| format!("line {number}"))? == 0 {
-            match clock {
+        line_number += 1;
+        if input.read_line(&mut line).with_context(|| format!("line {line_number}"))? == 0 {
+            match batch_ms {
                 None => return Ok(()),
-                Some(_) => bail!("line {number}: message EOB: the batch has no end"),
+                Some(_) => bail!("line {line_number}: message EOB: the batch has no end"),
             }
         }
         let text = line.trim_end_matches(['\n', '\r']);
@@ -122,46 +125,50 @@
             None => (text, None),
         };
         let mut fields = Fields { rest };
-        let place = || format!("line {number}: message {name}");
-        match (name, clock) {
-            ("BEGIN_BATCH", None) => clock = Some(fields.seconds("wall_s").with_context(place)?),
+        let location = || format!("line {line_number}: message {name}");
+        match (name, batch_ms) {
+            ("BEGIN_BATCH", None) => batch_ms = Some(fields.seconds("wall_s").with_context(location)?),
             ("", None) => {}
-            (_, None) => bail!("line {number}: message {name}: outside a batch"),
+            (_, None) => bail!("line {line_number}: message {name}: outside a batch"),
             ("BEGIN_BATCH", Some(_)) => {
-                bail!("line {number}: message BEGIN_BATCH: the batch before has no end")
+                bail!("line {line_number}: message BEGIN_BATCH: the previous batch has no end")
             }
             ("EOB", Some(_)) => {
-                if let Some((_, missing)) = list {
-                    bail!("line {number}: message SNAPSHOT_ROWS: field nodes_list: {missing} rows missing");
+                if let Some((_, missing)) = open_list {
+                    bail!(
+                        "line {line_number}: message SNAPSHOT_ROWS: field nodes_list: {missing} rows missing"
+                    );
                 }
                 output.write_all(b"EOR\n")?;
                 output.flush()?;
-                clock = None;
+                batch_ms = None;
             }
             ("SNAPSHOT_ROWS", Some(_)) => {
-                let set: u32 = fields.number("set_id").with_context(place)?;
-                let count: usize = fields.number("nodes_list").with_context(place)?;
-                drill.lists.insert(set, Vec::new());
-                list = (count > 0).then_some((set, count));
+                let set_id: u32 = fields.number("set_id").with_context(location)?;
+                let count: usize = fields.number("nodes_list").with_context(location)?;
+                adapter.lists.insert(set_id, Vec::new());
+                open_list = (count > 0).then_some((set_id, count));
             }
             ("ROW", Some(_)) => {
-                let row = drill.row(&mut fields).with_context(place)?;
-                let (set, left) =
-                    list.ok_or_else(|| anyhow!("line {number}: message ROW: outside a list"))?;
-                drill.lists.entry(set).or_default().push(row);
-                list = (left > 1).then_some((set, left - 1));
+                let row = adapter.row(&mut fields).with_context(location)?;
+                let (set_id, left) =
+                    open_list.ok_or_else(|| anyhow!("line {line_number}: message ROW: outside a list"))?;
+                adapter.lists.entry(set_id).or_default().push(row);
+                open_list = (left > 1).then_some((set_id, left - 1));
             }
             (_, Some(now_ms)) => {
-                if let Some((_, missing)) = list {
-                    bail!("line {number}: message SNAPSHOT_ROWS: field nodes_list: {missing} rows missing");
+                if let Some((_, missing)) = open_list {
+                    bail!(
+                        "line {line_number}: message SNAPSHOT_ROWS: field nodes_list: {missing} rows missing"
+                    );
                 }
-                drill.event(now_ms, name, &mut fields, &mut actions, output).with_context(place)?;
+                adapter.event(now_ms, name, &mut fields, &mut actions, output).with_context(location)?;
             }
         }
     }
 }
 
-impl Drill {
+impl Adapter {
     fn worker(&mut self, name: &str) -> WorkerId {
         if let Some(known) = self.workers.get(name) {
             return known.clone();
@@ -215,63 +222,67 @@
         if !EVENTS.contains(&name) {
             return Ok(());
         }
-        let who: u64 = fields.number("who")?;
+        let router: u64 = fields.number("who")?;
         match name {
             "PROVISION" => {
                 let seed: u64 = fields.number("random_seed")?;
                 let conf = fields.rest.ok_or_else(|| anyhow!("field conf: missing"))?;
                 match settings::parse(conf) {
-                    Ok(names) => {
-                        let control = Control::new(names.settings.clone(), seed);
-                        self.instances.insert(who, Some(Instance { control, names }));
+                    Ok(provision) => {
+                        let control = Control::new(provision.settings.clone(), seed);
+                        self.instances.insert(router, Some(Instance { control, provision }));
                     }
                     Err(cause) => {
-                        self.instances.insert(who, None);
-                        writeln!(output, "DIE\t{who}\t{cause}")?;
+                        self.instances.insert(router, None);
+                        writeln!(output, "DIE\t{router}\t{cause}")?;
                     }
                 }
                 return Ok(());
             }
             "STOP" => {
-                self.instances.remove(&who);
+                self.instances.remove(&router);
                 return Ok(());
             }
             _ => {}
         }
-        // Two readings of one line: the load report that rides on a result is an event of its own.
+        // A result line may carry a load report, which is an event of its own and is handled first.
         let mut load = None;
-        let event = self.parse(who, name, fields, &mut load)?;
-        let (Some(slot), Some(event)) = (self.instances.get_mut(&who), event) else {
+        let event = self.parse(router, name, fields, &mut load)?;
+        let (Some(slot), Some(event)) = (self.instances.get_mut(&router), event) else {
             return Ok(());
         };
         let Some(instance) = slot else { return Ok(()) };
         let control = &mut instance.control;
-        let ran = catch_unwind(AssertUnwindSafe(|| {
+        let outcome = catch_unwind(AssertUnwindSafe(|| {
             if let Some(report) = &load {
                 control.handle(now_ms, report, actions);
             }
             control.handle(now_ms, &event, actions);
         }));
-        if let Err(cause) = ran {
+        if let Err(cause) = outcome {
             let cause = cause.downcast_ref::<String>().map(String::as_str);
-            writeln!(output, "DIE\t{who}\tpanic: {}", cause.unwrap_or("without words").replace('\n', " "))?;
+            writeln!(
+                output,
+                "DIE\t{router}\tpanic: {}",
+                cause.unwrap_or("without words").replace('\n', " ")
+            )?;
             *slot = None;
             actions.clear();
         }
         for action in actions.drain(..) {
-            write_action(output, who, &action)?;
+            write_action(output, router, &action)?;
         }
         Ok(())
     }
 
     fn parse(
         &mut self,
-        who: u64,
+        router: u64,
         name: &str,
         fields: &mut Fields,
         load: &mut Option<Event>,
     ) -> Result<Option<Event>> {
-        let instance = self.instances.get(&who).and_then(Option::as_ref);
+        let instance = self.instances.get(&router).and_then(Option::as_ref);
         Ok(Some(match name {
             "DISCOVERY" => {
                 let kind = match fields.text("kind")? {
@@ -285,10 +296,11 @@
                 if kind == ListKind::Failed {
                     return Ok(Some(Event::Listed { kind, rows: Arc::from([]) }));
                 }
-                let set: u32 = fields.number("set_id")?;
-                let rows = self.lists.get(&set).ok_or_else(|| anyhow!("field set_id: no list {set}"))?;
+                let set_id: u32 = fields.number("set_id")?;
+                let rows =
+                    self.lists.get(&set_id).ok_or_else(|| anyhow!("field set_id: no list {set_id}"))?;
                 let Some(instance) = instance else { return Ok(None) };
-                Event::Listed { kind, rows: house_rows(rows, &instance.names)? }
+                Event::Listed { kind, rows: resolve_listings(rows, &instance.provision)? }
             }
             "NEW_REQUEST" => {
                 let completion = CompletionId(fields.number("call")?);
@@ -297,15 +309,15 @@
                 let client_timeout_ms = fields.seconds("deadline_s")?;
                 let prompt_tokens = fields.number("prompt_tokens")?;
                 let max_tokens = fields.number("max_tokens")?;
-                let hint: Option<f64> = fields.optional_number("cost_guess_s")?;
+                let hint_s: Option<f64> = fields.optional_number("cost_guess_s")?;
                 let prefix = fields.optional_number("shared_prefix")?.filter(|key| *key != 0).map(PrefixId);
                 let customer = fields.optional();
-                let bits: u32 = fields.optional_number("bitmap")?.unwrap_or(0);
+                let flags: u32 = fields.optional_number("bitmap")?.unwrap_or(0);
                 let prefix_tokens = fields.optional_number("prefix_tokens")?.unwrap_or(0.0);
-                let Some(names) = instance.map(|instance| &instance.names) else {
+                let Some(provision) = instance.map(|instance| &instance.provision) else {
                     return Ok(None);
                 };
-                let workload = names.workloads.iter().position(|known| known == workload);
+                let workload = provision.workloads.iter().position(|known| known == workload);
                 let workload = workload.ok_or_else(|| anyhow!("field tier_class: not in the settings"))?;
                 Event::Arrived(Arrival {
                     completion,
@@ -313,16 +325,16 @@
                     session,
                     prefix,
                     customer: customer
-                        .and_then(|customer| names.customers.iter().position(|known| known == customer))
+                        .and_then(|customer| provision.customers.iter().position(|known| known == customer))
                         .map(CustomerId),
                     client_timeout_ms,
                     prompt_tokens,
                     prefix_tokens,
                     max_tokens,
-                    answer_hint_ms: hint.filter(|_| bits & 1 != 0).map(|hint| hint * 1e3),
+                    answer_hint_ms: hint_s.filter(|_| flags & 1 != 0).map(|hint_s| hint_s * 1e3),
                     home_zone: None,
-                    client_retry: bits & 2 != 0,
-                    resumed: bits & 16 != 0,
+                    client_retry: flags & 2 != 0,
+                    resumed: flags & 16 != 0,
                 })
             }
             "UNDER_WAY" => {
@@ -336,12 +348,12 @@
                 let took_ms = fields.seconds("took_s")?;
                 let worker = fields.text("worker")?;
                 let seq = Seq(fields.number("seq_no")?);
-                let over = fields.flag("complete")?;
+                let done = fields.flag("complete")?;
                 let code = fields.text("rc")?;
                 let remark: f64 = fields.optional_number("remark")?.unwrap_or(0.0);
                 *load = self.load(worker, fields)?;
                 let outcome = outcome(code, remark)?;
-                Event::Ended { completion, seq, took_ms, done: over, outcome, cached_tokens: remark }
+                Event::Ended { completion, seq, took_ms, done, outcome, cached_tokens: remark }
             }
             "HOLD_RESULT" => Event::HoldAnswered {
                 completion: CompletionId(fields.number("call")?),
@@ -383,15 +395,15 @@
             let (name, value) = pair
                 .split_once(':')
                 .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)))
-                .ok_or_else(|| anyhow!("field server_stats: '{pair}' is no pair"))?;
+                .ok_or_else(|| anyhow!("field server_stats: '{pair}' is not a name:value pair"))?;
             report::set(&mut load, name, value);
         }
         Ok(Some(Event::Reported { worker: self.worker(worker), load }))
     }
 }
 
-fn house_rows(rows: &Rows, names: &Provision) -> Result<Arc<[Listing]>> {
-    let find = |known: &[String], name: &str, field: &str| {
+fn resolve_listings(rows: &Rows, provision: &Provision) -> Result<Arc<[Listing]>> {
+    let position = |known: &[String], name: &str, field: &str| {
         known
             .iter()
             .position(|entry| entry == name)
@@ -401,8 +413,8 @@
         .map(|row| {
             Ok(Listing {
                 worker: row.worker.clone(),
-                zone: ZoneId(find(&names.zones, &row.zone, "zone")?),
-                kind: KindId(find(&names.kinds, &row.kind, "sku")?),
+                zone: ZoneId(position(&provision.zones, &row.zone, "zone")?),
+                kind: KindId(position(&provision.kinds, &row.kind, "sku")?),
                 cell: row.cell,
                 readiness: row.readiness,
                 weight: row.weight,
@@ -428,39 +440,39 @@
     })
 }
 
-fn write_action(output: &mut impl Write, who: u64, action: &Action) -> Result<()> {
+fn write_action(output: &mut impl Write, router: u64, action: &Action) -> Result<()> {
     match action {
         Action::Dispatch { completion, worker, timeout_ms } => {
-            writeln!(output, "ISSUE\t{who}\t{}\t{}\t{:.6}", completion.0, worker.0, timeout_ms / 1e3)
+            writeln!(output, "ISSUE\t{router}\t{}\t{}\t{:.6}", completion.0, worker.0, timeout_ms / 1e3)
         }
         Action::Cancel { completion, seq } => {
-            writeln!(output, "UNDO_SEND\t{who}\t{}\t{}", completion.0, seq.0)
+            writeln!(output, "UNDO_SEND\t{router}\t{}\t{}", completion.0, seq.0)
         }
         Action::Hold { completion, worker } => {
-            writeln!(output, "AHEAD\t{who}\t{}\t{}", completion.0, worker.0)
+            writeln!(output, "AHEAD\t{router}\t{}\t{}", completion.0, worker.0)
         }
-        Action::Release { completion } => writeln!(output, "FREE_STATE\t{who}\t{}", completion.0),
+        Action::Release { completion } => writeln!(output, "FREE_STATE\t{router}\t{}", completion.0),
         Action::RateLimit { completion, retry_after_ms } => {
-            writeln!(output, "REFUSE\t{who}\t{}\t{:.6}", completion.0, retry_after_ms / 1e3)
+            writeln!(output, "REFUSE\t{router}\t{}\t{:.6}", completion.0, retry_after_ms / 1e3)
         }
-        Action::Abort { completion } => writeln!(output, "GIVE_UP\t{who}\t{}", completion.0),
+        Action::Abort { completion } => writeln!(output, "GIVE_UP\t{router}\t{}", completion.0),
         Action::Arm { in_ms, timer: Timer::Completion(id) } => {
-            writeln!(output, "ARM\t{who}\t{:.6}\tc{}", in_ms / 1e3, id.0)
+            writeln!(output, "ARM\t{router}\t{:.6}\tc{}", in_ms / 1e3, id.0)
         }
         Action::Arm { in_ms, timer: Timer::Subscribe } => {
-            writeln!(output, "ARM\t{who}\t{:.6}\tsubscribe", in_ms / 1e3)
+            writeln!(output, "ARM\t{router}\t{:.6}\tsubscribe", in_ms / 1e3)
         }
-        Action::Subscribe => writeln!(output, "TAIL\t{who}\t1"),
-        Action::FetchList => writeln!(output, "RELOAD\t{who}"),
-        Action::Probe { worker } => writeln!(output, "INSPECT\t{who}\t{}", worker.0),
-        Action::CloseIdle { worker } => writeln!(output, "HANG_UP\t{who}\t{}", worker.0),
-        Action::MoveStream { completion } => writeln!(output, "MIGRATE\t{who}\t{}", completion.0),
+        Action::Subscribe => writeln!(output, "TAIL\t{router}\t1"),
+        Action::FetchList => writeln!(output, "RELOAD\t{router}"),
+        Action::Probe { worker } => writeln!(output, "INSPECT\t{router}\t{}", worker.0),
+        Action::CloseIdle { worker } => writeln!(output, "HANG_UP\t{router}\t{}", worker.0),
+        Action::MoveStream { completion } => writeln!(output, "MIGRATE\t{router}\t{}", completion.0),
         Action::SendToPeer { peer, payload } => {
             let to = peer.map_or_else(|| "*".to_owned(), |peer| peer.0.to_string());
             let payload = if payload.is_empty() { "-".to_owned() } else { STANDARD.encode(payload) };
-            writeln!(output, "ANNOUNCE\t{who}\t{to}\t{payload}")
+            writeln!(output, "ANNOUNCE\t{router}\t{to}\t{payload}")
         }
-        Action::Log(text) => writeln!(output, "EMIT\t{who}\t{}", text.replace(['\n', '\r'], " ")),
+        Action::Log(text) => writeln!(output, "EMIT\t{router}\t{}", text.replace(['\n', '\r'], " ")),
     }?;
     Ok(())
 }
--- a/crates/drill/tests/wire.rs
+++ b/crates/drill/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as its caller meets it: lines in, lines out, and an end.
+//! Runs the adapter as its caller does: lines on standard input, lines on standard output, and an exit
+//! status.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -29,14 +30,14 @@
     String::from_utf8(output.stdout).unwrap()
 }
 
-fn complaint(input: &str) -> String {
+fn error_output(input: &str) -> String {
     let output = run(input);
     assert!(!output.status.success());
     String::from_utf8(output.stderr).unwrap()
 }
 
 #[test]
-fn a_completion_goes_out_and_comes_back() {
+fn a_completion_is_dispatched_and_its_failure_rate_limited() {
     let start = format!(
         "BEGIN_BATCH\t1.0\nPROVISION\t3\t7\t{CONF}\nSNAPSHOT_ROWS\t0\t1\nROW\tw-1\ta\tboth\t0\tU\t1\t-\n\
          DISCOVERY\t3\tSAVED\t1\t0\nSNAPSHOT_ROWS\t0\t0\nUNHEARD_OF\t3\nEOB\n"
@@ -51,13 +52,13 @@
 }
 
 #[test]
-fn settings_that_lack_what_is_needed_end_the_instance() {
+fn incomplete_settings_end_the_instance() {
     let reply = replies("BEGIN_BATCH\t1.0\nPROVISION\t3\t7\t{\"balancers\":1}\nEOB\n");
     assert!(reply.starts_with("DIE\t3\tsettings: missing field"), "{reply}");
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn errors_name_the_malformed_line() {
     let cases = [
         ("BEGIN_BATCH\tsoon\nEOB\n", "line 1: message BEGIN_BATCH: field wall_s: 'soon'"),
         ("BEGIN_BATCH\t1\nEXPIRED\t3\nEOB\n", "line 2: message EXPIRED: field call: missing"),
@@ -68,8 +69,8 @@
         ("BEGIN_BATCH\t1\n", "line 2: message EOB: the batch has no end"),
     ];
     for (input, expected) in cases {
-        let complaint = complaint(input);
-        assert!(complaint.contains(expected), "{complaint}");
-        assert_eq!(complaint.lines().count(), 1, "{complaint}");
+        let errors = error_output(input);
+        assert!(errors.contains(expected), "{errors}");
+        assert_eq!(errors.lines().count(), 1, "{errors}");
     }
 }
