--- a/crates/emulator/src/deduplication.rs
+++ b/crates/emulator/src/deduplication.rs
@@ -1,16 +1,16 @@
-//! Which effects a group of servers has seen, so that it drops repeats of a key.
+//! Deduplication of effects: groups of servers drop repeats of an idempotency key.
 
 use std::collections::BTreeMap;
 
 use paddleproxy::interface::Group;
 
-/// Effects by group and key, with the time of each.
+/// The time of each effect, by group and key.
 #[derive(Debug, Default)]
 pub struct SeenEffects {
     effects: BTreeMap<(String, String), f64>,
 }
 
-/// The name of the servers that drop repeats together with one in this zone and cell.
+/// Name of the deduplication group of a server in this zone and cell.
 pub fn group_name(of: Group, zone: &str, cell: u32) -> String {
     match of {
         Group::All => "all".to_owned(),
@@ -20,8 +20,9 @@
 }
 
 impl SeenEffects {
-    /// Whether work that is about to take effect is a repeat; else its effect is noted. A key is remembered for the
-    /// window as seen by the dispatch's arrival: one that came in time and was slow is dropped however late it runs.
+    /// Returns whether work that is about to take effect is a repeat, and records its effect otherwise. The
+    /// window of a key is compared with the arrival of the dispatch: a dispatch that arrived within it is
+    /// dropped however late it runs.
     pub fn check_and_record(
         &mut self,
         group: String,
@@ -31,12 +32,12 @@
         window_ms: f64,
     ) -> bool {
         let effect = self.effects.entry((group, key.to_owned()));
-        let mut fresh = false;
+        let mut new = false;
         let at = effect.or_insert_with(|| {
-            fresh = true;
+            new = true;
             now_ms
         });
-        if fresh {
+        if new {
             return false;
         }
         if arrived_ms - *at < window_ms {
--- a/crates/emulator/src/event_queue.rs
+++ b/crates/emulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their time; those of one time in the order in which they were put in.
+//! Events in order of time; events of the same time in order of insertion.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -6,7 +6,7 @@
 struct Entry<T> {
     at_ms: f64,
     number: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -42,21 +42,21 @@
 }
 
 impl<T> EventQueue<T> {
-    /// Puts an event in; one that lies in the past, or at no time, comes at once.
-    pub fn put(&mut self, at_ms: f64, what: T) {
+    /// Schedules an event; one in the past or at NaN is scheduled for the current time.
+    pub fn push(&mut self, at_ms: f64, event: T) {
         let at_ms = if at_ms > self.now_ms { at_ms } else { self.now_ms };
-        self.entries.push(Reverse(Entry { at_ms, number: self.next, what }));
+        self.entries.push(Reverse(Entry { at_ms, number: self.next, event }));
         self.next += 1;
     }
 
-    pub fn take(&mut self) -> Option<(f64, T)> {
+    pub fn pop(&mut self) -> Option<(f64, T)> {
         let Reverse(entry) = self.entries.pop()?;
         self.now_ms = entry.at_ms;
-        Some((entry.at_ms, entry.what))
+        Some((entry.at_ms, entry.event))
     }
 
-    /// Events put in so far.
-    pub fn count(&self) -> u64 {
+    /// Number of events scheduled so far.
+    pub fn pushed(&self) -> u64 {
         self.next
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! A discrete-event model of a whole deployment: model servers, links, the list, clients, and the real decisions of
-//! the routers between them, in virtual time. No I/O, no clock, no chance without its seed: the same scenario and
-//! seed give the same record. Simulated; `docs/design/emulator.md` names what it leaves out.
+//! A discrete-event simulation of a whole deployment: model servers, links, the server list and clients in
+//! virtual time, with the production decision code in the routers between them. There is no I/O, no system
+//! clock and no unseeded randomness: the same scenario and seed give the same record.
+//! `docs/design/emulator.md` lists what the simulation leaves out.
 
 pub mod deduplication;
 mod event_queue;
--- a/crates/emulator/src/links/tests.rs
+++ b/crates/emulator/src/links/tests.rs
@@ -7,7 +7,7 @@
     let mut link = Link::new(1000.0);
     link.begin(0.0, 1, 100.0);
     assert_eq!(link.next_end_ms(), Some(100.0));
-    // From 50 ms on two share: the first needs 100 ms more for its 50 tokens.
+    // Two transfers share the link from 50 ms on: the first needs 100 ms more for its 50 remaining tokens.
     link.begin(50.0, 2, 100.0);
     assert_eq!(link.next_end_ms(), Some(150.0));
     assert_eq!(link.take_finished(150.0), [1]);
--- a/crates/emulator/src/policies.rs
+++ b/crates/emulator/src/policies.rs
@@ -1,5 +1,6 @@
-//! Who decides in the emulated routers: the module itself, or a baseline to measure it against. The baselines know how to
-//! try again and to give up, and nothing of homes, kept texts, turns or distrust.
+//! Decision policies of the simulated routers: the production decision module, or a baseline for comparison.
+//! The baselines retry and abort, and have no session homes, expected cache contents, slow-start rotation or
+//! failure scores.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -9,10 +10,10 @@
 use paddleproxy::Control;
 use paddleproxy_routing::Decisions;
 
-/// What a baseline goes by when it chooses among the servers that can do a stage.
+/// How a router chooses among the servers that can do a stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The decisions of `src/control.rs`.
+    /// The production decision module, `src/control.rs`.
     Design,
     Random,
     RoundRobin,
@@ -20,7 +21,7 @@
     LeastOwn,
     /// Shortest queue as reported, then fewest own.
     ShortestReported,
-    /// The true load of all servers at this moment, which no router can see: a bound.
+    /// Lowest true load at this moment, which no real router can know; serves as an upper bound.
     LeastTrueLoad,
 }
 
@@ -45,7 +46,7 @@
                 policy,
                 settings: settings.clone(),
                 rng: fastrand::Rng::with_seed(seed),
-                next: seed as usize,
+                next_index: seed as usize,
                 workers: BTreeMap::new(),
                 open: BTreeMap::new(),
                 true_loads: true_loads.clone(),
@@ -54,21 +55,27 @@
     }
 }
 
-/// The true load of each server, as a share of what it can do.
+/// The true load of each server: active requests per slot plus seconds of queued prompt reading.
 pub type TrueLoads = Rc<RefCell<BTreeMap<WorkerId, f64>>>;
 
 struct Worker {
     listing: Listing,
     role: Role,
-    own: f64,
+    /// This router's dispatches in flight to it.
+    own_dispatches: f64,
+    /// Queue length as last reported.
     queue: f64,
 }
 
-struct Open {
-    facts: Arrival,
+struct OpenCompletion {
+    arrival: Arrival,
+    /// The reader that holds the state.
     state_at: Option<WorkerId>,
-    out: Vec<Option<WorkerId>>,
-    avoid: Vec<WorkerId>,
+    /// Worker of each dispatch by sequence number; `None` once it has ended.
+    dispatched: Vec<Option<WorkerId>>,
+    /// Workers on which a dispatch has failed.
+    failed_workers: Vec<WorkerId>,
+    /// A dispatch may have had an effect.
     may_have_run: bool,
 }
 
@@ -76,34 +83,35 @@
     policy: Policy,
     settings: Settings,
     rng: fastrand::Rng,
-    next: usize,
+    /// Counter of the round-robin policy.
+    next_index: usize,
     workers: BTreeMap<WorkerId, Worker>,
-    open: BTreeMap<CompletionId, Open>,
+    open: BTreeMap<CompletionId, OpenCompletion>,
     true_loads: TrueLoads,
 }
 
 impl Baseline {
     fn choose(&mut self, id: CompletionId, roles: &[Role], cell: Option<CellId>) -> Option<WorkerId> {
         let open = self.open.get(&id)?;
-        let fits = |(name, worker): &(&WorkerId, &Worker)| {
+        let eligible = |(name, worker): &(&WorkerId, &Worker)| {
             worker.listing.readiness == Readiness::Ready
                 && roles.contains(&worker.role)
-                && !open.avoid.contains(name)
+                && !open.failed_workers.contains(name)
                 && cell.is_none_or(|cell| worker.listing.cell == cell)
         };
-        let found: Vec<_> = self.workers.iter().filter(fits).map(|(name, _)| name.clone()).collect();
-        if found.is_empty() {
+        let candidates: Vec<_> = self.workers.iter().filter(eligible).map(|(name, _)| name.clone()).collect();
+        if candidates.is_empty() {
             return None;
         }
-        let least = |figure: &dyn Fn(&WorkerId) -> f64| {
-            found.iter().min_by(|a, b| figure(a).total_cmp(&figure(b))).cloned()
+        let least = |measure: &dyn Fn(&WorkerId) -> f64| {
+            candidates.iter().min_by(|a, b| measure(a).total_cmp(&measure(b))).cloned()
         };
-        let own = |name: &WorkerId| self.workers.get(name).map_or(0.0, |worker| worker.own);
+        let own = |name: &WorkerId| self.workers.get(name).map_or(0.0, |worker| worker.own_dispatches);
         match self.policy {
-            Policy::Random | Policy::Design => Some(found[self.rng.usize(..found.len())].clone()),
+            Policy::Random | Policy::Design => Some(candidates[self.rng.usize(..candidates.len())].clone()),
             Policy::RoundRobin => {
-                self.next = self.next.wrapping_add(1);
-                Some(found[self.next % found.len()].clone())
+                self.next_index = self.next_index.wrapping_add(1);
+                Some(candidates[self.next_index % candidates.len()].clone())
             }
             Policy::LeastOwn => least(&own),
             Policy::ShortestReported => {
@@ -114,34 +122,36 @@
             }
             Policy::LeastTrueLoad => {
                 let true_loads = self.true_loads.borrow();
-                let seen = |name: &WorkerId| true_loads.get(name).copied().unwrap_or(0.0) + own(name) / 1e6;
-                least(&seen)
+                let true_load =
+                    |name: &WorkerId| true_loads.get(name).copied().unwrap_or(0.0) + own(name) / 1e6;
+                least(&true_load)
             }
         }
     }
 
     fn plan(&mut self, id: CompletionId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
-        let tries_left = open.out.len() < self.settings.max_dispatches;
+        let attempts_left = open.dispatched.len() < self.settings.max_dispatches;
         let chosen = match open.state_at.clone() {
             Some(at) => {
                 let cell = self.workers.get(&at).map(|worker| worker.listing.cell);
-                let writes = [Role::Writer, Role::Mixed];
-                self.choose(id, &writes, cell).or_else(|| self.choose(id, &writes, None))
+                let writer_roles = [Role::Writer, Role::Mixed];
+                self.choose(id, &writer_roles, cell).or_else(|| self.choose(id, &writer_roles, None))
             }
             None => self.choose(id, &[Role::Reader, Role::Mixed], None),
         };
         let Some(open) = self.open.get_mut(&id) else { return };
-        match chosen.filter(|_| tries_left) {
+        match chosen.filter(|_| attempts_left) {
             Some(worker) => {
                 let reader = self.workers.get(&worker).is_some_and(|worker| worker.role == Role::Reader);
                 open.may_have_run |= !reader;
-                open.out.push(Some(worker.clone()));
-                self.workers.get_mut(&worker).into_iter().for_each(|worker| worker.own += 1.0);
+                open.dispatched.push(Some(worker.clone()));
+                self.workers.get_mut(&worker).into_iter().for_each(|worker| worker.own_dispatches += 1.0);
                 actions.push(Action::Dispatch { completion: id, worker, timeout_ms: 0.0 });
             }
             None => {
-                let idempotent = self.settings.workloads[open.facts.workload.0].effect == Effect::Idempotent
+                let idempotent = self.settings.workloads[open.arrival.workload.0].effect
+                    == Effect::Idempotent
                     || !open.may_have_run;
                 let retry_after_ms = self.settings.max_retry_after_ms;
                 actions.push(if idempotent {
@@ -168,17 +178,30 @@
                         continue;
                     };
                     let worker = self.workers.entry(row.worker.clone());
-                    let worker =
-                        worker.or_insert_with(|| Worker { listing: row.clone(), role, own: 0.0, queue: 0.0 });
+                    let worker = worker.or_insert_with(|| Worker {
+                        listing: row.clone(),
+                        role,
+                        own_dispatches: 0.0,
+                        queue: 0.0,
+                    });
                     worker.listing = row.clone();
                 }
             }
-            Event::Arrived(facts) => {
-                let id = facts.completion;
+            Event::Arrived(arrival) => {
+                let id = arrival.completion;
                 let wake_ms = self.settings.resolution_ms * 2.0;
-                let in_ms = (facts.client_timeout_ms - now_ms - wake_ms).max(0.0);
-                let (facts, out, avoid) = (facts.clone(), Vec::new(), Vec::new());
-                self.open.insert(id, Open { facts, state_at: None, out, avoid, may_have_run: false });
+                let in_ms = (arrival.client_timeout_ms - now_ms - wake_ms).max(0.0);
+                let (arrival, dispatched, failed_workers) = (arrival.clone(), Vec::new(), Vec::new());
+                self.open.insert(
+                    id,
+                    OpenCompletion {
+                        arrival,
+                        state_at: None,
+                        dispatched,
+                        failed_workers,
+                        may_have_run: false,
+                    },
+                );
                 actions.push(Action::Arm { in_ms, timer: Timer::Completion(id) });
                 self.plan(id, actions);
             }
@@ -192,21 +215,21 @@
                     open.state_at = None;
                 }
             }
-            Event::Ended { completion, seq, done: over, outcome, .. } => {
+            Event::Ended { completion, seq, done, outcome, .. } => {
                 let Some(open) = self.open.get_mut(completion) else { return };
-                let worker = open.out.get_mut(seq.0 as usize).and_then(Option::take);
+                let worker = open.dispatched.get_mut(seq.0 as usize).and_then(Option::take);
                 if let Some(worker) = &worker {
-                    self.workers.get_mut(worker).into_iter().for_each(|worker| worker.own -= 1.0);
+                    self.workers.get_mut(worker).into_iter().for_each(|worker| worker.own_dispatches -= 1.0);
                 }
                 let failed = !matches!(outcome, Outcome::Read | Outcome::Finished | Outcome::NoState);
-                open.avoid.extend(worker.clone().filter(|_| failed));
+                open.failed_workers.extend(worker.clone().filter(|_| failed));
                 open.state_at = match outcome {
                     Outcome::Read => worker,
                     Outcome::NoState => None,
                     _ => open.state_at.take(),
                 };
-                let workload = self.settings.workloads[open.facts.workload.0].effect;
-                let sure = matches!(
+                let effect = self.settings.workloads[open.arrival.workload.0].effect;
+                let not_run = matches!(
                     outcome,
                     Outcome::Read
                         | Outcome::Full
@@ -215,18 +238,19 @@
                         | Outcome::Unsent
                         | Outcome::Moot
                 );
-                if *over || *outcome == Outcome::Finished {
+                if *done || *outcome == Outcome::Finished {
                     self.open.remove(completion);
-                } else if sure || workload == Effect::Idempotent {
+                } else if not_run || effect == Effect::Idempotent {
                     self.plan(*completion, actions);
                 } else {
-                    open.out.resize(self.settings.max_dispatches, None);
+                    open.dispatched.resize(self.settings.max_dispatches, None);
                     self.plan(*completion, actions);
                 }
             }
             Event::Expired { completion } => {
                 if let Some(open) = self.open.remove(completion) {
-                    for (seq, _) in open.out.iter().enumerate().filter(|(_, out)| out.is_some()) {
+                    for (seq, _) in open.dispatched.iter().enumerate().filter(|(_, worker)| worker.is_some())
+                    {
                         actions.push(Action::Cancel { completion: *completion, seq: Seq(seq as u32) });
                     }
                     actions.push(Action::Release { completion: *completion });
@@ -235,13 +259,14 @@
             Event::TimerFired(Timer::Completion(completion)) => {
                 let Some(open) = self.open.remove(completion) else { return };
                 let id = *completion;
-                let harmless = self.settings.workloads[open.facts.workload.0].effect == Effect::Idempotent;
-                actions.push(if harmless || !open.may_have_run {
+                let idempotent =
+                    self.settings.workloads[open.arrival.workload.0].effect == Effect::Idempotent;
+                actions.push(if idempotent || !open.may_have_run {
                     Action::RateLimit { completion: id, retry_after_ms: self.settings.max_retry_after_ms }
                 } else {
                     Action::Abort { completion: id }
                 });
-                for (seq, _) in open.out.iter().enumerate().filter(|(_, out)| out.is_some()) {
+                for (seq, _) in open.dispatched.iter().enumerate().filter(|(_, worker)| worker.is_some()) {
                     actions.push(Action::Cancel { completion: id, seq: Seq(seq as u32) });
                 }
                 actions.push(Action::Release { completion: id });
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -1,10 +1,11 @@
-//! What sockets carried, or would have carried, on one clock. The judge of a day reads nothing else.
+//! Record of what passed over the sockets, real or simulated, on one clock. The checker of a day reads
+//! nothing else.
 
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Time since the day began, in ms.
+    /// Time since the start of the day, in ms.
     pub at_ms: f64,
     #[serde(flatten)]
     pub what: What,
@@ -13,21 +14,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum What {
-    /// A server's process started; a cold one is not yet warm.
+    /// A server process started; `cold` if it is not warm yet.
     Started {
         server: String,
         zone: String,
         cell: u32,
         cold: bool,
     },
+    /// A server process ended.
     Died {
         server: String,
     },
+    /// A cold server hung under too much work.
     FellOver {
         server: String,
     },
-    /// A dispatch arrived whole at a server. Work is in ms of the warm server's time; `writes` where it can have an
-    /// effect.
+    /// A dispatch arrived completely at a server. `work_ms` is its time on a warm server; `writes` if it can
+    /// have an effect.
     Dispatch {
         server: String,
         request: String,
@@ -36,35 +39,38 @@
         work_ms: f64,
         writes: bool,
     },
-    /// It was turned away; nothing ran.
+    /// A server rejected a dispatch; nothing ran.
     #[serde(rename = "turned")]
     Rejected {
         server: String,
         request: String,
         code: String,
     },
-    /// Its connection is done with it, in whatever way.
+    /// The server is done with a dispatch, whatever the outcome.
     Ended {
         server: String,
         request: String,
     },
-    /// Work took its effect, or was dropped as a repeat.
+    /// The work of a dispatch took effect or, if `repeat`, was dropped as a repeat.
     Effect {
         server: String,
         request: String,
         key: String,
         repeat: bool,
     },
+    /// A reader holds the state of a dispatch for a writer.
     State {
         server: String,
         request: String,
     },
+    /// A reader no longer holds a state: `taken` by a writer, `released`, `lease` expired, `unwanted` or
+    /// `died`.
     StateGone {
         server: String,
         request: String,
         why: String,
     },
-    /// The list service sent a router this word of a server.
+    /// The list service sent a router this entry of a server.
     #[serde(rename = "told")]
     ListSent {
         router: usize,
@@ -78,17 +84,19 @@
     RouterDown {
         router: usize,
     },
+    /// A scripted trouble begins or ends.
     Trouble {
         name: String,
         begins: bool,
     },
-    /// A fault between processes begins or ends, and which routers it may make others think gone.
+    /// A fault of router processes or their connections begins or ends. `routers` are those that others may
+    /// consider failed because of it.
     Fault {
         name: String,
         routers: Vec<usize>,
         begins: bool,
     },
-    /// What a router said of its fellows, asked at that time and heard at the line's.
+    /// A router's view of its peers, requested at `asked_ms` and received at the time of the line.
     #[serde(rename = "fellows")]
     PeerStatus {
         router: usize,
@@ -97,7 +105,7 @@
         generation: u64,
         #[serde(rename = "mind")]
         status: String,
-        /// Of each thing shared out, and for how long without another word; none: its floor.
+        /// Share that the router may use of each resource divided among the routers, floor included.
         shares: Vec<f64>,
         #[serde(rename = "page")]
         allocation: u64,
@@ -109,8 +117,9 @@
         #[serde(rename = "unheard_by")]
         not_heard_by: Vec<usize>,
     },
-    /// What a router said of failover, asked at that time and heard at the line's: the page and plan in force, which share
-    /// of which zone's sessions has its home where, what it makes of each zone, and what each asks for and can take.
+    /// A router's view of failover, requested at `asked_ms` and received at the time of the line: the
+    /// allocation and plan in force, which share of a zone's sessions has its home in which other zone, the
+    /// verdict on each zone, and the demand and capacity of each zone.
     Plan {
         router: usize,
         asked_ms: f64,
@@ -126,13 +135,13 @@
         completions: u64,
         moved: u64,
     },
-    /// Time that a router's process was on a processor from the day's start to its end.
+    /// Processor time that a router process used during the day.
     #[serde(rename = "used")]
     CpuUsed {
         router: usize,
         cpu_ms: f64,
     },
-    /// A client's request left whole; it waits until the deadline.
+    /// A client sent an attempt of a request completely; it waits until the deadline.
     Asked {
         op: String,
         attempt: u32,
@@ -142,12 +151,13 @@
         deadline_ms: f64,
         target_ms: f64,
     },
-    /// The first byte of an answer's head, and the first event of a stream.
+    /// The first byte of an answer's head.
     Head {
         op: String,
         attempt: u32,
         status: u16,
     },
+    /// The first event of an answer's stream.
     First {
         op: String,
         attempt: u32,
@@ -158,18 +168,18 @@
         attempt: u32,
         how: String,
     },
-    /// Something more came after a final answer.
+    /// Further data arrived after a final answer.
     More {
         op: String,
         attempt: u32,
     },
-    /// The connection ended without a final answer, or could not be made at all.
+    /// The connection ended without a final answer or, if not `connected`, could not be made.
     Broke {
         op: String,
         attempt: u32,
         connected: bool,
     },
-    /// The client itself gave up.
+    /// The client left before the end of its attempt.
     Left {
         op: String,
         attempt: u32,
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,5 +1,6 @@
-//! One model server as a state machine: continuous batching in steps, slots, a bounded queue, memory with kept texts,
-//! states that wait, warm-up by time and by work. Told what arrives and when a step ends; says what was done.
+//! A model server as a state machine: continuous batching in steps, slots, a bounded queue, memory with a
+//! prefix cache, states held for writers, and warm-up by time and by work. Inputs are arrivals and step ends;
+//! outputs are [`ServerEvent`]s.
 
 mod prefix_cache;
 
@@ -12,7 +13,7 @@
 
 pub use prefix_cache::PrefixCache;
 
-/// What a kind of server can do.
+/// Capacity parameters of a kind of server.
 #[derive(Clone, Debug)]
 pub struct Kind {
     pub role: Role,
@@ -20,12 +21,15 @@
     pub queue: usize,
     pub memory_tokens: f64,
     pub read_tokens_per_ms: f64,
-    /// Time for one token of every answer in a step.
+    /// Time of a step in which each answer grows by one token.
     pub token_ms: f64,
+    /// Share of the capacity that a server has right after its start.
     pub cold_share: f64,
-    /// A cold server is warm after this time at the latest, or after this much work, in ms of the warm server's time.
+    /// A cold server is warm after this time, or earlier after this much work, in ms of a warm server's time.
     pub cold_ms: f64,
     pub cold_work_ms: f64,
+    /// A cold server falls over (hangs) if the work that arrives within `fall_ms` exceeds this multiple of
+    /// its capacity.
     pub fall_multiple: f64,
     pub fall_ms: f64,
 }
@@ -48,49 +52,50 @@
     }
 }
 
-/// Part of a step that reading may take beside answers, and the longest step that reads alone, in ms.
-const READ_SHARE: f64 = 0.5;
+/// Time that reading prompts may take in a step beside answers, as a share of the token time.
+const READ_STEP_SHARE: f64 = 0.5;
+/// Longest step that only reads prompts.
 const READ_STEP_MS: f64 = 20.0;
 
-/// A prompt as its beginnings: the key of each and where it ends, in tokens, ascending. Two prompts with a key in common
-/// begin with the same text up to it.
+/// A prompt as its prefixes, in ascending order: the key of each and its end in tokens. Two prompts with a
+/// key in common share the text up to its end.
 pub type Prompt = Rc<[(u64, f64)]>;
 
-/// What one dispatch asks for.
+/// The work that one dispatch requests.
 #[derive(Clone, Debug)]
 pub struct Work {
     pub id: u64,
     pub prompt: Prompt,
     pub tokens: f64,
-    /// Tokens of the answer; readers write none.
+    /// Tokens of the answer; readers generate none.
     pub answer: u32,
-    /// Its state comes from elsewhere, once a slot is free.
+    /// Its state is fetched from a reader once a slot is free.
     pub fetches: bool,
-    /// The place that was held for it ahead.
+    /// The hold that reserved a slot for it.
     pub hold: Option<u64>,
 }
 
-/// What a server events, by the dispatch's id.
+/// Output of a server; `id` is that of the dispatch.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerEvent {
-    /// A slot is free: its state may come now.
+    /// A slot is free: the transfer of its state may begin.
     Fetch(u64),
-    /// The prompt is read and its state waits; tokens found kept.
+    /// The prompt is read and its state is held for a writer.
     Read {
         id: u64,
         cached_tokens: f64,
     },
-    /// The first token of an answer is out.
+    /// The first token of an answer.
     First {
         id: u64,
         cached_tokens: f64,
     },
-    /// A further token; told only by servers that are asked to.
+    /// A further token; only if `Server::reports_tokens`.
     Token(u64),
     Finished {
         id: u64,
     },
-    /// Turned away after it had waited: memory ran out.
+    /// Rejected after it had been queued: it needs more memory than the server has, or its state is gone.
     Refused {
         id: u64,
         refusal: Refusal,
@@ -99,7 +104,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// A place without its dispatch yet.
+    /// A slot reserved by a hold.
     Held,
     Fetching,
     Reading {
@@ -115,6 +120,7 @@
     phase: Phase,
     cached_tokens: f64,
     memory: f64,
+    /// The first token has been generated.
     begun: bool,
 }
 
@@ -124,39 +130,46 @@
     }
 }
 
-/// What faults a server at present.
+/// The faults in effect at a server.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
+    /// The server hangs: it accepts dispatches and answers none.
     pub silent: bool,
+    /// Factor on the time of each step; values below 1 count as 1.
     pub slow: f64,
-    /// Since when and by which factor a second it grows slower.
+    /// Start time, and factor by which steps are slower after a second; the slowdown grows linearly.
     pub ageing: Option<(f64, f64)>,
+    /// Length and period in ms of pauses. A step that begins during a pause takes the rest of it longer.
     pub pausing: Option<(f64, f64)>,
+    /// The server rejects new dispatches.
     pub draining: bool,
 }
 
 pub struct Server {
     pub kind: Kind,
     pub faults: ActiveFaults,
-    /// Whether each token is told, not the first and the last alone.
+    /// Whether each token has an event, not only the first and the last.
     pub reports_tokens: bool,
+    /// `None` for a server that is warm from the beginning.
     started_ms: Option<f64>,
+    /// Busy time since the start.
     worked_ms: f64,
     queue: VecDeque<Work>,
     running: BTreeMap<u64, Running>,
-    /// States that wait, by the dispatch that read them.
+    /// Tokens of the states held for writers, by the dispatch that read them.
     states: BTreeMap<u64, f64>,
     prefix_cache: PrefixCache,
-    /// StoreRecovery held by running work and waiting states.
+    /// Memory in tokens that running work, holds and states take.
     held: f64,
     arrivals: VecDeque<(f64, f64)>,
     step_ends_ms: Option<f64>,
-    /// Tokens that each reading dispatch gets in the step under way.
+    /// Tokens that each reading dispatch reads in the current step.
     reads: Vec<(u64, f64)>,
+    /// The last load report and its time.
     report: Option<(f64, Load)>,
 }
 
-/// What a server says of itself.
+/// Load figures as a server reports them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
     pub active_requests: f64,
@@ -187,7 +200,8 @@
         }
     }
 
-    /// A new process: it has kept nothing and is cold. The states that were lost with the old one.
+    /// Starts a new process, cold and with empty memory. Returns the ids of the states lost with the old
+    /// process.
     pub fn restart(&mut self, now_ms: f64) -> Vec<u64> {
         let lost = self.states.keys().copied().collect();
         let faults = ActiveFaults { draining: false, silent: false, ..self.faults.clone() };
@@ -196,7 +210,7 @@
         lost
     }
 
-    /// The share of its capacity that it has by its age and by the work it has done since its start.
+    /// Share of the full capacity, by age and by work done since the start.
     pub fn capacity(&self, now_ms: f64) -> f64 {
         let Some(started) = self.started_ms else { return 1.0 };
         let by_time = (now_ms - started) / self.kind.cold_ms.max(1.0);
@@ -205,14 +219,15 @@
         self.kind.cold_share + (1.0 - self.kind.cold_share) * warm
     }
 
-    /// Time of the warm server that a dispatch costs.
+    /// Time that a dispatch takes on a warm server.
     pub fn work_ms(&self, work: &Work) -> f64 {
         let read = if work.fetches { 0.0 } else { work.tokens / self.kind.read_tokens_per_ms };
         let write = f64::from(work.answer) * self.kind.token_ms / self.kind.slots.max(1) as f64;
         read + if self.kind.role == Role::Reader { 0.0 } else { write }
     }
 
-    /// Notes work that arrives, whether it is taken or not; true where a cold server falls over under it.
+    /// Records arriving work, whether it is accepted or not. Returns true if a cold server falls over under
+    /// the load.
     pub fn record_arrival(&mut self, now_ms: f64, work_ms: f64) -> bool {
         if self.started_ms.is_none() {
             return false;
@@ -235,10 +250,10 @@
         self.running.len()
     }
 
-    /// A dispatch arrives.
+    /// Accepts a dispatch.
     ///
     /// # Errors
-    /// Why it is turned away; nothing ran.
+    /// The reason of the rejection; nothing has run.
     pub fn arrive(&mut self, now_ms: f64, work: Work, events: &mut Vec<ServerEvent>) -> Result<(), Refusal> {
         if self.faults.draining {
             return Err(Refusal::Draining);
@@ -264,7 +279,7 @@
         Ok(())
     }
 
-    /// Keeps a slot and memory for a dispatch to come; false where there is none at once.
+    /// Reserves a slot and memory for a later dispatch. Returns false if none is free right now.
     pub fn hold(&mut self, hold: u64, tokens: f64) -> bool {
         let full = self.slots_used() >= self.kind.slots || !self.queue.is_empty();
         if self.faults.draining || full || tokens > self.free_memory() {
@@ -280,7 +295,7 @@
         true
     }
 
-    /// A place that was held goes, if it was not taken yet.
+    /// Releases a hold that no dispatch has used.
     pub fn release_hold(&mut self, now_ms: f64, hold: u64, events: &mut Vec<ServerEvent>) {
         if self.running.get(&hold).is_some_and(Running::is_held) {
             self.drop_running(hold);
@@ -288,13 +303,13 @@
         }
     }
 
-    /// Takes what waits into free slots, in order.
+    /// Moves queued work into free slots, in order.
     fn admit(&mut self, now_ms: f64, events: &mut Vec<ServerEvent>) {
         while self.slots_used() < self.kind.slots {
             let Some(next) = self.queue.front() else { break };
             let memory = next.tokens + f64::from(next.answer);
             if memory > self.kind.memory_tokens {
-                // Never fits: it would block all behind it.
+                // It can never fit and would block the queue.
                 events.push(ServerEvent::Refused { id: next.id, refusal: Refusal::Full });
                 self.queue.pop_front();
                 continue;
@@ -318,13 +333,13 @@
         self.begin_step(now_ms);
     }
 
-    /// The state that a dispatch waited for is here, or is nowhere.
-    pub fn fetched(&mut self, now_ms: f64, id: u64, there: bool, events: &mut Vec<ServerEvent>) {
+    /// Ends the transfer of a state that a dispatch waited for; `available` is false if the state is lost.
+    pub fn fetched(&mut self, now_ms: f64, id: u64, available: bool, events: &mut Vec<ServerEvent>) {
         let Some(running) = self.running.get_mut(&id).filter(|running| running.phase == Phase::Fetching)
         else {
             return;
         };
-        if there {
+        if available {
             running.phase = Phase::Writing { left: running.work.answer.max(1) };
             self.begin_step(now_ms);
         } else {
@@ -340,27 +355,27 @@
         Some(running)
     }
 
-    /// Nobody waits for a dispatch any more. What waits for its state or its slot goes; what reads or writes goes on
-    /// unless `stops`.
+    /// Cancels a dispatch. It is dropped if it is queued, waits for its state or has begun its answer;
+    /// otherwise it continues unless `stops`.
     pub fn cancel(&mut self, now_ms: f64, id: u64, stops: bool, events: &mut Vec<ServerEvent>) {
         self.queue.retain(|work| work.id != id);
-        let goes = self.running.get(&id).is_some_and(|running| {
+        let dropped = self.running.get(&id).is_some_and(|running| {
             stops
                 || running.phase == Phase::Fetching
                 || matches!(running.phase, Phase::Writing { .. }) && running.begun
         });
-        if goes {
+        if dropped {
             self.drop_running(id);
         }
         self.admit(now_ms, events);
     }
 
-    /// Whether a dispatch waits or runs here.
+    /// Whether a dispatch is queued or running.
     pub fn has_dispatch(&self, id: u64) -> bool {
         self.running.contains_key(&id) || self.queue.iter().any(|work| work.id == id)
     }
 
-    /// A waiting state goes; false where there is none.
+    /// Drops a state held for a writer. Returns false if there is none.
     pub fn release_state(&mut self, now_ms: f64, id: u64, events: &mut Vec<ServerEvent>) -> bool {
         let Some(tokens) = self.states.remove(&id) else { return false };
         self.held -= tokens;
@@ -368,15 +383,17 @@
         true
     }
 
+    /// Tokens of a state held for a writer.
     pub fn state_tokens(&self, id: u64) -> Option<f64> {
         self.states.get(&id).copied()
     }
 
+    /// Empties the prefix cache.
     pub fn flush(&mut self) {
         self.prefix_cache = PrefixCache::new(self.kind.memory_tokens);
     }
 
-    /// When the step under way ends.
+    /// End time of the current step.
     pub fn step_end_ms(&self) -> Option<f64> {
         self.step_ends_ms
     }
@@ -386,17 +403,17 @@
             return;
         }
         let writing = self.running.values().any(|running| matches!(running.phase, Phase::Writing { .. }));
-        let room_ms = if writing { self.kind.token_ms * READ_SHARE } else { READ_STEP_MS };
-        let mut room = room_ms * self.kind.read_tokens_per_ms;
+        let budget_ms = if writing { self.kind.token_ms * READ_STEP_SHARE } else { READ_STEP_MS };
+        let mut budget_tokens = budget_ms * self.kind.read_tokens_per_ms;
         self.reads.clear();
         let mut read = 0.0;
         for (id, running) in &self.running {
             if let Phase::Reading { left } = running.phase {
-                let part = left.min(room);
-                room -= part;
+                let part = left.min(budget_tokens);
+                budget_tokens -= part;
                 read += part;
                 self.reads.push((*id, part));
-                if room <= 0.0 {
+                if budget_tokens <= 0.0 {
                     break;
                 }
             }
@@ -415,7 +432,7 @@
         self.step_ends_ms = Some(now_ms + busy_ms * slow / self.capacity(now_ms) + pause_ms);
     }
 
-    /// The step under way ends: each reading dispatch has read its part, each answer has one more token.
+    /// Ends the current step: each reading dispatch has read its part, each answer has one more token.
     pub fn step(&mut self, now_ms: f64, events: &mut Vec<ServerEvent>) {
         if self.step_ends_ms.take().is_none() {
             return;
@@ -463,7 +480,7 @@
         self.admit(now_ms, events);
     }
 
-    /// Its load as of a while back.
+    /// The load as last reported; the report is renewed if it is at least `every_ms` old.
     pub fn load(&mut self, now_ms: f64, every_ms: f64) -> Load {
         if let Some((_, load)) = self.report.filter(|(at, _)| *at > now_ms - every_ms) {
             return load;
@@ -473,7 +490,8 @@
         load
     }
 
-    /// Its load at this very moment; nobody but a bound may look at it.
+    /// The load at this moment. Routers cannot know it; only the policy that serves as an upper bound may use
+    /// it.
     pub fn current_load(&self) -> Load {
         let reading = |running: &Running| match running.phase {
             Phase::Reading { left } => left,
@@ -490,7 +508,7 @@
         }
     }
 
-    /// Dispatches in hand, waiting ones and states included.
+    /// Number of dispatches running or queued, holds included.
     pub fn open(&self) -> usize {
         self.running.len() + self.queue.len()
     }
--- a/crates/emulator/src/server/prefix_cache.rs
+++ b/crates/emulator/src/server/prefix_cache.rs
@@ -1,30 +1,25 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Texts that a server keeps beside its work, least recently used first to go.
+/// Cache of the prompt prefixes that a server has processed, with least-recently-used eviction.
 #[derive(Debug)]
 pub struct PrefixCache {
-    most: f64,
-    /// Tokens that each beginning adds to the one before it, and when it was last used.
-    texts: BTreeMap<u64, (f64, u64)>,
+    max_tokens: f64,
+    /// Tokens that each prefix adds to the one before it, and the number of its last use.
+    entries: BTreeMap<u64, (f64, u64)>,
+    /// Number of the last use and key, oldest first.
     by_use: BTreeSet<(u64, u64)>,
     tokens: f64,
     uses: u64,
 }
 
 impl PrefixCache {
-    pub fn new(most_tokens: f64) -> Self {
-        PrefixCache {
-            most: most_tokens,
-            texts: BTreeMap::new(),
-            by_use: BTreeSet::new(),
-            tokens: 0.0,
-            uses: 0,
-        }
+    pub fn new(max_tokens: f64) -> Self {
+        PrefixCache { max_tokens, entries: BTreeMap::new(), by_use: BTreeSet::new(), tokens: 0.0, uses: 0 }
     }
 
     fn touch(&mut self, key: u64, tokens: f64) {
         self.uses += 1;
-        if let Some((old, used)) = self.texts.insert(key, (tokens, self.uses)) {
+        if let Some((old, used)) = self.entries.insert(key, (tokens, self.uses)) {
             self.by_use.remove(&(used, key));
             self.tokens -= old;
         }
@@ -32,32 +27,32 @@
         self.tokens += tokens;
     }
 
-    /// Tokens of a prompt that are kept: the longest beginning of which no part is missing.
+    /// Cached tokens of a prompt: the length of the longest prefix with no part missing.
     pub fn lookup(&mut self, prompt: &[(u64, f64)]) -> f64 {
-        let there = prompt.iter().take_while(|(key, _)| self.texts.contains_key(key)).count();
+        let cached = prompt.iter().take_while(|(key, _)| self.entries.contains_key(key)).count();
         let mut from = 0.0;
-        for (key, end) in &prompt[..there] {
+        for (key, end) in &prompt[..cached] {
             self.touch(*key, end - from);
             from = *end;
         }
         from
     }
 
-    /// Keeps all of a prompt; what it pushes out is used least recently.
+    /// Caches all of a prompt and evicts the least recently used entries beyond the limit.
     pub fn insert(&mut self, prompt: &[(u64, f64)]) {
         let mut from = 0.0;
         for (key, end) in prompt {
             self.touch(*key, end - from);
             from = *end;
         }
-        let most = self.most;
-        self.shrink_to(most);
+        let max_tokens = self.max_tokens;
+        self.shrink_to(max_tokens);
     }
 
-    pub fn shrink_to(&mut self, most_tokens: f64) {
-        while self.tokens > most_tokens.max(0.0) {
+    pub fn shrink_to(&mut self, max_tokens: f64) {
+        while self.tokens > max_tokens.max(0.0) {
             let Some((_, key)) = self.by_use.pop_first() else { return };
-            if let Some((tokens, _)) = self.texts.remove(&key) {
+            if let Some((tokens, _)) = self.entries.remove(&key) {
                 self.tokens -= tokens;
             }
         }
--- a/crates/emulator/src/server/prefix_cache/tests.rs
+++ b/crates/emulator/src/server/prefix_cache/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_beginning_counts_only_as_far_as_nothing_is_missing() {
+fn lookup_stops_at_the_first_missing_prefix() {
     let mut cache = PrefixCache::new(100.0);
     cache.insert(&[(1, 40.0), (2, 70.0)]);
     assert_eq!(cache.lookup(&[(1, 40.0), (2, 70.0), (3, 90.0)]), 70.0);
--- a/crates/emulator/src/world/mod.rs
+++ b/crates/emulator/src/world/mod.rs
@@ -1,4 +1,5 @@
-//! The deployment: servers, routers with their real books and gates, the list, and what travels between them.
+//! The simulated deployment: servers, routers with the production ledger, membership and admission code, the
+//! server list, and the messages between them.
 
 mod clients;
 mod dispatches;
@@ -27,42 +28,45 @@
 use crate::event_queue::EventQueue;
 use crate::links::Link;
 use crate::policies::{Policy, TrueLoads};
-use crate::random::{seed, RandomStream};
+use crate::random::{mix_seed, RandomStream};
 use crate::record::{Line, What};
 use crate::server::{ActiveFaults, Kind, Load, Server, ServerEvent, Work};
 use crate::troubles::{expand_recurring, omits_server};
 
-use clients::{Op, Session};
+use clients::{Operation, Session};
 
-/// What a run is bounded and varied by.
+/// Parameters and limits of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
     pub policy: Policy,
     pub seed: u64,
-    /// Routers; the day's own number where absent.
+    /// Number of routers; `None` uses the day's setting.
     pub routers: Option<usize>,
-    /// Sessions begun a second, times the day's.
+    /// Factor on the session rates of the day.
     pub load: f64,
-    /// Copies of the day's fleet, each with cells of its own.
+    /// Copies of the day's fleet. Each copy has cells of its own.
     pub fleets: usize,
-    /// Network between clients and routers and whatever else is near, one way, in ms.
+    /// One-way network latency in ms between clients and routers, and of control messages: cancels, releases
+    /// and probes. Dispatches use the day's latency between a router and a server.
     pub net_ms: f64,
-    /// Events after which a run ends and says so.
+    /// Event limit. A run that reaches it ends early with `Run::cut_short` set.
     pub max_events: u64,
     pub keep_record: bool,
+    /// What a restarted router recovers from its store.
     pub recovery: StoreRecovery,
 }
 
-/// What a router's store gives back at its next start.
+/// What a router recovers from its store of cache entries when it restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreRecovery {
-    /// Nothing: the table is empty.
+    /// Nothing: the cache table is empty.
     Empty,
+    /// All stored entries.
     #[default]
     Intact,
-    /// What it kept, an hour later.
+    /// All stored entries, an hour older than they are.
     HourOld,
-    /// What it kept, each of another server.
+    /// All stored entries, each attributed to another server.
     WrongServers,
 }
 
@@ -91,171 +95,205 @@
     }
 }
 
-/// What a run left.
+/// Result of a run.
 #[derive(Debug, Default)]
 pub struct Run {
     pub lines: Vec<Line>,
     pub events: u64,
     pub ended_ms: f64,
-    /// The bound on events was reached before the day's end.
+    /// The event limit was reached before the end of the day.
     pub cut_short: bool,
-    /// Sums over all routers.
+    /// Sums of the routers' counters; see [`Counts`] for their meaning.
     pub arrived: u64,
     pub dispatches: u64,
     pub overdue: u64,
     pub unpinned: u64,
+    /// Requests rejected by admission control.
     pub rejected: u64,
-    /// Law of Little at the servers: mean number in hand, and arrivals times mean time.
+    /// Both sides of Little's law at the servers: the mean number of dispatches running or queued, and the
+    /// arrival rate times the mean time at a server.
     pub mean_in_system: f64,
     pub rate_times_sojourn: f64,
-    /// Dispatches that arrived at servers, and those done, refused, lost, still open at the end: the first is the sum.
+    /// Counts of dispatches: arrived at servers, served, rejected, failed or cancelled, and still open at the
+    /// end. The first is the sum of the others.
     pub balance: [u64; 5],
 }
 
-pub(crate) enum Ev {
-    Session {
+/// An event of the simulation. `load` indexes the day's client loads, `op` the operations, `dispatch` the
+/// dispatches. `start` of a server and `boot` of a router identify the process that an event is meant for.
+pub(crate) enum SimEvent {
+    SessionArrival {
         load: usize,
     },
-    Turn {
+    /// The client's think time before the next turn of its session has passed.
+    NextTurn {
         session: usize,
     },
+    /// The client retries the operation.
     Attempt {
         op: usize,
     },
-    AtRouter {
+    RequestAtRouter {
         op: usize,
         attempt: u32,
     },
-    Leaves {
+    /// The client closes its connection before the answer.
+    ClientLeaves {
         op: usize,
         attempt: u32,
     },
-    Sees {
+    ClientObserves {
         op: usize,
         attempt: u32,
-        what: Sees,
+        what: ClientObservation,
     },
-    Arrive {
+    ArriveAtServer {
         dispatch: usize,
     },
-    Cancel {
+    CancelAtServer {
         dispatch: usize,
     },
-    Release {
+    ReleaseAtServer {
         server: usize,
         start: u64,
         dispatch: usize,
     },
-    Probe {
+    /// A probe requested by the decision module ends; `server` is the one that answered.
+    WorkerProbeEnd {
         server: Option<usize>,
         router: usize,
         boot: u64,
         worker: WorkerId,
     },
-    Tell {
+    RouterInput {
         router: usize,
         boot: u64,
         input: Box<Input>,
     },
-    End {
+    DispatchEnd {
         dispatch: usize,
         end: SocketEnd,
     },
-    Step {
+    StepEnd {
         server: usize,
         start: u64,
     },
-    LinkEnds {
+    /// The next transfer on the link ends, unless the link has changed since `version`.
+    TransferEnd {
         link: usize,
         version: u64,
     },
-    Lease {
+    /// The lease of a state that no writer fetched expires.
+    LeaseExpired {
         server: usize,
         start: u64,
         dispatch: usize,
     },
-    News {
+    /// The list service sends the router the changes it lacks. `boot` 0 means the current process.
+    ListDelivery {
         router: usize,
         boot: u64,
     },
-    /// A router's list changes by itself.
-    List {
+    /// A timer of the router's membership module fires.
+    MembershipTick {
         router: usize,
         boot: u64,
     },
-    /// A server answers, or does not, whether it is there.
-    There {
+    /// A probe requested by the router's membership module ends.
+    MembershipProbeEnd {
         router: usize,
         boot: u64,
         worker: WorkerId,
-        there: bool,
+        reachable: bool,
     },
     Trouble {
         row: usize,
         begins: bool,
     },
-    Dies {
+    /// The notice period of a drain ends.
+    DrainDeadline {
         row: usize,
     },
-    StopEnds {
+    /// The time that a stopping router has for its open answers ends.
+    StopDeadline {
         router: usize,
         boot: u64,
     },
 }
 
+/// What a client receives for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Sees {
+pub(crate) enum ClientObservation {
+    /// The head of the answer and its first event.
     First,
     Finished,
-    RateLimited { retry_after_ms: f64 },
+    RateLimited {
+        retry_after_ms: f64,
+    },
     Aborted,
-    Broke { connected: bool },
+    /// The connection broke or, if not `connected`, could not be made.
+    Broke {
+        connected: bool,
+    },
 }
 
-pub(crate) struct Node {
+pub(crate) struct ServerNode {
     pub model: Server,
     pub name: String,
-    pub first_name: String,
+    /// Name in the day's fleet; `name` has a suffix in copies of the fleet and after a restart as a new
+    /// server.
+    pub configured_name: String,
     pub zone: String,
     pub kind: usize,
     pub cell: u32,
     pub up: bool,
-    pub mode: Dead,
+    /// How connection attempts fail while the server is down.
+    pub down_mode: Dead,
+    /// Grows with each end and each start of the server's process.
     pub start: u64,
+    /// Time of the last start; `None` for a process that runs since before the day.
     pub started_ms: Option<f64>,
+    /// Share of dispatches answered with an error status, and the model they are limited to.
     pub erring: (f64, Option<String>),
+    /// Share of answers that are lost after their work is done.
     pub answer_lost: f64,
-    chance: RandomStream,
-    in_hand_since_ms: f64,
-    in_hand_area: f64,
+    rng: RandomStream,
+    /// Integral over time of the number of dispatches running or queued, up to `in_system_since_ms`.
+    in_system_since_ms: f64,
+    in_system_area: f64,
     arrivals: u64,
-    stay_ms: f64,
+    /// Sum of the times that finished dispatches spent here.
+    sojourn_ms: f64,
 }
 
 pub(crate) struct RouterNode {
     pub up: bool,
+    /// Number of the current process, from 1.
     pub boot: u64,
     pub zone: usize,
-    /// Whether it hears what servers say of their load.
+    /// Whether the router receives load reports of servers.
     reports: bool,
     ledger: Ledger<Box<dyn Decisions>>,
     membership: Membership,
     admission: Admission,
     saved: Option<SavedList>,
-    /// What its store holds of kept texts.
-    kept: BTreeMap<(Text, WorkerId), retention::StoredCacheEntry>,
+    /// Cache entries in the router's store.
+    stored_entries: BTreeMap<(Text, WorkerId), retention::StoredCacheEntry>,
     next: u32,
-    asked: BTreeMap<CompletionId, Asked>,
-    /// Dispatches that are out, and all of open completions, by completion and number.
-    out: BTreeMap<(CompletionId, Seq), usize>,
+    pending: BTreeMap<CompletionId, PendingRequest>,
+    /// Dispatches in flight, by completion and sequence number.
+    in_flight: BTreeMap<(CompletionId, Seq), usize>,
+    /// All dispatches of open completions, finished ones included.
     sent: BTreeMap<(CompletionId, Seq), usize>,
-    news_ms: f64,
+    /// Time of the latest scheduled list delivery, so that a shorter delay does not reorder deliveries.
+    list_due_ms: f64,
 }
 
-struct Asked {
+/// A client request that a router has accepted and not yet finished.
+struct PendingRequest {
     op: usize,
     attempt: u32,
-    place: Option<Permit>,
+    permit: Option<Permit>,
 }
 
 struct Dispatch {
@@ -269,48 +307,56 @@
     op: usize,
     attempt: u32,
     stage: Stage,
-    /// The dispatch whose state it fetches.
+    /// For a writer: the dispatch whose state it fetches.
     state: Option<usize>,
     tokens: f64,
     sent_ms: f64,
-    /// Network between its router and its server, one way.
+    /// One-way network latency between router and server.
     net_ms: f64,
     arrived_ms: Option<f64>,
+    /// Done at the server.
     ended: bool,
-    granted: bool,
-    lost: bool,
-    begun: bool,
-    kept: f64,
-    unwanted: bool,
+    /// Its answer is passed on to the client.
+    streaming: bool,
+    /// The answer does not reach the router.
+    answer_lost: bool,
+    first_token_sent: bool,
+    cached_tokens: f64,
+    /// Cancelled or released; its state is dropped as soon as it exists.
+    unneeded: bool,
 }
 
 pub(crate) struct World {
     pub day: Rc<DaySettings>,
-    /// The day's troubles as they come.
+    /// The day's troubles, with recurring ones expanded.
     pub troubles: Rc<[Trouble]>,
     pub options: Options,
-    pub queue: EventQueue<Ev>,
+    pub queue: EventQueue<SimEvent>,
     pub now_ms: f64,
-    pub nodes: Vec<Node>,
+    pub nodes: Vec<ServerNode>,
     by_name: BTreeMap<String, usize>,
     pub routers: Vec<RouterNode>,
     dispatches: Vec<Dispatch>,
-    /// For each cell the link inside it and the one out of it.
+    /// For each cell, the link inside it and the link to other cells.
     links: Vec<Link>,
+    /// Dispatch that fetches a state, and link that carries it, by the dispatch that read the state.
     transfers: BTreeMap<u64, (usize, usize)>,
+    /// All changes of the server list: time, entry, and time of the server's start.
     list: Vec<(f64, ServerEntry, Option<f64>)>,
-    pub behind_ms: f64,
+    /// Additional delay of the list service.
+    pub list_lag_ms: f64,
     pub list_down: bool,
-    /// Start of the list service, and the share of the servers that it leaves out.
+    /// Changes with each restart of the list service.
     list_epoch: u64,
-    lies: f64,
+    /// Share of the servers that the list service wrongly omits.
+    omitted_share: f64,
     seen_effects: SeenEffects,
     true_loads: TrueLoads,
     pub sessions: Vec<Session>,
-    pub ops: Vec<Op>,
+    pub ops: Vec<Operation>,
     pub open_sessions: usize,
-    pub load_chance: Vec<RandomStream>,
-    pub mood: clients::Mood,
+    pub load_rngs: Vec<RandomStream>,
+    pub conditions: clients::ClientConditions,
     lines: Vec<Line>,
     run: Run,
 }
@@ -318,13 +364,13 @@
 /// Plays a day in virtual time.
 pub fn run(day: &Rc<DaySettings>, options: &Options) -> Run {
     let mut world = World::new(day.clone(), options.clone());
-    world.begin();
+    world.schedule_start();
     let end_ms = day.length_ms + day.rest_ms;
-    while let Some((at_ms, event)) = world.queue.take() {
+    while let Some((at_ms, event)) = world.queue.pop() {
         if at_ms > end_ms {
             break;
         }
-        if world.queue.count() > options.max_events {
+        if world.queue.pushed() > options.max_events {
             world.run.cut_short = true;
             break;
         }
@@ -345,24 +391,24 @@
                 let kind = &fleet.kinds[row.kind];
                 let model = Server::new(Kind::of(fleet, kind));
                 let name = if copy == 0 { row.name.clone() } else { format!("{}+{copy}", row.name) };
-                nodes.push(Node {
+                nodes.push(ServerNode {
                     model,
-                    first_name: row.name.clone(),
+                    configured_name: row.name.clone(),
                     name,
                     zone: row.zone.clone(),
                     kind: row.kind,
                     cell: row.cell + copy * cells,
                     up: true,
-                    mode: Dead::Refuse,
+                    down_mode: Dead::Refuse,
                     start: 0,
                     started_ms: None,
                     erring: (0.0, None),
                     answer_lost: 0.0,
-                    chance: RandomStream::new(options.seed, 1, nodes.len() as u64),
-                    in_hand_since_ms: 0.0,
-                    in_hand_area: 0.0,
+                    rng: RandomStream::new(options.seed, 1, nodes.len() as u64),
+                    in_system_since_ms: 0.0,
+                    in_system_area: 0.0,
                     arrivals: 0,
-                    stay_ms: 0.0,
+                    sojourn_ms: 0.0,
                 });
             }
         }
@@ -382,16 +428,16 @@
             membership: membership(&day),
             admission: admission(&day),
             saved: None,
-            kept: BTreeMap::new(),
+            stored_entries: BTreeMap::new(),
             next: 0,
-            asked: BTreeMap::new(),
-            out: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sent: BTreeMap::new(),
-            news_ms: 0.0,
+            list_due_ms: 0.0,
         };
         let routers = (0..routers).map(router).collect();
         let by_name = nodes.iter().enumerate().map(|(row, node)| (node.name.clone(), row)).collect();
-        let load_chance =
+        let load_rngs =
             (0..day.clients.len()).map(|row| RandomStream::new(options.seed, 2, row as u64)).collect();
         World {
             queue: EventQueue::default(),
@@ -403,17 +449,17 @@
             links,
             transfers: BTreeMap::new(),
             list: Vec::new(),
-            behind_ms: 0.0,
+            list_lag_ms: 0.0,
             list_down: false,
             list_epoch: 1,
-            lies: 0.0,
+            omitted_share: 0.0,
             seen_effects: SeenEffects::default(),
             true_loads,
             sessions: Vec::new(),
             ops: Vec::new(),
             open_sessions: 0,
-            load_chance,
-            mood: clients::Mood::default(),
+            load_rngs,
+            conditions: clients::ClientConditions::default(),
             lines: Vec::new(),
             run: Run::default(),
             troubles: expand_recurring(&day, options.seed).into(),
@@ -422,46 +468,46 @@
         }
     }
 
-    fn begin(&mut self) {
+    fn schedule_start(&mut self) {
         for row in 0..self.nodes.len() {
-            self.list_change(row, "ready");
-            self.node_started(row, false);
+            self.change_list(row, "ready");
+            self.record_start(row, false);
         }
         for router in 0..self.routers.len() {
             self.start_router(router);
         }
         for load in 0..self.day.clients.len() {
-            let (rate, chance) = (self.rate(load), &mut self.load_chance[load]);
-            let at_ms = chance.gap_ms(rate);
-            self.queue.put(at_ms, Ev::Session { load });
+            let (rate, rng) = (self.session_rate(load), &mut self.load_rngs[load]);
+            let at_ms = rng.gap_ms(rate);
+            self.queue.push(at_ms, SimEvent::SessionArrival { load });
         }
         for (row, trouble) in self.troubles.clone().iter().enumerate() {
-            self.queue.put(trouble.at_ms, Ev::Trouble { row, begins: true });
-            self.queue.put(trouble.at_ms + trouble.for_ms, Ev::Trouble { row, begins: false });
+            self.queue.push(trouble.at_ms, SimEvent::Trouble { row, begins: true });
+            self.queue.push(trouble.at_ms + trouble.for_ms, SimEvent::Trouble { row, begins: false });
         }
     }
 
     fn finish(mut self) -> Run {
         let end_ms = self.now_ms.max(1.0);
         let mut run = std::mem::take(&mut self.run);
-        let (mut area, mut stay, mut open) = (0.0, 0.0, 0);
+        let (mut area, mut sojourn_sum_ms, mut open) = (0.0, 0.0, 0);
         for node in &mut self.nodes {
-            area += node.in_hand_area + node.model.open() as f64 * (end_ms - node.in_hand_since_ms);
-            stay += node.stay_ms;
+            area += node.in_system_area + node.model.open() as f64 * (end_ms - node.in_system_since_ms);
+            sojourn_sum_ms += node.sojourn_ms;
         }
         for dispatch in &self.dispatches {
             if let (Some(at), false) = (dispatch.arrived_ms, dispatch.ended) {
-                stay += end_ms - at;
+                sojourn_sum_ms += end_ms - at;
                 open += 1;
             }
         }
         run.mean_in_system = area / end_ms;
-        run.rate_times_sojourn = stay / end_ms;
+        run.rate_times_sojourn = sojourn_sum_ms / end_ms;
         run.balance[4] = open;
         for router in &self.routers {
-            add(&mut run, router.ledger.counts());
+            add_counts(&mut run, router.ledger.counts());
         }
-        run.events = self.queue.count();
+        run.events = self.queue.pushed();
         run.ended_ms = self.now_ms;
         run.lines = self.lines;
         run
@@ -473,41 +519,45 @@
         }
     }
 
-    fn handle(&mut self, event: Ev) {
+    fn handle(&mut self, event: SimEvent) {
         match event {
-            Ev::Session { load } => self.session(load),
-            Ev::Turn { session } => self.turn(session),
-            Ev::Attempt { op } => self.attempt(op),
-            Ev::AtRouter { op, attempt } => self.at_router(op, attempt),
-            Ev::Leaves { op, attempt } => self.leaves(op, attempt),
-            Ev::Sees { op, attempt, what } => self.sees(op, attempt, what),
-            Ev::Arrive { dispatch } => self.arrive(dispatch),
-            Ev::Cancel { dispatch } => self.cancel(dispatch),
-            Ev::Release { server, start, dispatch } => self.release(server, start, dispatch),
-            Ev::Probe { server, router, boot, worker } => self.probed(server, router, boot, worker),
-            Ev::Tell { router, boot, input } => self.tell(router, boot, *input),
-            Ev::End { dispatch, end } => self.end(dispatch, end),
-            Ev::Step { server, start } => self.step(server, start),
-            Ev::LinkEnds { link, version } => self.link_ends(link, version),
-            Ev::Lease { server, start, dispatch } => {
+            SimEvent::SessionArrival { load } => self.start_session(load),
+            SimEvent::NextTurn { session } => self.start_turn(session),
+            SimEvent::Attempt { op } => self.send_attempt(op),
+            SimEvent::RequestAtRouter { op, attempt } => self.receive_request(op, attempt),
+            SimEvent::ClientLeaves { op, attempt } => self.client_leaves(op, attempt),
+            SimEvent::ClientObserves { op, attempt, what } => self.client_observes(op, attempt, what),
+            SimEvent::ArriveAtServer { dispatch } => self.arrive_at_server(dispatch),
+            SimEvent::CancelAtServer { dispatch } => self.cancel_dispatch(dispatch),
+            SimEvent::ReleaseAtServer { server, start, dispatch } => {
+                self.release_dispatch(server, start, dispatch)
+            }
+            SimEvent::WorkerProbeEnd { server, router, boot, worker } => {
+                self.worker_probe_ended(server, router, boot, worker)
+            }
+            SimEvent::RouterInput { router, boot, input } => self.router_input(router, boot, *input),
+            SimEvent::DispatchEnd { dispatch, end } => self.end_dispatch(dispatch, end),
+            SimEvent::StepEnd { server, start } => self.end_step(server, start),
+            SimEvent::TransferEnd { link, version } => self.transfers_ended(link, version),
+            SimEvent::LeaseExpired { server, start, dispatch } => {
                 if self.nodes[server].start == start {
-                    self.let_go(server, dispatch, "lease");
+                    self.drop_state(server, dispatch, "lease");
                 }
             }
-            Ev::News { router, boot } => self.news(router, boot),
-            Ev::List { router, boot } => self.list_passes(router, boot),
-            Ev::There { router, boot, worker, there } => self.seen(router, boot, &worker, there),
-            Ev::Trouble { row, begins } => self.trouble(row, begins),
-            Ev::Dies { row } => self.drain_ends(row),
-            Ev::StopEnds { router, boot } => self.stop_ends(router, boot),
+            SimEvent::ListDelivery { router, boot } => self.deliver_list(router, boot),
+            SimEvent::MembershipTick { router, boot } => self.tick_membership(router, boot),
+            SimEvent::MembershipProbeEnd { router, boot, worker, reachable } => {
+                self.observe_worker(router, boot, &worker, reachable)
+            }
+            SimEvent::Trouble { row, begins } => self.apply_trouble(row, begins),
+            SimEvent::DrainDeadline { row } => self.end_drain(row),
+            SimEvent::StopDeadline { router, boot } => self.end_stop(router, boot),
         }
     }
-
-    // Routers.
 }
 
-/// A router's counts go to the sums when its process ends.
-fn add(run: &mut Run, counts: Counts) {
+/// Adds the counters of a router process to the totals.
+fn add_counts(run: &mut Run, counts: Counts) {
     run.arrived += counts.arrived;
     run.dispatches += counts.dispatches;
     run.overdue += counts.overdue;
@@ -518,7 +568,7 @@
     format!("{router}.{boot:x}.{}.{}", completion.0, seq.0)
 }
 
-fn report_of(load: &Load) -> LoadReport {
+fn load_report(load: &Load) -> LoadReport {
     LoadReport {
         active_requests: Some(load.active_requests),
         queue: Some(load.queue),
@@ -545,7 +595,7 @@
         ..day.router_of(number).decisions
     };
     let decisions =
-        options.policy.decisions(&settings, seed(options.seed, 100 + boot, number as u64), true_loads);
+        options.policy.decisions(&settings, mix_seed(options.seed, 100 + boot, number as u64), true_loads);
     Ledger::with_decisions(decisions, settings, day.router.front.answer_slack_ms)
 }
 
--- a/crates/emulator/src/world/servers.rs
+++ b/crates/emulator/src/world/servers.rs
@@ -1,50 +1,56 @@
-//! Servers: what comes of their work.
+//! Processing of the events that a server's state machine emits.
 
 use super::*;
 
 impl World {
-    /// What a server did is carried on, and its next step is awaited.
-    pub(super) fn after(&mut self, server: usize, did: Vec<ServerEvent>) {
-        for did in did {
-            match did {
-                ServerEvent::Fetch(id) => self.fetch(server, id as usize),
-                ServerEvent::Refused { id, refusal } => self.refused(id as usize, refusal),
-                ServerEvent::Read { id, cached_tokens: kept } => {
+    /// Processes the events of a server and schedules the end of its next step.
+    pub(super) fn process_events(&mut self, server: usize, events: Vec<ServerEvent>) {
+        for event in events {
+            match event {
+                ServerEvent::Fetch(id) => self.begin_fetch(server, id as usize),
+                ServerEvent::Refused { id, refusal } => self.reject_dispatch(id as usize, refusal),
+                ServerEvent::Read { id, cached_tokens } => {
                     let dispatch = id as usize;
-                    self.dispatches[dispatch].kept = kept;
+                    self.dispatches[dispatch].cached_tokens = cached_tokens;
                     let (name, request) =
                         (self.nodes[server].name.clone(), self.dispatches[dispatch].name.clone());
                     self.record(What::State { server: name, request });
-                    let gone = self.dispatches[dispatch].ended || self.dispatches[dispatch].unwanted;
-                    self.leaves_server(dispatch, 1);
-                    if gone {
-                        self.let_go(server, dispatch, "unwanted");
+                    let unneeded = self.dispatches[dispatch].ended || self.dispatches[dispatch].unneeded;
+                    self.finish_at_server(dispatch, 1);
+                    if unneeded {
+                        self.drop_state(server, dispatch, "unwanted");
                     } else {
                         let (start, lease_ms) = (self.nodes[server].start, self.day.fleet.lease_ms);
-                        self.queue.put(self.now_ms + lease_ms, Ev::Lease { server, start, dispatch });
+                        self.queue
+                            .push(self.now_ms + lease_ms, SimEvent::LeaseExpired { server, start, dispatch });
                         let net_ms = self.dispatches[dispatch].net_ms;
-                        self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end: SocketEnd::ReadDone });
+                        self.queue.push(
+                            self.now_ms + net_ms,
+                            SimEvent::DispatchEnd { dispatch, end: SocketEnd::ReadDone },
+                        );
                     }
                 }
                 ServerEvent::Token(_) => {}
-                ServerEvent::First { id, cached_tokens: kept } => self.first(server, id as usize, kept),
+                ServerEvent::First { id, cached_tokens } => {
+                    self.first_token(server, id as usize, cached_tokens)
+                }
                 ServerEvent::Finished { id } => {
                     let dispatch = id as usize;
-                    let end = if self.dispatches[dispatch].lost {
+                    let end = if self.dispatches[dispatch].answer_lost {
                         SocketEnd::BrokeBeforeAnswer
                     } else {
                         SocketEnd::AnswerDone
                     };
-                    self.leaves_server(dispatch, 1);
+                    self.finish_at_server(dispatch, 1);
                     let net_ms = self.dispatches[dispatch].net_ms;
-                    self.queue.put(self.now_ms + net_ms, Ev::End { dispatch, end });
+                    self.queue.push(self.now_ms + net_ms, SimEvent::DispatchEnd { dispatch, end });
                 }
             }
         }
         if let Some(at_ms) = self.nodes[server].model.step_end_ms() {
             if !self.nodes[server].model.faults.silent {
                 let start = self.nodes[server].start;
-                self.queue.put(at_ms, Ev::Step { server, start });
+                self.queue.push(at_ms, SimEvent::StepEnd { server, start });
             }
         }
         if self.options.policy == Policy::LeastTrueLoad {
@@ -57,27 +63,28 @@
         }
     }
 
-    pub(super) fn first(&mut self, server: usize, dispatch: usize, kept: f64) {
+    /// The first token of an answer: the point at which the work takes effect.
+    pub(super) fn first_token(&mut self, server: usize, dispatch: usize, cached_tokens: f64) {
         let d = &mut self.dispatches[dispatch];
         if d.stage == Stage::Whole {
-            d.kept = kept;
+            d.cached_tokens = cached_tokens;
         }
-        d.begun = true;
-        let (router, boot, completion, seq, lost) = (d.router, d.boot, d.completion, d.seq, d.lost);
+        d.first_token_sent = true;
+        let (router, boot, completion, seq, lost) = (d.router, d.boot, d.completion, d.seq, d.answer_lost);
         let (op, took_ms, request) = (d.op, self.now_ms - d.sent_ms, d.name.clone());
         let key = format!("op{op}");
-        let repeat = self.repeats(dispatch, &key);
+        let repeat = self.is_repeat(dispatch, &key);
         let name = self.nodes[server].name.clone();
         self.record(What::Effect { server: name, request, key, repeat });
         if self.ops[op].streamed && !lost {
             let input = Box::new(Input::Began { completion, seq, took_ms });
             let net_ms = self.dispatches[dispatch].net_ms;
-            self.queue.put(self.now_ms + net_ms, Ev::Tell { router, boot, input });
+            self.queue.push(self.now_ms + net_ms, SimEvent::RouterInput { router, boot, input });
         }
     }
 
-    /// Whether servers drop this as a repeat.
-    pub(super) fn repeats(&mut self, dispatch: usize, key: &str) -> bool {
+    /// Whether the servers drop this dispatch as a repeat of an operation that took effect before.
+    pub(super) fn is_repeat(&mut self, dispatch: usize, key: &str) -> bool {
         let (server, op, arrived_ms) = {
             let d = &self.dispatches[dispatch];
             (d.server, d.op, d.arrived_ms.unwrap_or(self.now_ms))
@@ -90,21 +97,22 @@
         self.seen_effects.check_and_record(group, key, arrived_ms, self.now_ms, rule.window_ms)
     }
 
-    pub(super) fn step(&mut self, server: usize, start: u64) {
+    pub(super) fn end_step(&mut self, server: usize, start: u64) {
         let node = &self.nodes[server];
-        // A step foretold before the server's pace changed comes again at its time.
+        // An event scheduled before the server's speed changed is stale; the step end has an event of its
+        // own.
         let due = node.model.step_end_ms().is_some_and(|at| at <= self.now_ms + 1e-9);
         if !node.up || node.start != start || node.model.faults.silent || !due {
             return;
         }
-        self.mark(server);
-        let mut did = Vec::new();
-        self.nodes[server].model.step(self.now_ms, &mut did);
-        self.after(server, did);
+        self.update_in_system(server);
+        let mut events = Vec::new();
+        self.nodes[server].model.step(self.now_ms, &mut events);
+        self.process_events(server, events);
     }
 
-    /// A server that hung goes on.
-    pub(super) fn wake(&mut self, server: usize) {
-        self.after(server, Vec::new());
+    /// Resumes a server after a hang.
+    pub(super) fn resume_server(&mut self, server: usize) {
+        self.process_events(server, Vec::new());
     }
 }
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -1,168 +1,179 @@
-//! Brings about what the script says.
+//! Begins and ends the scripted troubles of a day.
 
-use paddleproxy_settings::day::{Dead, What as Befalls};
+use paddleproxy_settings::day::{Dead, What as Fault};
 
 use crate::record::What;
 use crate::troubles::Ramp;
 
-use super::{Ev, World};
+use super::{SimEvent, World};
 
 impl World {
-    pub(super) fn trouble(&mut self, row: usize, begins: bool) {
+    pub(super) fn apply_trouble(&mut self, row: usize, begins: bool) {
         let troubles = self.troubles.clone();
         let what = &troubles[row].what;
         let name = match what {
-            Befalls::Dead { how: Dead::Unreachable, .. } => "unreachable",
+            Fault::Dead { how: Dead::Unreachable, .. } => "unreachable",
             what => what.name(),
         };
         self.record(What::Trouble { name: name.to_owned(), begins });
         if begins {
-            self.trouble_begins(row, what);
+            self.begin_trouble(row, what);
         } else {
-            self.trouble_ends(what);
+            self.end_trouble(what);
         }
     }
 
-    fn trouble_begins(&mut self, row: usize, what: &Befalls) {
+    fn begin_trouble(&mut self, row: usize, what: &Fault) {
         let now_ms = self.now_ms;
         match what {
-            Befalls::Dead { servers, how, .. } => {
-                for server in self.named(servers) {
-                    self.kill(server, *how);
+            Fault::Dead { servers, how, .. } => {
+                for server in self.servers_named(servers) {
+                    self.kill_server(server, *how);
                 }
             }
-            Befalls::Silent { servers } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.silent = true);
-                servers.into_iter().for_each(|server| self.stalls(server));
+            Fault::Silent { servers } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.silent = true);
+                servers.into_iter().for_each(|server| self.schedule_stalls(server));
             }
-            Befalls::Slow { servers, factor } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.slow = *factor);
+            Fault::Slow { servers, factor } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.slow = *factor);
             }
-            Befalls::Ageing { servers, factor } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.ageing = Some((now_ms, *factor)));
+            Fault::Ageing { servers, factor } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.ageing = Some((now_ms, *factor)));
             }
-            Befalls::Pausing { servers, pause_ms, every_ms } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.pausing = Some((*pause_ms, *every_ms)));
+            Fault::Pausing { servers, pause_ms, every_ms } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.pausing = Some((*pause_ms, *every_ms)));
             }
-            Befalls::Erring { servers, share, model } => {
-                for server in self.named(servers) {
+            Fault::Erring { servers, share, model } => {
+                for server in self.servers_named(servers) {
                     self.nodes[server].erring = (*share, model.clone());
                 }
             }
-            Befalls::AnswerLost { servers, share } => {
-                self.named(servers).into_iter().for_each(|server| self.nodes[server].answer_lost = *share);
+            Fault::AnswerLost { servers, share } => {
+                self.servers_named(servers)
+                    .into_iter()
+                    .for_each(|server| self.nodes[server].answer_lost = *share);
             }
-            Befalls::Flush { servers } => {
-                self.named(servers).into_iter().for_each(|server| self.nodes[server].model.flush());
+            Fault::Flush { servers } => {
+                self.servers_named(servers).into_iter().for_each(|server| self.nodes[server].model.flush());
             }
-            Befalls::Drain { servers, notice_ms } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.draining = true);
-                servers.into_iter().for_each(|server| self.list_says(server, "draining"));
-                self.queue.put(now_ms + notice_ms, Ev::Dies { row });
+            Fault::Drain { servers, notice_ms } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.draining = true);
+                servers.into_iter().for_each(|server| self.set_readiness(server, "draining"));
+                self.queue.push(now_ms + notice_ms, SimEvent::DrainDeadline { row });
             }
-            Befalls::Links { cell, factor } => self.slow_links(*cell, *factor),
-            Befalls::ZoneLost { zone, routers } => {
-                for server in self.in_zone(zone) {
-                    self.kill(server, Dead::Unreachable);
+            Fault::Links { cell, factor } => self.set_link_slowdown(*cell, *factor),
+            Fault::ZoneLost { zone, routers } => {
+                for server in self.servers_in_zone(zone) {
+                    self.kill_server(server, Dead::Unreachable);
                 }
                 for router in self.routers_of(zone).into_iter().filter(|_| *routers) {
                     self.kill_router(router);
                 }
             }
-            Befalls::ListBehind { by_ms } => self.behind_ms = *by_ms,
-            Befalls::ListDown => self.list_down = true,
-            Befalls::ListLies { share } => self.list_anew(*share),
-            Befalls::RouterKilled { router } => self.kill_router(*router),
-            Befalls::RouterStopped { router } => self.stop_router(*router),
-            Befalls::Ramp { key, factor } => {
+            Fault::ListBehind { by_ms } => self.list_lag_ms = *by_ms,
+            Fault::ListDown => self.list_down = true,
+            Fault::ListLies { share } => self.restart_list_service(*share),
+            Fault::RouterKilled { router } => self.kill_router(*router),
+            Fault::RouterStopped { router } => self.stop_router(*router),
+            Fault::Ramp { key, factor } => {
                 let for_ms = self.troubles[row].for_ms;
-                self.mood.ramp = Some(Ramp { key: key.clone(), from_ms: now_ms, for_ms, factor: *factor });
-            }
-            Befalls::Burst { key, factor } => self.mood.burst = Some((key.clone(), *factor)),
-            Befalls::LongPrompts { share, factor } => self.mood.long = Some((*share, *factor)),
-            Befalls::HotBeginning { share, tokens } => self.mood.hot = Some((*share, *tokens as f64)),
-            Befalls::GiveUp { share } => self.mood.gives_up = *share,
-            // Links and processes of routers are played on real ones.
-            Befalls::Rig(_) => {}
+                self.conditions.ramp =
+                    Some(Ramp { key: key.clone(), from_ms: now_ms, for_ms, factor: *factor });
+            }
+            Fault::Burst { key, factor } => self.conditions.burst = Some((key.clone(), *factor)),
+            Fault::LongPrompts { share, factor } => self.conditions.long_prompts = Some((*share, *factor)),
+            Fault::HotBeginning { share, tokens } => {
+                self.conditions.hot_prefix = Some((*share, *tokens as f64))
+            }
+            Fault::GiveUp { share } => self.conditions.leaving_share = *share,
+            // Faults of router processes and of the connections between them need real processes.
+            Fault::Rig(_) => {}
         }
     }
 
-    /// The notice of a drain is over: its servers' processes end. They come back when the trouble does, if later.
-    pub(super) fn drain_ends(&mut self, row: usize) {
+    /// Ends the processes of drained servers after the notice period. They restart when the trouble ends, or
+    /// at once if it has ended already.
+    pub(super) fn end_drain(&mut self, row: usize) {
         let troubles = self.troubles.clone();
-        if let Befalls::Drain { servers, .. } = &troubles[row].what {
-            for server in self.named(servers) {
-                self.kill(server, Dead::Refuse);
-                let (trouble, back) = (&troubles[row], &troubles[row].what);
+        if let Fault::Drain { servers, .. } = &troubles[row].what {
+            for server in self.servers_named(servers) {
+                self.kill_server(server, Dead::Refuse);
+                let (trouble, what) = (&troubles[row], &troubles[row].what);
                 if trouble.at_ms + trouble.for_ms <= self.now_ms {
-                    self.trouble_ends(back);
+                    self.end_trouble(what);
                 }
             }
         }
     }
 
-    fn trouble_ends(&mut self, what: &Befalls) {
+    fn end_trouble(&mut self, what: &Fault) {
         match what {
-            Befalls::Dead { servers, back_as_new, .. } => {
-                self.named(servers).into_iter().for_each(|server| self.back(server, *back_as_new));
-            }
-            Befalls::Drain { servers, .. } => {
-                for server in self.named(servers) {
-                    self.back(server, false);
+            Fault::Dead { servers, back_as_new, .. } => {
+                self.servers_named(servers)
+                    .into_iter()
+                    .for_each(|server| self.restart_server(server, *back_as_new));
+            }
+            Fault::Drain { servers, .. } => {
+                for server in self.servers_named(servers) {
+                    self.restart_server(server, false);
                 }
             }
-            Befalls::ZoneLost { zone, routers } => {
-                self.in_zone(zone).into_iter().for_each(|server| self.back(server, false));
+            Fault::ZoneLost { zone, routers } => {
+                self.servers_in_zone(zone).into_iter().for_each(|server| self.restart_server(server, false));
                 for router in self.routers_of(zone).into_iter().filter(|_| *routers) {
                     self.start_router(router);
                 }
             }
-            Befalls::Silent { servers } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.silent = false);
-                servers.into_iter().for_each(|server| self.wake(server));
-            }
-            Befalls::Slow { servers, .. } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.slow = 1.0);
-            }
-            Befalls::Ageing { servers, .. } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.ageing = None);
-            }
-            Befalls::Pausing { servers, .. } => {
-                let servers = self.named(servers);
-                self.befalls(&servers, |befalls| befalls.pausing = None);
-            }
-            Befalls::Erring { servers, .. } => {
-                self.named(servers).into_iter().for_each(|server| self.nodes[server].erring = (0.0, None));
-            }
-            Befalls::AnswerLost { servers, .. } => {
-                self.named(servers).into_iter().for_each(|server| self.nodes[server].answer_lost = 0.0);
-            }
-            Befalls::Flush { .. } => {}
-            Befalls::Links { cell, .. } => self.slow_links(*cell, 1.0),
-            Befalls::ListBehind { .. } => {
-                self.behind_ms = 0.0;
-                (0..self.routers.len())
-                    .for_each(|router| self.queue.put(self.now_ms, Ev::News { router, boot: 0 }));
-            }
-            Befalls::ListDown => self.list_down = false,
-            Befalls::ListLies { .. } => self.list_anew(0.0),
-            Befalls::RouterKilled { router } | Befalls::RouterStopped { router } => {
-                self.start_router(*router)
-            }
-            Befalls::Burst { .. } => self.mood.burst = None,
-            Befalls::Ramp { .. } => self.mood.ramp = None,
-            Befalls::LongPrompts { .. } => self.mood.long = None,
-            Befalls::HotBeginning { .. } => self.mood.hot = None,
-            Befalls::GiveUp { .. } => self.mood.gives_up = 0.0,
-            Befalls::Rig(_) => {}
+            Fault::Silent { servers } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.silent = false);
+                servers.into_iter().for_each(|server| self.resume_server(server));
+            }
+            Fault::Slow { servers, .. } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.slow = 1.0);
+            }
+            Fault::Ageing { servers, .. } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.ageing = None);
+            }
+            Fault::Pausing { servers, .. } => {
+                let servers = self.servers_named(servers);
+                self.change_faults(&servers, |faults| faults.pausing = None);
+            }
+            Fault::Erring { servers, .. } => {
+                self.servers_named(servers)
+                    .into_iter()
+                    .for_each(|server| self.nodes[server].erring = (0.0, None));
+            }
+            Fault::AnswerLost { servers, .. } => {
+                self.servers_named(servers)
+                    .into_iter()
+                    .for_each(|server| self.nodes[server].answer_lost = 0.0);
+            }
+            Fault::Flush { .. } => {}
+            Fault::Links { cell, .. } => self.set_link_slowdown(*cell, 1.0),
+            Fault::ListBehind { .. } => {
+                self.list_lag_ms = 0.0;
+                (0..self.routers.len()).for_each(|router| {
+                    self.queue.push(self.now_ms, SimEvent::ListDelivery { router, boot: 0 })
+                });
+            }
+            Fault::ListDown => self.list_down = false,
+            Fault::ListLies { .. } => self.restart_list_service(0.0),
+            Fault::RouterKilled { router } | Fault::RouterStopped { router } => self.start_router(*router),
+            Fault::Burst { .. } => self.conditions.burst = None,
+            Fault::Ramp { .. } => self.conditions.ramp = None,
+            Fault::LongPrompts { .. } => self.conditions.long_prompts = None,
+            Fault::HotBeginning { .. } => self.conditions.hot_prefix = None,
+            Fault::GiveUp { .. } => self.conditions.leaving_share = 0.0,
+            Fault::Rig(_) => {}
         }
     }
 
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,4 +1,5 @@
-//! Whole days in virtual time: the same twice, in balance, and each trouble moves the figure that it should.
+//! Whole days in virtual time: runs are reproducible, counts balance, and each trouble changes the figure it
+//! should.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -10,10 +11,10 @@
 
 fn day(name: &str) -> Rc<DaySettings> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(format!("{name}.kdl"));
-    Rc::new(load(&path).unwrap_or_else(|wrong| panic!("{wrong}")))
+    Rc::new(load(&path).unwrap_or_else(|error| panic!("{error}")))
 }
 
-/// Share of the tries that finished.
+/// Finished answers per first attempt.
 fn finished(run: &Run) -> f64 {
     let asked = run.lines.iter().filter(|line| matches!(line.what, What::Asked { attempt: 0, .. })).count();
     let done = |what: &What| matches!(what, What::Final { how, .. } if how == "finished");
@@ -31,11 +32,11 @@
 }
 
 #[test]
-fn work_that_came_is_done_refused_dropped_or_open_and_little_holds() {
+fn dispatch_counts_balance_and_littles_law_holds() {
     for name in ["short", "zone-loss", "tenant-burst", "silent"] {
         let run = run(&day(name), &Options::default());
-        let [came, done, refused, dropped, open] = run.balance;
-        assert_eq!(came, done + refused + dropped + open, "{name}");
+        let [arrived, served, rejected, dropped, open] = run.balance;
+        assert_eq!(arrived, served + rejected + dropped + open, "{name}");
         assert!(
             (run.mean_in_system / run.rate_times_sojourn - 1.0).abs() < 0.2,
             "{name}: {run:?}",
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn each_trouble_moves_the_figure_that_it_should() {
+fn each_trouble_changes_its_figure() {
     let mut calm = (*day("crash")).clone();
     calm.troubles.clear();
     let calm = run(&Rc::new(calm), &Options::default());
@@ -70,14 +71,14 @@
 }
 
 #[test]
-fn odd_fleets_and_rates_come_to_an_end() {
+fn unusual_fleets_and_rates_terminate() {
     let base = (*day("crash")).clone();
     let with = |change: &dyn Fn(&mut DaySettings)| {
         let mut day = base.clone();
         change(&mut day);
         run(&Rc::new(day), &Options { max_events: 600_000, ..Options::default() })
     };
-    // No clients at all; a server of one slot; no reader; nothing but readers; no server that lives.
+    // No clients; servers with one slot; no readers; readers only.
     assert_eq!(
         with(&|day| day.clients.iter_mut().for_each(|load| load.sessions_per_s = 0.0)).balance,
         [0; 5]
@@ -86,13 +87,13 @@
     assert!(finished(&with(&|day| day.fleet.servers.retain(|row| !row.name.contains("-r")))) > 0.5);
     let readers = with(&|day| day.fleet.servers.retain(|row| row.name.contains("-r")));
     assert_eq!((finished(&readers), readers.overdue), (0.0, 0));
-    // An enormous rate ends at the bound on events, and says so.
+    // An excessive rate ends at the event limit, and the result says so.
     let flood = with(&|day| day.clients.iter_mut().for_each(|load| load.sessions_per_s = 1e6));
     assert!(flood.cut_short);
 }
 
 #[test]
-fn every_policy_answers_everything_once() {
+fn every_policy_ends_each_attempt_once() {
     for (name, policy) in Policy::ALL {
         let run = run(&day("fast-errors"), &Options { policy, ..Options::default() });
         let asked = run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn ramps_laws_noise_and_chance_move_what_they_should() {
+fn ramps_recurrence_zipf_noise_and_latency_have_their_effect() {
     let base = {
         let mut day = (*day("crash")).clone();
         day.troubles.clear();
@@ -117,12 +118,12 @@
     let asked = |run: &Run| run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
     let calm = run(&with(&|_| {}), &Options::default());
     let trouble = |what| Trouble { at_ms: 0.0, for_ms: base.length_ms, every_ms: None, what };
-    // Twice as many at the end is half as many again over the day, of the one key.
+    // A ramp to twice the rate means 1.5 times the sessions of that key over the day.
     let ramp = trouble(TroubleKind::Ramp { key: "app-key".into(), factor: 2.0 });
     let grown = run(&with(&|day| day.troubles = vec![ramp.clone()]), &Options::default());
     let ratio = asked(&grown) as f64 / asked(&calm) as f64;
     assert!((1.15..1.7).contains(&ratio), "{ratio}");
-    // By chance, about as often as its mean says, and never twice at once.
+    // A recurring trouble occurs about as often as its mean interval says and never overlaps itself.
     let short = Trouble {
         for_ms: 50.0,
         every_ms: Some(450.0),
@@ -134,13 +135,13 @@
     assert!((all.len() as f64) > 0.5 * expected && (all.len() as f64) < 1.6 * expected, "{}", all.len());
     assert!(all.windows(2).all(|pair| pair[1].at_ms >= pair[0].at_ms + 50.0));
     assert!(all.iter().zip(expand_recurring(&often, 1)).all(|(one, again)| one.at_ms == again.at_ms));
-    // A law of Zipf makes the first beginning the most frequent.
+    // A Zipf distribution makes the first shared prefix the most frequent.
     let zipf = with(&|day| day.clients[0].zipf = 1.0);
     let drawn: Vec<_> = (0..1000).map(|n| zipf.clients[0].beginning_at(n as f64 / 1000.0)).collect();
     let of = |number| drawn.iter().filter(|drawn| **drawn == number).count();
     assert!(of(0) > of(1) && of(1) > of(5) && of(5) > 0, "{} {} {}", of(0), of(1), of(5));
     assert_eq!(base.clients[0].beginning_at(0.999), base.clients[0].beginnings - 1);
-    // Wrong reports change decisions where there is some load to report; a far network makes first tokens later.
+    // Noise in load reports changes decisions if there is load to report; a slow network delays first tokens.
     let loaded = |noise: f64| {
         let loaded = with(&|day| {
             day.clients.iter_mut().for_each(|load| load.sessions_per_s *= 2.0);
@@ -168,7 +169,7 @@
         sum.0 / sum.1
     };
     assert!(first(&far) > first(&calm) + 20.0, "{} {}", first(&far), first(&calm));
-    // A server that takes few connections breaks off the others.
+    // A server with a connection limit closes the connections beyond it.
     let few = run(
         &with(&|day| day.fleet.kinds.iter_mut().for_each(|kind| kind.connections = Some(1))),
         &Options::default(),
@@ -177,8 +178,8 @@
 }
 
 #[test]
-fn a_late_clock_changes_nothing() {
-    // The same day, 10^7 ms later: all that depends on differences of time stays as it was.
+fn a_large_clock_value_changes_nothing() {
+    // The same day 10^7 ms later: everything depends on time differences alone.
     let mut late = (*day("crash")).clone();
     late.troubles.iter_mut().for_each(|trouble| trouble.at_ms += 1e7);
     late.length_ms += 1e7;
@@ -189,15 +190,16 @@
     assert!((run.mean_in_system / run.rate_times_sojourn - 1.0).abs() < 0.2);
 }
 
-/// A shape is what its switches say: all routers in it play as if the template said so, and not as without it.
+/// A shape switches rules of the template for some routers: with all routers in the shape, a run equals one
+/// whose template has the same rules switched, and differs from one without the shape.
 #[test]
-fn routers_run_in_their_shape() {
+fn shapes_apply_to_their_routers() {
     let played = |change: &dyn Fn(&mut DaySettings)| {
         let mut day = (*day("both-shapes")).clone();
         change(&mut day);
         run(&Rc::new(day), &Options::default()).lines
     };
-    let all_in_it = played(&|day| day.shapes[0].routers = (0..day.routers).collect());
+    let all_routers = played(&|day| day.shapes[0].routers = (0..day.routers).collect());
     let template = played(&|day| day.shapes.clear());
     let switched = played(&|day| {
         day.shapes.clear();
@@ -205,6 +207,6 @@
         (s.probes_allowed, s.weights_act, s.second_copies, day.router.reports) = (false, false, false, false);
     });
     let half = played(&|_| ());
-    assert!(all_in_it == switched);
-    assert!(all_in_it != template && half != template && half != all_in_it);
+    assert!(all_routers == switched);
+    assert!(all_routers != template && half != template && half != all_routers);
 }
--- a/crates/emulator/tests/theory.rs
+++ b/crates/emulator/tests/theory.rs
@@ -1,4 +1,4 @@
-//! The server's model against queueing theory, where theory has an answer.
+//! Checks the server model against closed-form results of queueing theory.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -25,72 +25,72 @@
     }
 }
 
-/// Mean time in ms from arrival to end at a server, for Poisson arrivals and exponential work of a mean in ms, and the
-/// mean number in hand.
-fn mean_stay_ms(kind: Kind, per_ms: f64, work_ms: f64, count: u64) -> (f64, f64) {
+/// Mean time in ms from arrival to end at a server, and mean number in the system, for Poisson arrivals and
+/// exponentially distributed work.
+fn mean_sojourn_ms(kind: Kind, per_ms: f64, work_ms: f64, count: u64) -> (f64, f64) {
     let reads = kind.role == Role::Reader;
     let mut rng = SmallRng::seed_from_u64(11);
     let (gaps, works) = (Exp::new(per_ms).unwrap(), Exp::new(1.0 / work_ms).unwrap());
     let mut server = Server::new(kind.clone());
-    let mut came: BTreeMap<u64, f64> = BTreeMap::new();
-    let (mut next_ms, mut next, mut stay, mut done) = (gaps.sample(&mut rng), 0, 0.0, 0);
-    let (mut area, mut before_ms, mut did) = (0.0, 0.0, Vec::new());
+    let mut arrived: BTreeMap<u64, f64> = BTreeMap::new();
+    let (mut next_arrival_ms, mut next_id, mut sojourn_sum_ms, mut done) = (gaps.sample(&mut rng), 0, 0.0, 0);
+    let (mut area, mut before_ms, mut events) = (0.0, 0.0, Vec::new());
     while done < count {
         let step_ms = server.step_end_ms().unwrap_or(f64::INFINITY);
-        let now_ms = step_ms.min(next_ms);
-        area += came.len() as f64 * (now_ms - before_ms);
+        let now_ms = step_ms.min(next_arrival_ms);
+        area += arrived.len() as f64 * (now_ms - before_ms);
         before_ms = now_ms;
-        if step_ms <= next_ms {
-            server.step(now_ms, &mut did);
+        if step_ms <= next_arrival_ms {
+            server.step(now_ms, &mut events);
         } else {
             let size = works.sample(&mut rng);
             let (tokens, answer) =
                 if reads { (size * kind.read_tokens_per_ms, 0) } else { (1.0, size.ceil() as u32) };
-            let prompt = Rc::from([(next, tokens)].as_slice());
-            came.insert(next, now_ms);
+            let prompt = Rc::from([(next_id, tokens)].as_slice());
+            arrived.insert(next_id, now_ms);
             server
                 .arrive(
                     now_ms,
-                    Work { id: next, prompt, tokens, answer, fetches: !reads, hold: None },
-                    &mut did,
+                    Work { id: next_id, prompt, tokens, answer, fetches: !reads, hold: None },
+                    &mut events,
                 )
                 .unwrap();
-            next += 1;
-            next_ms = now_ms + gaps.sample(&mut rng);
+            next_id += 1;
+            next_arrival_ms = now_ms + gaps.sample(&mut rng);
         }
-        while let Some(what) = did.pop() {
-            match what {
-                ServerEvent::Fetch(id) => server.fetched(now_ms, id, true, &mut did),
+        while let Some(event) = events.pop() {
+            match event {
+                ServerEvent::Fetch(id) => server.fetched(now_ms, id, true, &mut events),
                 ServerEvent::Read { id, .. } | ServerEvent::Finished { id } => {
-                    server.release_state(now_ms, id, &mut did);
-                    stay += now_ms - came.remove(&id).unwrap();
+                    server.release_state(now_ms, id, &mut events);
+                    sojourn_sum_ms += now_ms - arrived.remove(&id).unwrap();
                     done += 1;
                 }
                 _ => {}
             }
         }
     }
-    (stay / done as f64, area / before_ms)
+    (sojourn_sum_ms / done as f64, area / before_ms)
 }
 
-fn near(found: f64, expected: f64, within: f64) {
-    assert!((found / expected - 1.0).abs() < within, "found {found}, expected {expected}");
+fn assert_near(found: f64, expected: f64, tolerance: f64) {
+    assert!((found / expected - 1.0).abs() < tolerance, "found {found}, expected {expected}");
 }
 
 #[test]
-fn one_slot_with_poisson_arrivals_is_m_m_1() {
+fn one_slot_behaves_as_an_m_m_1_queue() {
     for load in [0.3, 0.6, 0.8] {
         let work_ms = 40.0;
-        let (stay_ms, active_requests) =
-            mean_stay_ms(kind(Role::Reader, 1), load / work_ms, work_ms, 100_000);
-        near(stay_ms, work_ms / (1.0 - load), 0.05);
-        // The law of Little, with the rate that was asked for.
-        near(active_requests, load / work_ms * stay_ms, 0.02);
+        let (sojourn_ms, in_system) =
+            mean_sojourn_ms(kind(Role::Reader, 1), load / work_ms, work_ms, 100_000);
+        assert_near(sojourn_ms, work_ms / (1.0 - load), 0.05);
+        // Little's law at the configured arrival rate.
+        assert_near(in_system, load / work_ms * sojourn_ms, 0.02);
     }
 }
 
-/// Mean stay in M/M/c by Erlang's second formula.
-fn erlang_stay_ms(servers: usize, load: f64, work_ms: f64) -> f64 {
+/// Mean sojourn time in M/M/c by the Erlang C formula.
+fn erlang_sojourn_ms(servers: usize, load: f64, work_ms: f64) -> f64 {
     let offered = load * servers as f64;
     let mut term = 1.0;
     let mut sum = 1.0;
@@ -104,12 +104,12 @@
 }
 
 #[test]
-fn slots_that_write_side_by_side_are_m_m_c() {
+fn several_slots_behave_as_an_m_m_c_queue() {
     let work_ms = 200.0;
     for (slots, load) in [(2, 0.7), (8, 0.8)] {
         let per_ms = load * slots as f64 / (work_ms + 0.5);
-        let (stay_ms, _) = mean_stay_ms(kind(Role::Writer, slots), per_ms, work_ms, 100_000);
-        // A token more for rounding up, and one for the step under way at the arrival.
-        near(stay_ms, erlang_stay_ms(slots, load, work_ms + 0.5) + 0.5, 0.05);
+        let (sojourn_ms, _) = mean_sojourn_ms(kind(Role::Writer, slots), per_ms, work_ms, 100_000);
+        // Half a token more on average for rounding up, and half for the step in progress at the arrival.
+        assert_near(sojourn_ms, erlang_sojourn_ms(slots, load, work_ms + 0.5) + 0.5, 0.05);
     }
 }
