--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -276,7 +276,7 @@
     let rejected: BTreeSet<&str> = lines
         .iter()
         .filter_map(|line| match &line.what {
-            What::Turned { request, .. } => Some(request.as_str()),
+            What::Rejected { request, .. } => Some(request.as_str()),
             _ => None,
         })
         .collect();
@@ -364,10 +364,10 @@
     let mut not_ready_since: BTreeMap<(usize, &str), f64> = BTreeMap::new();
     for line in lines {
         match &line.what {
-            What::Told { router, server, readiness, .. } if readiness == "ready" => {
+            What::ListSent { router, server, readiness, .. } if readiness == "ready" => {
                 not_ready_since.remove(&(*router, server.as_str()));
             }
-            What::Told { router, server, .. } => {
+            What::ListSent { router, server, .. } => {
                 rule.cases += usize::from(!not_ready_since.contains_key(&(*router, server.as_str())));
                 not_ready_since.entry((*router, server)).or_insert(line.at_ms);
             }
@@ -404,7 +404,7 @@
             What::Died { server } => {
                 servers.remove(server.as_str());
             }
-            What::Told { router, server, cold: true, readiness } if readiness == "ready" => {
+            What::ListSent { router, server, cold: true, readiness } if readiness == "ready" => {
                 servers.get_mut(server.as_str()).into_iter().for_each(|row| row.notified.push(*router));
             }
             What::Dispatch { server, request, work_ms, .. } => {
--- a/crates/day/src/process_faults.rs
+++ b/crates/day/src/process_faults.rs
@@ -226,7 +226,7 @@
         let rows = status[name].as_array().into_iter().flatten();
         rows.filter_map(|place| Some(place.as_u64()? as usize)).collect()
     };
-    Some(RecordWhat::Fellows {
+    Some(RecordWhat::PeerStatus {
         router,
         asked_ms,
         life: status["life"].as_u64()?,
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -281,7 +281,7 @@
         for (router, (id, now_ms)) in self.cpu_times() {
             if let Some((_, before_ms)) = cpu_at_start.get(&router).filter(|(before_id, _)| *before_id == id)
             {
-                self.record.add(What::Used { router, cpu_ms: now_ms - before_ms });
+                self.record.add(What::CpuUsed { router, cpu_ms: now_ms - before_ms });
             }
         }
         for router in 0..self.day.routers {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,16 +1,17 @@
-//! A discrete-event model of a whole deployment: model servers, links, the list, clients, and the real decisions of
-//! the routers between them, in virtual time. No I/O, no clock, no chance without its seed: the same scenario and
-//! seed give the same record. Simulated; `docs/design/emulator.md` names what it leaves out.
+//! A discrete-event simulation of a whole deployment: model servers, links, the server list and clients in
+//! virtual time, with the production decision code in the routers between them. There is no I/O, no system
+//! clock and no unseeded randomness: the same scenario and seed give the same record.
+//! `docs/design/emulator.md` lists what the simulation leaves out.
 
-mod chance;
-mod heap;
+pub mod deduplication;
+mod event_queue;
 pub mod links;
 pub mod policies;
+mod random;
 pub mod record;
-pub mod repeats;
 pub mod server;
 pub mod troubles;
 mod world;
 
 pub use policies::Policy;
-pub use world::{run, Memory, Options, Run};
+pub use world::{run, Options, Run, StoreRecovery};
