--- a/crates/day/src/failover_rules.rs
+++ b/crates/day/src/failover_rules.rs
@@ -74,14 +74,14 @@
                 down.remove(router);
                 started.insert(*router, times);
             }
-            What::Plan { router, mind, page, moves, rooms, .. } => {
+            What::Plan { router, status, allocation, moves, capacities, .. } => {
                 let times = started.get(router).copied().unwrap_or(0);
                 reports.push(PlanReport {
                     at_ms: line.at_ms,
-                    status: mind,
-                    allocation: (times, *page),
+                    status,
+                    allocation: (times, *allocation),
                     moves,
-                    zones: rooms,
+                    zones: capacities,
                 });
             }
             _ => {}
--- a/crates/day/src/peer_rules.rs
+++ b/crates/day/src/peer_rules.rs
@@ -43,12 +43,12 @@
     let reports: Vec<PeerReport> = lines
         .iter()
         .filter_map(|line| match &line.what {
-            What::PeerStatus { router, asked_ms, mind, shares, digest, alive, failed, .. } => {
+            What::PeerStatus { router, asked_ms, status, shares, digest, alive, failed, .. } => {
                 Some(PeerReport {
                     asked_ms: *asked_ms,
                     received_ms: line.at_ms,
                     router: *router,
-                    status: mind,
+                    status,
                     shares,
                     digest: *digest,
                     alive,
--- a/crates/day/src/process_faults.rs
+++ b/crates/day/src/process_faults.rs
@@ -205,12 +205,12 @@
     Some(RecordWhat::Plan {
         router,
         asked_ms,
-        mind: name(&status["mind"]),
-        page: status["page"].as_u64().unwrap_or(0),
+        status: name(&status["mind"]),
+        allocation: status["page"].as_u64().unwrap_or(0),
         plan: status["plan"].as_u64().unwrap_or(0),
         moves: moves.collect(),
         verdicts: zones().map(|row| (name(&row["zone"]), name(&row["verdict"]["is"]))).collect(),
-        rooms: zones()
+        capacities: zones()
             .map(|row| (name(&row["zone"]), number(&row["demand_per_s"]), number(&row["capacity_per_s"])))
             .collect(),
         completions: status["completions"].as_u64()?,
@@ -229,10 +229,10 @@
     Some(RecordWhat::PeerStatus {
         router,
         asked_ms,
-        life: status["life"].as_u64()?,
-        mind: status["mind"].as_str()?.to_owned(),
+        generation: status["life"].as_u64()?,
+        status: status["mind"].as_str()?.to_owned(),
         shares: status["shares"]["of"].as_array()?.iter().filter_map(Value::as_f64).collect(),
-        page: status["page"]["number"].as_u64()?,
+        allocation: status["page"]["number"].as_u64()?,
         digest: status["digest"].as_u64()? as u32,
         alive: members.iter().filter(alive).filter_map(router_index).collect(),
         failed: members
@@ -240,8 +240,8 @@
             .filter(|row| row["state"] == "failed")
             .filter_map(|row| Some((router_index(row)?, row["life"].as_u64()?)))
             .collect(),
-        deaf_to: router_indices("deaf_to"),
-        unheard_by: router_indices("unheard_by"),
+        not_hearing: router_indices("deaf_to"),
+        not_heard_by: router_indices("unheard_by"),
     })
 }
 
