--- a/crates/peerlab/examples/start.rs
+++ b/crates/peerlab/examples/start.rs
@@ -1,4 +1,5 @@
-//! How a herd of so many routers that start at once comes to one view: `--example start SIZE`.
+//! Shows how a cluster of SIZE routers that start at the same time converges:
+//! `cargo run --release -p paddleproxy-peerlab --example start SIZE`.
 
 use paddleproxy_peerlab::measure::rules;
 use paddleproxy_peerlab::Simulation;
@@ -21,8 +22,8 @@
         let allocation = sim.peers(0).map_or(0, |p| p.consensus().number());
         let converged = sim.converged();
         println!(
-            "{second} s: peers known: {min:?} to {max:?}, converged: {converged}, allocation {allocation}, {failed} marked failed, \
-             {} steps, {} KB sent, {} KB in calls, {:.1} s wall time",
+            "{second} s: peers known: {min:?} to {max:?}, converged: {converged}, allocation {allocation}, \
+             {failed} marked failed, {} steps, {} KB sent, {} KB in calls, {:.1} s wall time",
             sim.steps,
             sent / 1000,
             called / 1000,
--- a/crates/peerlab/examples/zones.rs
+++ b/crates/peerlab/examples/zones.rs
@@ -1,4 +1,5 @@
-//! Failover in virtual time: `cargo run --release -p paddleproxy-peerlab --example zones [cases|delay|back|random N|plots DIR|cost]`.
+//! Simulates failover in virtual time:
+//! `cargo run --release -p paddleproxy-peerlab --example zones [cases|delay|back|random N|plots DIR|cost]`.
 
 use std::path::Path;
 
@@ -10,31 +11,40 @@
 const FROM_MS: f64 = 20_000.0;
 const TO_MS: f64 = 50_000.0;
 
-fn one(fault: ZoneFault) -> Vec<ScheduledZoneFault> {
+fn single_fault(fault: ZoneFault) -> Vec<ScheduledZoneFault> {
     vec![ScheduledZoneFault { fault, from_ms: FROM_MS, to_ms: TO_MS }]
 }
 
 fn cases() -> Vec<(&'static str, Vec<ScheduledZoneFault>)> {
-    let two = |a: ZoneFault, b: ZoneFault| [one(a), one(b)].concat();
+    let two_faults = |a: ZoneFault, b: ZoneFault| [single_fault(a), single_fault(b)].concat();
     vec![
         ("calm", Vec::new()),
-        ("lost", one(ZoneFault::Lost { zone: 2, routers: false })),
-        ("lost with its routers", one(ZoneFault::Lost { zone: 2, routers: true })),
+        ("lost", single_fault(ZoneFault::Lost { zone: 2, routers: false })),
+        ("lost with its routers", single_fault(ZoneFault::Lost { zone: 2, routers: true })),
         (
             "two lost",
-            two(ZoneFault::Lost { zone: 2, routers: false }, ZoneFault::Lost { zone: 1, routers: false }),
+            two_faults(
+                ZoneFault::Lost { zone: 2, routers: false },
+                ZoneFault::Lost { zone: 1, routers: false },
+            ),
         ),
-        ("a region lost", (3..6).flat_map(|zone| one(ZoneFault::Lost { zone, routers: false })).collect()),
-        ("cut path", one(ZoneFault::CutPath { zone: 2 })),
-        ("slow: half late", one(ZoneFault::Slow { zone: 2, late_share: 0.5 })),
-        ("slow: all late", one(ZoneFault::Slow { zone: 2, late_share: 1.0 })),
-        ("half a zone", one(ZoneFault::ReducedCapacity { zone: 2, capacity_share: 0.5 })),
-        ("flaps each 3 s", one(ZoneFault::Flap { zone: 2, every_ms: 3000.0 })),
+        (
+            "a region lost",
+            (3..6).flat_map(|zone| single_fault(ZoneFault::Lost { zone, routers: false })).collect(),
+        ),
+        ("cut path", single_fault(ZoneFault::CutPath { zone: 2 })),
+        ("slow: half late", single_fault(ZoneFault::Slow { zone: 2, late_share: 0.5 })),
+        ("slow: all late", single_fault(ZoneFault::Slow { zone: 2, late_share: 1.0 })),
+        ("half a zone", single_fault(ZoneFault::ReducedCapacity { zone: 2, capacity_share: 0.5 })),
+        ("flaps each 3 s", single_fault(ZoneFault::Flap { zone: 2, every_ms: 3000.0 })),
         (
             "lost, burst where it goes",
-            two(ZoneFault::Lost { zone: 2, routers: false }, ZoneFault::Burst { zone: 1, factor: 2.0 }),
+            two_faults(
+                ZoneFault::Lost { zone: 2, routers: false },
+                ZoneFault::Burst { zone: 1, factor: 2.0 },
+            ),
         ),
-        ("a router that lies", one(ZoneFault::FalseReporters { routers: 1 })),
+        ("a router that lies", single_fault(ZoneFault::FalseReporters { routers: 1 })),
     ]
 }
 
@@ -61,7 +71,8 @@
     let unaffected =
         if o.min_unaffected_throughput.is_finite() { o.min_unaffected_throughput } else { f64::NAN };
     println!(
-        "{name:<28} {:<7} {before:>7.3} {first:>7.3} {during:>7.3} {after:>7.3} {:>7.4} {:>8} {:>8} {:>9} {:>8.2} {unaffected:>9.2}",
+        "{name:<28} {:<7} {before:>7.3} {first:>7.3} {during:>7.3} {after:>7.3} {:>7.4} \
+         {:>8} {:>8} {:>9} {:>8.2} {unaffected:>9.2}",
         format!("{mode:?}").to_lowercase(),
         o.near_share,
         o.plan_changes,
@@ -94,9 +105,9 @@
             print_head();
             for delay_ms in [0.0, 200.0, 500.0, 1000.0, 2000.0, 5000.0, 10_000.0] {
                 for (name, faults) in [
-                    ("lost", one(ZoneFault::Lost { zone: 2, routers: false })),
-                    ("half late", one(ZoneFault::Slow { zone: 2, late_share: 0.5 })),
-                    ("flaps each 3 s", one(ZoneFault::Flap { zone: 2, every_ms: 3000.0 })),
+                    ("lost", single_fault(ZoneFault::Lost { zone: 2, routers: false })),
+                    ("half late", single_fault(ZoneFault::Slow { zone: 2, late_share: 0.5 })),
+                    ("flaps each 3 s", single_fault(ZoneFault::Flap { zone: 2, every_ms: 3000.0 })),
                 ] {
                     let scenario = Scenario { delay_ms, ..Scenario::default() };
                     print_line(
@@ -112,8 +123,8 @@
             for back in [0.05, 0.1, 0.25, 0.5, 1.0] {
                 for delay_ms in [200.0, 2000.0] {
                     for (name, faults) in [
-                        ("lost", one(ZoneFault::Lost { zone: 2, routers: false })),
-                        ("flaps each 8 s", one(ZoneFault::Flap { zone: 2, every_ms: 8000.0 })),
+                        ("lost", single_fault(ZoneFault::Lost { zone: 2, routers: false })),
+                        ("flaps each 8 s", single_fault(ZoneFault::Flap { zone: 2, every_ms: 8000.0 })),
                     ] {
                         let scenario = Scenario { max_step_back: back, delay_ms, ..Scenario::default() };
                         let name = format!("{name}, back {back}, {delay_ms}");
@@ -142,8 +153,8 @@
                 rows.iter().map(of).filter(|value| value.is_finite()).sum::<f64>() / rows.len() as f64
             };
             println!(
-                "{count} combinations, 60 routers: in target during, mean {:.4} with failover, {:.4} without; most leaves a \
-                 minute {}; most a zone was given {:.2} of its room",
+                "{count} combinations, 60 routers: in target during, mean {:.4} with failover, {:.4} without; \
+                 most leaves a minute {}; most a zone was given {:.2} of its room",
                 mean(|row| row.2.in_target_by_phase[2]),
                 mean(|row| row.3.in_target_by_phase[2]),
                 rows.iter().map(|row| row.2.max_departures_per_minute).max().unwrap_or(0),
@@ -177,7 +188,8 @@
     }
 }
 
-/// What planning costs at 1,000 routers and 30 zones: the size of a row, and the time of one look at all of them.
+/// Cost of planning at 1,000 routers and 30 zones: the size of a row, and the time to read all rows and make
+/// a plan.
 fn cost() {
     use paddleproxy_failover::{
         judge, EvidenceRow, FlapHistory, Matrix, Plan, PlanLimits, Topology, Zone, ZoneCounts,
@@ -223,7 +235,8 @@
         assert!(plan.moved(Zone(7)) > 0);
     }
     println!(
-        "1,000 routers, 30 zones, 9 reporters each: a row has {} bytes; reading all rows and making a plan takes {:.1} ms",
+        "1,000 routers, 30 zones, 9 reporters each: a row has {} bytes; reading all rows and \
+         making a plan takes {:.1} ms",
         bytes[0].len(),
         began.elapsed().as_secs_f64() * 1e3 / f64::from(rounds)
     );
--- a/crates/peerlab/src/baselines.rs
+++ b/crates/peerlab/src/baselines.rs
@@ -1,34 +1,36 @@
-//! What the routers' way is measured beside: heartbeats from all to all, and plain probes by which one missed answer
-//! is a failure. Both as small as they can be; links, pauses and clocks as for the real machine.
+//! Baseline failure detectors that the peer protocol is measured against: heartbeats from every router to
+//! every other, and probes for which one missed answer is a failure. Both are minimal; links, pauses and
+//! clocks are as in the simulation of the real protocol.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use crate::simulation::{LinkConditions, DATAGRAM_HEADER_BYTES};
 
-/// Which baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Baseline {
-    /// Each tells each other in every period; five missed are a failure.
+    /// Each router sends a heartbeat to every other in every period; five missed heartbeats are a failure.
     Heartbeats,
-    /// Each asks one other in every period, by chance; no answer is a failure, told with every datagram.
+    /// Each router probes one other, drawn at random, in every period; a missed answer is a failure. Failures
+    /// are spread with every datagram.
     Probes,
 }
 
-/// Heartbeats that may be missed.
+/// Number of periods without a heartbeat after which a router is marked failed.
 const MISSED_HEARTBEATS: f64 = 5.0;
-/// Bytes of a plain datagram, and of one failure told in it.
+/// Size of a datagram without failure notices, and of one failure notice in it, in bytes.
 const DATAGRAM_BYTES: u64 = 12;
 const FAILURE_NOTICE_BYTES: u64 = 4;
-/// Failures told in one datagram at most, and how often each is failures for each tenfold of routers.
+/// Maximum number of failure notices in one datagram.
 const MAX_NOTICES_PER_DATAGRAM: usize = 20;
+/// How often a notice is sent, for each factor of ten in the number of routers.
 const NOTICE_SENDS_PER_DECADE: f64 = 4.0;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Period { node: usize },
     Arrives { to: usize, from: usize, ack: bool, failures: Vec<(usize, u32)> },
-    ProbeDeadline { node: usize, of: usize, seq: u64 },
+    ProbeDeadline { node: usize, target: usize, seq: u64 },
     Resume { node: usize },
 }
 
@@ -36,16 +38,17 @@
     up: bool,
     paused_until_ms: f64,
     last_received_ms: Vec<f64>,
-    /// Incarnation by which each is held for failed; none: alive.
+    /// Incarnation in which each router is marked failed; `None` if it is alive.
     failed: Vec<Option<u32>>,
     incarnation: u32,
+    /// Failure notices to spread: router, incarnation and how often the notice was sent.
     notices: Vec<(usize, u32, u32)>,
     last_answered_probe: u64,
     probes_sent: u64,
     bytes: u64,
 }
 
-/// One play of a baseline.
+/// One simulation of a baseline.
 pub struct BaselineSimulation {
     pub now_ms: f64,
     nodes: Vec<Node>,
@@ -55,7 +58,7 @@
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     next_sequence: u64,
     rng: fastrand::Rng,
-    /// Times at which somebody called a running router failed.
+    /// How often a running router was marked failed, over all observers.
     pub false_failures: u64,
 }
 
@@ -98,7 +101,7 @@
 
     fn schedule(&mut self, in_ms: f64, event: Event) {
         self.next_sequence += 1;
-        // Rounded up: what waits for a moment comes after it.
+        // Rounded up so that an event scheduled for an instant runs after that instant.
         let at_us = ((self.now_ms + in_ms) * 1e3).ceil() as u64 + 1;
         self.queue.push(Reverse((at_us, self.next_sequence, event)));
     }
@@ -112,11 +115,15 @@
         self.schedule(for_ms, Event::Resume { node });
     }
 
-    pub fn count_seeing_down(&self, of: usize) -> usize {
-        self.nodes.iter().enumerate().filter(|(at, n)| *at != of && n.up && n.failed[of].is_some()).count()
+    pub fn count_seeing_down(&self, target: usize) -> usize {
+        self.nodes
+            .iter()
+            .enumerate()
+            .filter(|(at, n)| *at != target && n.up && n.failed[target].is_some())
+            .count()
     }
 
-    /// Bytes that a router sent on average.
+    /// Bytes sent per router, averaged over all routers.
     pub fn mean_sent_bytes(&self) -> f64 {
         self.nodes.iter().map(|node| node.bytes as f64).sum::<f64>() / self.nodes.len() as f64
     }
@@ -137,13 +144,13 @@
         self.now_ms < self.nodes[node].paused_until_ms
     }
 
-    fn mark_failed(&mut self, at: usize, of: usize, incarnation: u32) {
-        if self.nodes[at].failed[of].is_some_and(|known| known >= incarnation) {
+    fn mark_failed(&mut self, observer: usize, target: usize, incarnation: u32) {
+        if self.nodes[observer].failed[target].is_some_and(|known| known >= incarnation) {
             return;
         }
-        self.false_failures += u64::from(self.nodes[of].up);
-        self.nodes[at].failed[of] = Some(incarnation);
-        self.nodes[at].notices.push((of, incarnation, 0));
+        self.false_failures += u64::from(self.nodes[target].up);
+        self.nodes[observer].failed[target] = Some(incarnation);
+        self.nodes[observer].notices.push((target, incarnation, 0));
     }
 
     fn step(&mut self, event: Event) {
@@ -165,31 +172,31 @@
                             self.send(node, to, false, Vec::new());
                         }
                         let late_ms = MISSED_HEARTBEATS * self.period_ms;
-                        for of in (0..all).filter(|of| *of != node) {
-                            if self.now_ms - self.nodes[node].last_received_ms[of] > late_ms {
-                                self.mark_failed(node, of, 0);
+                        for target in (0..all).filter(|target| *target != node) {
+                            if self.now_ms - self.nodes[node].last_received_ms[target] > late_ms {
+                                self.mark_failed(node, target, 0);
                             }
                         }
                     }
                     Baseline::Probes => {
-                        let of = (node + 1 + self.rng.usize(..all - 1)) % all;
+                        let target = (node + 1 + self.rng.usize(..all - 1)) % all;
                         self.nodes[node].probes_sent += 1;
                         let seq = self.nodes[node].probes_sent;
                         let failures = self.take_notices(node);
-                        self.send(node, of, false, failures);
-                        self.schedule(self.period_ms * 0.9, Event::ProbeDeadline { node, of, seq });
+                        self.send(node, target, false, failures);
+                        self.schedule(self.period_ms * 0.9, Event::ProbeDeadline { node, target, seq });
                     }
                 }
                 self.schedule(self.period_ms, Event::Period { node });
             }
-            Event::ProbeDeadline { node, of, seq } => {
-                // Without doubt of itself it judges as soon as it runs again.
+            Event::ProbeDeadline { node, target, seq } => {
+                // A router does not account for its own pauses, so it decides as soon as it is resumed.
                 if self.nodes[node].up
                     && self.nodes[node].probes_sent == seq
                     && self.nodes[node].last_answered_probe != seq
                 {
-                    let incarnation = self.nodes[node].failed[of].unwrap_or(0);
-                    self.mark_failed(node, of, incarnation.max(self.nodes[of].incarnation));
+                    let incarnation = self.nodes[node].failed[target].unwrap_or(0);
+                    self.mark_failed(node, target, incarnation.max(self.nodes[target].incarnation));
                 }
             }
             Event::Arrives { to, from, ack, failures } => {
@@ -203,12 +210,13 @@
                 }
                 self.nodes[to].last_received_ms[from] = self.now_ms;
                 self.nodes[to].failed[from] = None;
-                for (of, incarnation) in failures {
-                    if of == to {
-                        // It says that it lives; a newer word undoes the old at whoever hears it first-hand.
+                for (target, incarnation) in failures {
+                    if target == to {
+                        // Refutes the failure with a higher incarnation. Routers that receive a datagram
+                        // directly from this one clear the failure.
                         self.nodes[to].incarnation = self.nodes[to].incarnation.max(incarnation + 1);
                     } else {
-                        self.mark_failed(to, of, incarnation);
+                        self.mark_failed(to, target, incarnation);
                     }
                 }
                 if self.baseline == Baseline::Probes {
@@ -231,7 +239,7 @@
         notices
             .iter()
             .take(MAX_NOTICES_PER_DATAGRAM)
-            .map(|(of, incarnation, _)| (*of, *incarnation))
+            .map(|(target, incarnation, _)| (*target, *incarnation))
             .collect()
     }
 
--- a/crates/peerlab/src/enumerate.rs
+++ b/crates/peerlab/src/enumerate.rs
@@ -1,5 +1,6 @@
-//! Three routers, every order of what can happen next, as deep as asked: packets delivered in any order, lost, doubled,
-//! timers, time that passes, a router that pauses_left and wakes, one that dies and starts anew with or without its memory.
+//! Enumerates every order of events at three routers, up to a given depth: packets that are delivered in any
+//! order, lost or duplicated, timers, time that passes, a router that is paused and resumed, and a router
+//! that is killed and restarted with or without its state directory.
 
 use std::net::SocketAddr;
 
@@ -9,7 +10,7 @@
 
 const ROUTERS: usize = 3;
 
-/// A letter on its message.
+/// A message that was sent and not yet delivered.
 #[derive(Clone)]
 enum InFlight {
     Datagram { from: usize, to: usize, bytes: Vec<u8> },
@@ -24,40 +25,42 @@
     generations: [u64; ROUTERS],
     paused: [bool; ROUTERS],
     in_flight: Vec<InFlight>,
-    /// Pause, kills_left and doubled packets that may still come.
+    /// How many pauses, kills and duplicated messages may still occur.
     pauses_left: u8,
     kills_left: u8,
     duplicates_left: u8,
     seed: u64,
 }
 
-/// One thing that may happen next.
+/// One possible next event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// The earliest timer of a router that runs.
+    /// The earliest timer of all running routers fires.
     Timer,
-    /// Half a lease passes before anybody does anything.
+    /// Half a lease passes in which no router runs.
     HalfLease,
+    /// `Deliver`, `Drop` and `Duplicate` take the index of a message in flight, the other steps a router.
     Deliver(usize),
     Drop(usize),
     Duplicate(usize),
     Pause(usize),
     Resume(usize),
     Kill(usize),
+    /// Restarts a router; whether its state directory is intact.
     Start(usize, bool),
 }
 
-/// What was looked at.
+/// Result of the enumeration.
 #[derive(Clone, Debug, Default)]
 pub struct Exploration {
     pub states: u64,
-    /// Largest sum of shares by thing.
+    /// Largest sum of granted shares, for each resource.
     pub largest_share_sums: [f64; 2],
-    /// The message to the first state in which something was broken.
+    /// Steps that lead to the first state that violates the invariant, and a description of the violation.
     pub violation: Option<(Vec<Step>, String)>,
 }
 
-/// Letters on their message of which the next is chosen; the first come first.
+/// Number of messages in flight, oldest first, of which the next one to deliver, drop or duplicate is chosen.
 const MAX_DELIVERABLE: usize = 2;
 
 impl ClusterState {
@@ -113,7 +116,8 @@
             InFlight::Reply { from, to, packets } if !self.paused[to] => {
                 self.handle_event(to, Event::CallAnswered { to: address(from), packets: &packets });
             }
-            // Kept by the system until it runs again; here the same as lost.
+            // The operating system would hold the message until the router is resumed; here it counts as
+            // lost.
             _ => {}
         }
     }
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Everything arrives in order, timers in between.
+    /// Delivers all messages in order and runs timers in between.
     fn run_without_faults(&mut self, for_ms: f64) {
         let until_ms = self.now_ms + for_ms;
         while self.now_ms < until_ms {
@@ -206,8 +210,9 @@
     }
 }
 
-/// Goes through every order of so many steps, from routers that have run in calm for `calm_ms`, up to a count of states.
-pub fn enumerate(rules: &Rules, calm_ms: f64, depth: usize, max_states: u64) -> Exploration {
+/// Explores every sequence of `depth` steps, starting from routers that ran without faults for `warmup_ms`.
+/// Stops after `max_states` states.
+pub fn enumerate(rules: &Rules, warmup_ms: f64, depth: usize, max_states: u64) -> Exploration {
     let mut state = ClusterState {
         now_ms: 0.0,
         peers: [None, None, None],
@@ -220,7 +225,7 @@
         seed: 0,
     };
     (0..ROUTERS).for_each(|node| state.start(rules, node, true));
-    state.run_without_faults(calm_ms);
+    state.run_without_faults(warmup_ms);
     let mut found = Exploration::default();
     explore(rules, &state, depth, max_states, &mut Vec::new(), &mut found);
     found
--- a/crates/peerlab/src/faults.rs
+++ b/crates/peerlab/src/faults.rs
@@ -1,16 +1,17 @@
-//! Scripts of faults: written, or drawn from a seed; a failing one is made smaller.
+//! Fault scripts, written by hand or generated from a seed. A script that violates an invariant can be
+//! shrunk.
 
 use serde::{Deserialize, Serialize};
 
 use crate::simulation::{LinkConditions, Simulation, Violation};
 
-/// One fault, and what ends it.
+/// A fault, or an event that ends one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Fault {
     Kill {
         node: usize,
     },
-    /// Killed, and what its state directory held is lost.
+    /// Kills the process and loses the content of its state directory.
     KillAndForget {
         node: usize,
     },
@@ -20,6 +21,7 @@
     Leave {
         node: usize,
     },
+    /// Pauses the process, as SIGSTOP does.
     #[serde(rename = "Stop")]
     Pause {
         node: usize,
@@ -28,7 +30,7 @@
     Resume {
         node: usize,
     },
-    /// One way; `calls_only` lets datagrams through.
+    /// Cuts the link in one direction; with `calls_only`, datagrams still pass.
     Cut {
         from: usize,
         to: usize,
@@ -39,11 +41,12 @@
         to: usize,
     },
     HealAll,
-    /// These can't be heard by the others, nor hear them.
+    /// Cuts these routers off from all others, in both directions.
     #[serde(rename = "Part")]
     Partition {
         nodes: Vec<usize>,
     },
+    /// Sets the conditions of all links; see [`LinkConditions`].
     #[serde(rename = "Weather")]
     LinkConditions {
         loss: f64,
@@ -55,6 +58,7 @@
         late_share: f64,
         late_ms: f64,
     },
+    /// Sets the router's demand for every resource.
     Need {
         node: usize,
         need: f64,
@@ -67,20 +71,21 @@
     pub fault: Fault,
 }
 
-/// Faults in order of time, for so many routers.
+/// Faults in order of time, for a cluster of `routers` routers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Script {
     pub routers: usize,
     pub seed: u64,
     pub faults: Vec<ScheduledFault>,
     pub end_ms: f64,
-    /// After the end everything is healed, woken and started, and has so long to come to one view.
+    /// After `end_ms` all links are healed and all routers resumed and started; they must converge within
+    /// this time.
     #[serde(rename = "heals_ms")]
     pub converge_within_ms: f64,
 }
 
 impl Script {
-    /// Plays it; what was broken, and the sim as it stood.
+    /// Runs the script. Returns the violated invariants and the simulation at its end.
     pub fn run(&self, rules: &paddleproxy_peers::Rules) -> (Vec<Violation>, Simulation) {
         let mut sim = Simulation::new(rules.clone(), self.routers, 3, self.seed);
         (0..self.routers).for_each(|node| sim.start(node));
@@ -110,7 +115,7 @@
         (sim.violations.clone(), sim)
     }
 
-    /// Leaves out what is not needed to break it.
+    /// Removes the faults without which the script still violates an invariant.
     pub fn shrink(&self, rules: &paddleproxy_peers::Rules) -> Script {
         let mut smallest = self.clone();
         let mut index = 0;
@@ -127,6 +132,7 @@
     }
 }
 
+/// Applies a fault to the simulation.
 pub fn apply_fault(sim: &mut Simulation, fault: &Fault) {
     match fault {
         Fault::Kill { node } => sim.kill(*node),
@@ -166,7 +172,7 @@
     }
 }
 
-/// A script drawn from a seed.
+/// A random script, the same for the same seed.
 pub fn random_script(seed: u64, routers: usize, faults: usize, end_ms: f64) -> Script {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut scheduled_faults = Vec::new();
@@ -213,7 +219,7 @@
             }
             9 => pair(Fault::Need { node, need: rng.f64() * 20.0 }, None),
             _ => {
-                // All at once, or a third.
+                // Kills all routers at once, or each with a probability of a third.
                 let share = if rng.bool() { 1.0 } else { 0.33 };
                 for node in (0..routers).filter(|_| rng.f64() < share).collect::<Vec<_>>() {
                     pair(Fault::Kill { node }, Some(Fault::Start { node }));
--- a/crates/peerlab/src/lib.rs
+++ b/crates/peerlab/src/lib.rs
@@ -1,6 +1,7 @@
-//! Routers that know each other, played in virtual time: the very machine of `paddleproxy-peers`, clocks that differ,
-//! links that lose, double, delay and cut, processes that stop, wake, die and start again. What must hold at every
-//! instant is checked at every step; what it costs and how long it takes is measured beside baselines.
+//! Simulates a cluster of routers in virtual time. The routers run the unmodified state machine of
+//! `paddleproxy-peers`, with clocks that differ, links that lose, duplicate, delay and drop datagrams, and
+//! processes that are paused, resumed, killed and restarted. Invariants are checked at every step; cost and
+//! detection times are measured against baseline protocols.
 
 pub mod baselines;
 pub mod enumerate;
--- a/crates/peerlab/src/measure.rs
+++ b/crates/peerlab/src/measure.rs
@@ -1,4 +1,4 @@
-//! How long it takes, what it costs, how often it errs; beside the baselines, in one run.
+//! Measures detection time, traffic and false failures of the peer protocol and of the baselines, in one run.
 
 use paddleproxy_peers::{RouterIndex, Rules};
 use serde::Serialize;
@@ -6,35 +6,38 @@
 use crate::baselines::{Baseline, BaselineSimulation};
 use crate::simulation::{LinkConditions, Simulation};
 
-/// Figures of one way of knowing each other at one size. Simulated links and clocks.
+/// Measurements of one protocol at one cluster size, with simulated links and clocks.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
     #[serde(rename = "way")]
     pub protocol: &'static str,
     pub routers: usize,
-    /// Time until a killed router is known to the first, half, 99 in 100 and all, in ms; none within 30 s.
+    /// Time until the first, half, 99% (`most_ms`) and all of the other routers see a killed router as down,
+    /// in ms; `None` if that takes more than 30 s.
     pub first_ms: Option<f64>,
     pub half_ms: Option<f64>,
     pub most_ms: Option<f64>,
     pub all_ms: Option<f64>,
-    /// Bytes a second that a router sends while nothing happens, heads of datagrams included; and by calls.
+    /// Bytes per second that a router sends in datagrams, headers included, and in calls while the cluster is
+    /// stable.
     pub bytes_per_s: f64,
     pub call_bytes_per_s: f64,
-    /// Routers called failed that ran, an hour, over all who called them so; by share of datagrams lost, with and
-    /// without a tenth of the routers pausing for up to a second.
+    /// False failures per hour, summed over all observers: a running router that is marked failed. Each entry
+    /// has the share of lost datagrams, whether a tenth of the routers is paused for up to a second at times,
+    /// and the rate.
     pub false_an_hour: Vec<(f64, bool, f64)>,
-    /// Time from the end of a cut into halves of 10 s to one view of all, in ms.
+    /// Time in which the cluster converges after a partition into halves for 10 s, in ms.
     pub heal_ms: Option<f64>,
-    /// Largest sum of what all may use, of each thing.
+    /// Largest sum of granted shares, for each resource.
     pub worst_sums: Vec<f64>,
 }
 
-/// How long and how often is measured.
+/// Sizes, loss rates and durations to measure.
 #[derive(Clone, Debug)]
 pub struct Plan {
     pub sizes: Vec<usize>,
     pub losses: Vec<f64>,
-    /// Virtual time over which false failures are counted, in ms.
+    /// Virtual time in which false failures are counted, in ms.
     pub false_ms: f64,
     pub kills: usize,
     pub seed: u64,
@@ -56,7 +59,7 @@
     }
 }
 
-/// Settings that the measurements are made with.
+/// Protocol settings of all measurements.
 pub fn rules() -> Rules {
     Rules {
         deployment: "lab".into(),
@@ -71,7 +74,7 @@
     }
 }
 
-/// Step of the clock at which times are read, in ms.
+/// Interval at which the views are sampled, in ms.
 const SAMPLE_MS: f64 = 20.0;
 const MAX_WAIT_MS: f64 = 30_000.0;
 
@@ -96,7 +99,7 @@
     times.get(times.len() / 2).copied()
 }
 
-/// Shares of the others at which times are read.
+/// Numbers of routers that must see a router as down: the first, half, 99% and all of the others.
 fn thresholds(others: usize) -> [usize; 4] {
     [1, others.div_ceil(2), (others * 99).div_ceil(100), others]
 }
@@ -106,7 +109,7 @@
         let mut sim = Simulation::new(rules(), routers, 6, seed);
         sim.check_every_step = routers <= 10;
         (0..routers).for_each(|node| sim.start(node));
-        // A herd's start is not measured here.
+        // The simultaneous start of all routers is not part of the measurement.
         sim.run_until_condition(60_000.0, 100.0, Simulation::converged);
         sim.run_until(sim.now_ms + 10_000.0);
         sim
@@ -141,7 +144,7 @@
         sim.run_until_condition(20_000.0, 100.0, Simulation::converged);
     }
     let sums_before_cut = sim.largest_share_sums.clone();
-    // A cut into halves, then healed.
+    // Partitions the cluster into halves, then heals all links.
     let half: Vec<usize> = (0..routers / 2).collect();
     for inside in &half {
         for outside in routers / 2..routers {
@@ -166,7 +169,7 @@
             let from_ms = sim.now_ms;
             while sim.now_ms < from_ms + plan.false_ms {
                 if pauses {
-                    // A tenth is stopped for up to a second, every five.
+                    // Pauses a tenth of the routers for up to a second, every five seconds.
                     for _ in 0..routers.div_ceil(10) {
                         let node = sim.rng.usize(..routers);
                         sim.pause(node);
@@ -222,7 +225,7 @@
                 reached += 1;
             }
         }
-        // All to all among many is too dear to be played often.
+        // With more than 100 routers, heartbeats from all to all take too long to simulate more than once.
         if baseline == Baseline::Heartbeats && routers > 100 {
             break;
         }
@@ -268,7 +271,7 @@
     }
 }
 
-/// A table of the rows.
+/// Formats the rows as a table.
 pub fn table(rows: &[Row]) -> String {
     let ms = |value: Option<f64>| value.map_or("-".to_owned(), |ms| format!("{ms:.0}"));
     let mut out = format!(
--- a/crates/peerlab/src/simulation.rs
+++ b/crates/peerlab/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The network and its routers.
+//! Simulated network, clocks and router processes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -6,16 +6,17 @@
 
 use paddleproxy_peers::{Action, Event, Generation, Peers, RouterIndex, RouterInfo, Rules, State};
 
-/// What links do to datagrams. Calls over TCP come through late or not at all.
+/// Conditions of all links. Loss, duplication and corruption apply to datagrams; calls over TCP are delayed
+/// or fail.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinkConditions {
-    /// Shares of datagrams.
+    /// Shares of datagrams that are lost, duplicated and corrupted.
     pub loss: f64,
     pub duplicated: f64,
     pub corrupted: f64,
-    /// Delay from the first to the second, in ms.
+    /// Minimum and maximum delay, in ms.
     pub delay_ms: (f64, f64),
-    /// Share that is late by so much more.
+    /// Share of messages that are delayed by a further `late_ms`.
     pub late_share: f64,
     pub late_ms: f64,
 }
@@ -33,7 +34,7 @@
     }
 }
 
-/// Something that must never be was.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     pub at_ms: f64,
@@ -43,15 +44,19 @@
 /// One router's process.
 pub struct Node {
     pub peers: Option<Peers>,
-    /// What its state directory says of its last generation; none where it has no such directory.
+    /// Generation of the last start, as stored in the state directory; `None` without a state directory.
     persisted_generation: Option<u64>,
-    /// Its clock: shown at virtual time 0, and how fast it runs.
+    /// Reading of its clock at virtual time 0, and the rate of the clock relative to virtual time.
     clock_offset_ms: f64,
     clock_rate: f64,
+    /// A paused process handles nothing, as after SIGSTOP.
     pub paused: bool,
+    /// Messages that arrived while the process was paused.
     inbox: Vec<Delivery>,
+    /// Virtual time of the timer that counts; earlier ones in the queue are ignored.
     armed_ms: f64,
     started_ms: f64,
+    /// Demand for each resource.
     pub need: Vec<f64>,
     pub start_count: u64,
 }
@@ -92,7 +97,7 @@
     }
 }
 
-/// A state of one router in another's view that changed, as it was seen.
+/// A change of one router's state in the view of another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StateChange {
     pub at_ms: f64,
@@ -102,9 +107,9 @@
     pub to: State,
 }
 
-/// A time after which no call is waited for, in ms.
+/// Time after which an unanswered call fails, in ms.
 const CALL_TIMEOUT_MS: f64 = 1000.0;
-/// Bytes of heads that each datagram costs beside its own.
+/// IP and UDP headers of one datagram, in bytes.
 pub const DATAGRAM_HEADER_BYTES: u64 = 28;
 
 pub struct Simulation {
@@ -112,18 +117,18 @@
     pub rules: Rules,
     pub nodes: Vec<Node>,
     pub links: LinkConditions,
-    /// Directed links that carry nothing.
+    /// Directed links on which datagrams are dropped.
     cut_links: BTreeSet<(usize, usize)>,
-    /// Directed links that carry no calls.
+    /// Directed links on which calls fail.
     cut_calls: BTreeSet<(usize, usize)>,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     next_sequence: u64,
     pub rng: fastrand::Rng,
     pub state_changes: Vec<StateChange>,
     pub violations: Vec<Violation>,
-    /// Largest sum of shares that was seen, by thing.
+    /// Largest sum of granted shares so far, for each resource.
     pub largest_share_sums: Vec<f64>,
-    /// Whether sums are looked at after each step; costs time with many routers.
+    /// Whether the share sums are checked after each step, which is slow with many routers.
     pub check_every_step: bool,
     pub steps: u64,
     pub zones: usize,
@@ -145,7 +150,8 @@
 }
 
 impl Simulation {
-    /// So many routers that are all down. Clocks show different times and run up to 2% apart.
+    /// Creates `routers` routers that are not running. Their clocks have different offsets and rates up to 2%
+    /// apart.
     pub fn new(mut rules: Rules, routers: usize, zones: usize, seed: u64) -> Self {
         rules.router_count = routers;
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -182,7 +188,7 @@
         }
     }
 
-    /// As new, with clocks that all run alike.
+    /// Sets the rates of all clocks to that of virtual time.
     pub fn with_equal_clock_rates(mut self) -> Self {
         self.nodes.iter_mut().for_each(|node| node.clock_rate = 1.0);
         self
@@ -201,7 +207,7 @@
         }));
     }
 
-    /// Starts a router's process. The first three places are the seeds that all know.
+    /// Starts a router's process. The first three routers are the seeds of all routers.
     pub fn start(&mut self, node: usize) {
         let now_ms = self.clock(node);
         let rules = Rules { own: RouterIndex(node as u16), ..self.rules.clone() };
@@ -232,7 +238,7 @@
         self.nodes[node].inbox.clear();
     }
 
-    /// Loses what its state directory holds.
+    /// Loses the content of its state directory.
     pub fn forget(&mut self, node: usize) {
         self.nodes[node].persisted_generation = None;
     }
@@ -242,7 +248,7 @@
         self.kill(node);
     }
 
-    /// Its process is paused; what comes for it delivery. Its clock goes on.
+    /// Pauses the process. Messages for it are queued; its clock goes on.
     pub fn pause(&mut self, node: usize) {
         self.nodes[node].paused = true;
     }
@@ -252,7 +258,7 @@
             return;
         }
         let inbox = std::mem::take(&mut self.nodes[node].inbox);
-        // Timers and what delivery become ready together.
+        // Overdue timers and queued messages become ready at the same time.
         self.handle_event(node, |_| Event::Tick);
         for delivery in inbox {
             self.deliver(node, delivery);
@@ -284,7 +290,7 @@
         self.nodes[node].peers.as_ref()
     }
 
-    /// Plays until a time.
+    /// Runs the simulation up to a virtual time.
     pub fn run_until(&mut self, until_ms: f64) {
         while let Some(Reverse(next)) = self.queue.peek() {
             if next.at_ms > until_ms {
@@ -298,7 +304,8 @@
         self.check_share_sums();
     }
 
-    /// Plays until something holds, at most so long; whether it came to hold.
+    /// Runs until a condition holds, for at most `within_ms`; it is checked every `every_ms`. Returns whether
+    /// it holds.
     pub fn run_until_condition(
         &mut self,
         within_ms: f64,
@@ -324,7 +331,7 @@
                     return;
                 }
                 if self.nodes[to].paused {
-                    // As a socket does that nobody reads.
+                    // Bounded, as the receive buffer of a socket that is not read.
                     if self.nodes[to].inbox.len() < 4096 {
                         self.nodes[to].inbox.push(delivery);
                     }
@@ -335,7 +342,7 @@
             Scheduled::Timer { node, armed_ms } => {
                 let clock = self.clock(node);
                 let process = &mut self.nodes[node];
-                // Only the one that was armed last is a timer.
+                // Ignores timers that were replaced by a later call of `arm`.
                 if process.armed_ms != armed_ms {
                     return;
                 }
@@ -426,7 +433,7 @@
                         through && self.running(*to)
                     });
                     match reached {
-                        // The way to make a connection and back, then the packets.
+                        // One round trip to connect, then the delay of the request.
                         Some(target) => {
                             let in_ms = self.delay() + self.delay() + self.delay();
                             let delivery = Delivery::CallRequest { from: node, packets };
@@ -491,7 +498,7 @@
         self.schedule((at_ms - self.now_ms).max(1e-3), Scheduled::Timer { node, armed_ms });
     }
 
-    /// What all running processes may use together is at most the whole.
+    /// Checks that the shares granted to all running processes sum to at most 1 for each resource.
     fn check_share_sums(&mut self) {
         let mut sums = vec![0.0; self.rules.resources];
         for node in 0..self.nodes.len() {
@@ -512,7 +519,8 @@
         }
     }
 
-    /// Whether all running routers that are not paused have one view with exactly these in it as running.
+    /// Whether all running routers that are not paused have the same view, with exactly these routers running
+    /// in it.
     pub fn converged(&self) -> bool {
         let up: Vec<usize> =
             (0..self.nodes.len()).filter(|n| self.running(*n) && !self.nodes[*n].paused).collect();
@@ -527,14 +535,14 @@
         up.iter().all(complete) && digests.len() <= 1
     }
 
-    /// Who of the running routers holds what of whom, where that is not so.
+    /// Describes each entry of a running router's view that differs from the actual state.
     pub fn view_differences(&self) -> Vec<String> {
         let mut differences = Vec::new();
         for node in (0..self.nodes.len()).filter(|node| self.running(*node) && !self.nodes[*node].paused) {
             let Some(peers) = self.peers(node) else { continue };
-            for of in (0..self.nodes.len()).filter(|of| *of != node) {
-                let truth = self.peers(of).map(|peers| (peers.generation(), peers.incarnation()));
-                let held = peers.members().find(|m| usize::from(m.router.0) == of);
+            for subject in (0..self.nodes.len()).filter(|subject| *subject != node) {
+                let truth = self.peers(subject).map(|peers| (peers.generation(), peers.incarnation()));
+                let held = peers.members().find(|m| usize::from(m.router.0) == subject);
                 let same = match (truth, held) {
                     (Some((generation, _)), Some(m)) => m.state.is_running() && m.generation == generation,
                     (None, held) => held.is_none_or(|m| !m.state.is_running()),
@@ -543,7 +551,7 @@
                 if !same {
                     let held = held.map(|m| (m.state, m.generation, m.incarnation));
                     differences.push(format!(
-                        "router {node} ({:?}) sees router {of} as {held:?}; actual state: {truth:?}",
+                        "router {node} ({:?}) sees router {subject} as {held:?}; actual state: {truth:?}",
                         peers.cluster_report().status
                     ));
                 }
@@ -552,7 +560,7 @@
         differences
     }
 
-    /// How many running routers hold one for failed or gone.
+    /// Number of running routers that see a router as failed or left.
     pub fn count_seeing_down(&self, node: usize) -> usize {
         let sees_down =
             |peers: &Peers| peers.members().any(|m| usize::from(m.router.0) == node && !m.state.is_running());
@@ -563,12 +571,12 @@
             .count()
     }
 
-    /// Bytes that each running router sent, datagrams with their heads, and by calls.
+    /// Bytes that each running router sent in datagrams, headers included, and in calls.
     pub fn sent_bytes(&self) -> BTreeMap<usize, (u64, u64)> {
-        let of = |node: usize| {
+        let subject = |node: usize| {
             let counts = &self.peers(node)?.counts;
             Some((node, (counts.sent_bytes + DATAGRAM_HEADER_BYTES * counts.sent, counts.call_bytes)))
         };
-        (0..self.nodes.len()).filter_map(of).collect()
+        (0..self.nodes.len()).filter_map(subject).collect()
     }
 }
--- a/crates/peerlab/src/zones.rs
+++ b/crates/peerlab/src/zones.rs
@@ -1,6 +1,7 @@
-//! Failover between zones in virtual time: the very controllers of `paddleproxy-failover` at many routers, rows and allocations that
-//! arrive late, and zones as a flow that can carry so much. What a router does by itself, completion by completion, is a
-//! model of it: who failed there passes a zone by, more and more, and sends its completions to any other.
+//! Simulates failover between zones in virtual time. Every router runs the unmodified controller of
+//! `paddleproxy-failover`; evidence rows and allocations arrive with a delay. A zone is modelled as a flow
+//! with a limited capacity. The router's own reaction to each completion is modelled too: failed dispatches
+//! raise its failure score of a zone, and with that probability it sends a completion to another zone.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -13,47 +14,55 @@
 
 const TICK_MS: f64 = 100.0;
 const LEASE_MS: f64 = 1500.0;
-/// Rows are told and allocations thought about so often, and allocations are so far apart, in ms.
+/// Interval at which rows are exchanged and allocations proposed, and the minimum time between two
+/// allocations, in ms.
 const EXCHANGE_MS: f64 = 500.0;
 const ALLOCATION_INTERVAL_MS: f64 = 2250.0;
-/// Time in which a zone that was lost warms, what it carries at first, and the time in which a router's failure_scores halves.
+/// Time in which a restored zone regains its full capacity, in ms.
 const WARM_UP_MS: f64 = 12_000.0;
+/// Share of its capacity that a restored zone has at first.
 const WARM_UP_START_SHARE: f64 = 0.3;
+/// Half-life of a router's failure score of a zone, and the increase per failed dispatch.
 const FAILURE_SCORE_HALF_LIFE_MS: f64 = 4000.0;
 const FAILURE_SCORE_STEP: f64 = 0.2;
 
-/// What befalls, from and to, in ms.
+/// A fault of a zone, of its demand or of some routers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ZoneFault {
-    /// Its workers, and its routers where so.
+    /// All workers of the zone are down; with `routers`, its routers too.
     Lost { zone: usize, routers: bool },
-    /// Its workers can't be reached from other zones.
+    /// The workers of the zone can't be reached from other zones.
     CutPath { zone: usize },
-    /// First tokens come late by so much: that share is out of target.
+    /// This share of first tokens misses the latency target.
     Slow { zone: usize, late_share: f64 },
-    /// It carries that part of what it did.
+    /// The zone has this share of its normal capacity.
     ReducedCapacity { zone: usize, capacity_share: f64 },
-    /// Comes and goes with this period.
+    /// The workers of the zone are down and up in turn, each for `every_ms`.
     Flap { zone: usize, every_ms: f64 },
-    /// Demand of one zone's sessions grows.
+    /// The demand of the zone's sessions grows by a factor.
     Burst { zone: usize, factor: f64 },
-    /// That many routers find everything dead.
+    /// The first `routers` routers report every dispatch as timed out.
     FalseReporters { routers: usize },
 }
 
 #[derive(Clone, Debug, PartialEq)]
+/// A fault and its start and end, in ms.
 pub struct ScheduledZoneFault {
     pub fault: ZoneFault,
     pub from_ms: f64,
     pub to_ms: f64,
 }
 
-/// Who decides.
+/// Who decides on failover. The names are printed in the tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecisionMode {
+    /// The routers agree on one plan.
     Common,
+    /// No failover.
     Off,
+    /// Each router plans by its own evidence.
     Alone,
+    /// Only operator commands move sessions.
     Told,
 }
 
@@ -62,11 +71,13 @@
     pub routers: usize,
     pub workers: usize,
     pub zones: usize,
-    /// Completions a second in all, and what all zones can carry, as a part of it.
+    /// Completions per second in all zones.
     pub completions_per_s: f64,
+    /// Capacity of all zones as a multiple of `completions_per_s`.
     pub capacity_factor: f64,
-    /// How late rows and allocations arrive, in ms.
+    /// Delay with which rows and allocations arrive, in ms.
     pub delay_ms: f64,
+    /// Largest change of the moved share in one plan, back to the home zone and away from it.
     pub max_step_back: f64,
     pub max_step_out: f64,
     pub duration_ms: f64,
@@ -92,41 +103,48 @@
     }
 }
 
-/// What came of it.
+/// Results of one simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Share in target before anything befell, in the first 3 s, until the last thing ended, and after.
+    /// Share of completions in target before the first fault, in its first 3 s, until the last fault ends,
+    /// and after.
     pub in_target_by_phase: [f64; 4],
-    /// Share of completions whose home stayed near, in all and before anything befell.
+    /// Share of completions whose session was not moved from its home zone, in all and before the first
+    /// fault.
     pub near_share: f64,
     pub near_share_before: f64,
-    /// Changes of the plan, and the most in any minute; times that a zone's sessions set out, at most in a minute.
+    /// Number of plan changes, in all and at most in one minute.
     pub plan_changes: usize,
     pub max_plan_changes_per_minute: usize,
+    /// How often a zone's moved share begins to grow, at most in one minute.
     pub max_departures_per_minute: usize,
-    /// Most that a zone was given by plan, as a part of what it could carry beside its own then.
+    /// Largest planned overflow into a zone, as a share of the zone's free capacity at that time.
     pub max_overflow_share: f64,
-    /// Least that a zone which nothing befell served over some 2 s, from 3 s after, as a part of before.
+    /// Lowest throughput, smoothed over about 2 s, of a zone without a fault of its own, from 3 s after the
+    /// first fault until the last ends, relative to its throughput before.
     pub min_unaffected_throughput: f64,
-    /// Share in target and share near, each second.
+    /// For each second: the time in s, the share in target, and the share that stayed in the home zone.
     pub over_time: Vec<(f64, f64, f64)>,
 }
 
 struct FailoverSimulation {
     scenario: Scenario,
     controllers: Vec<FailoverController>,
+    /// Failure score by router and zone.
     failure_scores: Vec<Vec<f64>>,
     workers: Vec<WorkerId>,
+    /// Rows and allocations on their way, with the time at which they arrive.
     rows: VecDeque<(f64, Vec<EvidenceRow>)>,
     allocations: VecDeque<(f64, u64, Vec<u8>)>,
     allocation: (u64, Vec<u8>),
     last_allocation_ms: f64,
+    /// For each zone: since when it is down, and when it last came back.
     lost_ms: Vec<Option<f64>>,
     restored_ms: Vec<f64>,
     rng: fastrand::Rng,
 }
 
-/// Plays one scenario; the same for the same seed.
+/// Simulates one scenario. The result is the same for the same seed.
 pub fn simulate(scenario: &Scenario, faults: &[ScheduledZoneFault]) -> Outcome {
     let mut simulation = FailoverSimulation::new(scenario.clone());
     simulation.run(faults)
@@ -194,25 +212,25 @@
         router % self.scenario.zones
     }
 
-    /// Whether a zone is gone now, by what is active.
+    /// Whether a zone is down at this time because of the active faults.
     fn zone_is_down(active: &[&ScheduledZoneFault], now_ms: f64, zone: usize) -> bool {
         active.iter().any(|active| match &active.fault {
-            ZoneFault::Lost { zone: of, .. } => *of == zone,
-            ZoneFault::Flap { zone: of, every_ms } => {
-                *of == zone && (((now_ms - active.from_ms) / every_ms) as u64).is_multiple_of(2)
+            ZoneFault::Lost { zone: affected, .. } => *affected == zone,
+            ZoneFault::Flap { zone: affected, every_ms } => {
+                *affected == zone && (((now_ms - active.from_ms) / every_ms) as u64).is_multiple_of(2)
             }
             _ => false,
         })
     }
 
-    /// Whether nothing befalls a zone itself.
+    /// Whether no active fault is one of the zone itself.
     fn unaffected(&self, active: &[&ScheduledZoneFault], zone: usize) -> bool {
         !active.iter().any(|active| match &active.fault {
-            ZoneFault::Lost { zone: of, .. }
-            | ZoneFault::CutPath { zone: of }
-            | ZoneFault::Slow { zone: of, .. }
-            | ZoneFault::ReducedCapacity { zone: of, .. }
-            | ZoneFault::Flap { zone: of, .. } => *of == zone,
+            ZoneFault::Lost { zone: affected, .. }
+            | ZoneFault::CutPath { zone: affected }
+            | ZoneFault::Slow { zone: affected, .. }
+            | ZoneFault::ReducedCapacity { zone: affected, .. }
+            | ZoneFault::Flap { zone: affected, .. } => *affected == zone,
             ZoneFault::Burst { .. } | ZoneFault::FalseReporters { .. } => false,
         })
     }
@@ -223,7 +241,9 @@
         let reduction: f64 = active
             .iter()
             .map(|active| match &active.fault {
-                ZoneFault::ReducedCapacity { zone: of, capacity_share } if *of == zone => *capacity_share,
+                ZoneFault::ReducedCapacity { zone: affected, capacity_share } if *affected == zone => {
+                    *capacity_share
+                }
                 _ => 1.0,
             })
             .product();
@@ -259,8 +279,12 @@
                 }
             }
             let down = |router: usize| {
-                active.iter()
-                    .any(|active| matches!(active.fault, ZoneFault::Lost { zone, routers: true } if zone == router % zones))
+                active.iter().any(|active| {
+                    matches!(
+                        active.fault,
+                        ZoneFault::Lost { zone, routers: true } if zone == router % zones
+                    )
+                })
             };
             if mode == DecisionMode::Told && faults.iter().any(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
                 for b in faults.iter().filter(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
@@ -279,7 +303,8 @@
                     }
                 }
             }
-            // Arrivals: each goes to its home, or past it, and once elsewhere where there is no room.
+            // Arrivals: each completion goes to its home zone, or to another one by the failure score; after
+            // a failure or a rejection it is retried elsewhere.
             let mut offered: Vec<Vec<(usize, usize)>> = vec![Vec::new(); zones];
             let decay = 0.5f64.powf(TICK_MS / FAILURE_SCORE_HALF_LIFE_MS);
             self.failure_scores.iter_mut().flatten().for_each(|row| *row *= decay);
@@ -312,7 +337,7 @@
                     second.2 += 1.0;
                     second.3 += f64::from(u8::from(moved_to.is_none()));
                     let home = moved_to.map_or(origin, |zone| zone.0);
-                    // Who distrusts passes it by, to any other.
+                    // Avoids the zone with the probability of the failure score.
                     let to = if self.rng.f64() < self.failure_scores[router][home] {
                         (home + 1 + self.rng.usize(..zones - 1)) % zones
                     } else {
@@ -328,7 +353,9 @@
                     let room = self.capacity_per_s(&active, now_ms, zone) * TICK_MS / 1e3;
                     let zone_down = self.lost_ms[zone].is_some();
                     let late_share = active.iter().find_map(|active| match active.fault {
-                        ZoneFault::Slow { zone: of, late_share } if of == zone => Some(late_share),
+                        ZoneFault::Slow { zone: affected, late_share } if affected == zone => {
+                            Some(late_share)
+                        }
                         _ => None,
                     });
                     let mut accepted = 0.0;
@@ -337,12 +364,18 @@
                     for (router, retry_count) in attempts {
                         let from = self.zone_of(router);
                         let cut = from != zone
-                            && active
-                                .iter()
-                                .any(|active| matches!(active.fault, ZoneFault::CutPath { zone: of } if of == zone));
-                        let reports_falsely = active
-                            .iter()
-                            .any(|active| matches!(active.fault, ZoneFault::FalseReporters { routers } if router < routers));
+                            && active.iter().any(|active| {
+                                matches!(
+                                    active.fault,
+                                    ZoneFault::CutPath { zone: affected } if affected == zone
+                                )
+                            });
+                        let reports_falsely = active.iter().any(|active| {
+                            matches!(
+                                active.fault,
+                                ZoneFault::FalseReporters { routers } if router < routers
+                            )
+                        });
                         let worker = self.random_worker_in(zone);
                         let dispatch_outcome = if zone_down || cut {
                             DispatchOutcome::TimedOut
@@ -399,7 +432,7 @@
                 outcome.over_time.push((now_ms / 1e3, share(second.0, second.1), share(second.3, second.2)));
                 second = (0.0, 0.0, 0.0, 0.0);
             }
-            // A flow a tick long: what was served in it is forgotten with it, but counted for who stands.
+            // Capacity is counted per tick: `served` is reset, the moving average keeps what is measured.
             for zone in 0..zones {
                 let mean = &mut served_mean[zone];
                 *mean += 0.05 * (served[zone] / TICK_MS * 1e3 - *mean);
@@ -472,13 +505,14 @@
         self.workers[zone + zones * self.rng.usize(..each)].clone()
     }
 
-    /// Rows go out, those of a while ago arrive, and the lowest router thinks about the next allocation.
+    /// Sends evidence rows, delivers the delayed ones, and lets the lowest running router propose the next
+    /// allocation.
     fn exchange(&mut self, now_ms: f64, mode: DecisionMode, delay_ms: f64, down: &impl Fn(usize) -> bool) {
         if mode == DecisionMode::Off {
             return;
         }
         let zones = self.scenario.zones;
-        // Mere questions are asked of every zone that somebody finds dead or whose sessions are away.
+        // Probes go to every zone that a router sees as dead or whose sessions are moved.
         for router in 0..self.scenario.routers {
             if down(router) {
                 continue;
@@ -523,7 +557,8 @@
             }
             self.controllers[first].merge_commands(now_ms, &rows);
             let before = self.allocation.1.clone();
-            // Everybody looks, since who finds what dead is asked after; the first one's look makes the allocation.
+            // Several routers make a proposal, since a router's verdicts determine its probes; only the
+            // proposal of the first router becomes the allocation.
             let running = (0..self.scenario.routers).filter(|router| !down(*router)).count();
             for router in (0..self.scenario.routers)
                 .filter(|router| !down(*router) && (*router == first || router % 10 < 2))
@@ -552,7 +587,7 @@
     }
 }
 
-/// A random combination of two or three things that befall, over each other.
+/// A random combination of two or three faults that may overlap.
 pub fn random_faults(seed: u64, zones: usize) -> Vec<ScheduledZoneFault> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let count = rng.usize(2..=3);
--- a/crates/peerlab/tests/invariants.rs
+++ b/crates/peerlab/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! What must hold at every instant, in virtual time.
+//! Invariants of the peer protocol in virtual time: granted shares never sum to more than the whole, views
+//! converge.
 
 use paddleproxy_peerlab::measure::rules;
 use paddleproxy_peerlab::{random_script, Simulation};
@@ -32,6 +33,7 @@
     }
 }
 
+/// The environment variables `FROM` and `SCRIPTS` select the seeds.
 #[test]
 fn random_scripts_violate_no_invariant() {
     let count = std::env::var("SCRIPTS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
@@ -65,14 +67,14 @@
     assert!(sim.violations.is_empty(), "{:?}", sim.violations);
 }
 
-/// `DEPTH` and `STATES` go further; the first figures here take some seconds.
+/// The environment variables `DEPTH` and `STATES` extend the enumeration; the defaults take some seconds.
 #[test]
 fn every_order_of_events_at_three_routers_keeps_the_share_sum_at_most_one() {
     let env_number =
         |name: &str, default: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default);
     let (depth, max_states) = (env_number("DEPTH", 4), env_number("STATES", 20_000));
     let mut largest = 0.0f64;
-    // From just before, within and after the first page, and from a calm fleet.
+    // Starts just before, during and after the first allocation, and in a stable cluster.
     for warmup_ms in [400.0, 2000.0, 2400.0, 3000.0, 3800.0, 5000.0, 9000.0] {
         let found =
             paddleproxy_peerlab::enumerate::enumerate(&rules(), warmup_ms, depth as usize, max_states);
