--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -145,7 +145,7 @@
         let names: Vec<String> = self.fleet.names().cloned().collect();
         let silent = |silent: bool| {
             names.iter().for_each(|name| {
-                self.fleet.server(name).unwrap().befalls(|befalls| befalls.silent = silent);
+                self.fleet.server(name).unwrap().change_model_faults(|faults| faults.silent = silent);
             });
         };
         silent(true);
--- a/crates/day/src/stage.rs
+++ b/crates/day/src/stage.rs
@@ -299,6 +299,6 @@
             ways.insert((router, real.to_string()), relay.to_string());
         }
     }
-    *fleet.shared.list.ways.borrow_mut() = ways;
+    *fleet.shared.list.address_overrides.borrow_mut() = ways;
     Ok(())
 }
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -48,25 +48,27 @@
                 stage.fleet.kill(name, *how).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = true)),
-        What::Slow { servers, factor } => each(stage, servers, |s| s.befalls(|t| t.slow = *factor)),
+        What::Silent { servers } => each(stage, servers, |s| s.change_model_faults(|t| t.silent = true)),
+        What::Slow { servers, factor } => {
+            each(stage, servers, |s| s.change_model_faults(|t| t.slow = *factor))
+        }
         What::Ageing { servers, factor } => {
-            each(stage, servers, |s| s.befalls(|t| t.ageing = Some((now_ms, *factor))))
+            each(stage, servers, |s| s.change_model_faults(|t| t.ageing = Some((now_ms, *factor))))
         }
         What::Erring { servers, share, model } => each(stage, servers, |s| {
-            s.change_trouble(|t| (t.erring, t.erring_model) = (*share, model.clone()));
+            s.change_response_faults(|t| (t.erring, t.erring_model) = (*share, model.clone()));
         }),
         What::AnswerLost { servers, share } => {
-            each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = *share))
+            each(stage, servers, |s| s.change_response_faults(|t| t.answer_lost = *share))
         }
         What::Pausing { servers, pause_ms, every_ms } => {
-            each(stage, servers, |s| s.befalls(|t| t.pausing = Some((*pause_ms, *every_ms))));
+            each(stage, servers, |s| s.change_model_faults(|t| t.pausing = Some((*pause_ms, *every_ms))));
         }
         What::Flush { servers } => {
             servers.iter().filter_map(|name| stage.fleet.server(name)).for_each(|server| server.flush());
         }
         What::Drain { servers, notice_ms } => {
-            each(stage, servers, |s| s.befalls(|t| t.draining = true));
+            each(stage, servers, |s| s.change_model_faults(|t| t.draining = true));
             servers
                 .iter()
                 .filter_map(|name| stage.fleet.server(name))
@@ -87,9 +89,9 @@
                 stage.kill_router(router).await;
             }
         }
-        What::ListBehind { by_ms } => stage.fleet.shared.list.behind_ms.set(*by_ms),
+        What::ListBehind { by_ms } => stage.fleet.shared.list.extra_delay_ms.set(*by_ms),
         What::ListDown => stage.fleet.shared.list.down.set(true),
-        What::ListLies { share } => stage.fleet.shared.list.anew(*share),
+        What::ListLies { share } => stage.fleet.shared.list.restart_omitting(*share),
         What::RouterKilled { router } => stage.kill_router(*router).await,
         What::RouterStopped { router } => stage.stop_router(*router).await,
         What::Ramp { key, factor } => {
@@ -107,7 +109,7 @@
 async fn end(stage: &Rc<Stage>, trouble: &Trouble) {
     let back = |servers: Vec<String>, as_new: bool| async move {
         for name in servers {
-            if let Err(cause) = stage.fleet.back(&name, as_new).await {
+            if let Err(cause) = stage.fleet.restart(&name, as_new).await {
                 stage.fail(format!("{cause:#}"));
             }
         }
@@ -121,21 +123,25 @@
                 stage.start_router(router).await;
             }
         }
-        What::Silent { servers } => each(stage, servers, |s| s.befalls(|t| t.silent = false)),
-        What::Slow { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.slow = 1.0)),
-        What::Ageing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.ageing = None)),
-        What::Erring { servers, .. } => each(stage, servers, |s| s.change_trouble(|t| t.erring = 0.0)),
+        What::Silent { servers } => each(stage, servers, |s| s.change_model_faults(|t| t.silent = false)),
+        What::Slow { servers, .. } => each(stage, servers, |s| s.change_model_faults(|t| t.slow = 1.0)),
+        What::Ageing { servers, .. } => each(stage, servers, |s| s.change_model_faults(|t| t.ageing = None)),
+        What::Erring { servers, .. } => {
+            each(stage, servers, |s| s.change_response_faults(|t| t.erring = 0.0))
+        }
         What::AnswerLost { servers, .. } => {
-            each(stage, servers, |s| s.change_trouble(|t| t.answer_lost = 0.0))
+            each(stage, servers, |s| s.change_response_faults(|t| t.answer_lost = 0.0))
+        }
+        What::Pausing { servers, .. } => {
+            each(stage, servers, |s| s.change_model_faults(|t| t.pausing = None))
         }
-        What::Pausing { servers, .. } => each(stage, servers, |s| s.befalls(|t| t.pausing = None)),
         What::Flush { .. } => {}
         What::Links { cell, .. } => {
             stage.fleet.shared.links.slow(*cell, 1.0);
         }
-        What::ListBehind { .. } => stage.fleet.shared.list.behind_ms.set(0.0),
+        What::ListBehind { .. } => stage.fleet.shared.list.extra_delay_ms.set(0.0),
         What::ListDown => stage.fleet.shared.list.down.set(false),
-        What::ListLies { .. } => stage.fleet.shared.list.anew(0.0),
+        What::ListLies { .. } => stage.fleet.shared.list.restart_omitting(0.0),
         What::RouterKilled { router } | What::RouterStopped { router } => stage.start_router(*router).await,
         What::Ramp { .. } => *stage.mood.ramp.borrow_mut() = None,
         What::Burst { .. } => *stage.mood.burst.borrow_mut() = None,
--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -20,20 +20,20 @@
 use tokio::task::JoinSet;
 
 use crate::record::What;
-use crate::server::{Asker, Heard, Server};
+use crate::server::{DispatchEvent, DispatchGuard, Server};
 
 /// Largest body that a stand-in reads.
-const BODY_BYTES: usize = 64 << 20;
+const MAX_BODY_BYTES: usize = 64 << 20;
 
 /// The open connections and running work of one server's process.
 pub type Tasks = Rc<RefCell<JoinSet<()>>>;
 
-pub enum Reply {
+pub enum ResponseBody {
     Whole(Option<Bytes>),
-    Pieces(mpsc::Receiver<Bytes>, Option<Open>),
+    Chunks(mpsc::Receiver<Bytes>, Option<OpenDispatch>),
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = std::io::Error;
 
@@ -42,23 +42,23 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
-            Reply::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            // An empty piece stands for an answer that breaks off.
-            Reply::Pieces(pieces, _) => pieces.poll_recv(cx).map(|piece| match piece {
-                Some(bytes) if bytes.is_empty() => Some(Err(std::io::Error::other("broken off"))),
-                piece => piece.map(|bytes| Ok(Frame::data(bytes))),
+            ResponseBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            // An empty chunk stands for an answer that breaks off.
+            ResponseBody::Chunks(chunks, _) => chunks.poll_recv(cx).map(|chunk| match chunk {
+                Some(bytes) if bytes.is_empty() => Some(Err(std::io::Error::other("response aborted"))),
+                chunk => chunk.map(|bytes| Ok(Frame::data(bytes))),
             }),
         }
     }
 }
 
 /// Notes when a dispatch's connection is done with it.
-pub struct Open {
+pub struct OpenDispatch {
     server: Rc<Server>,
     request: String,
 }
 
-impl Drop for Open {
+impl Drop for OpenDispatch {
     fn drop(&mut self) {
         self.server
             .record(What::Ended { server: self.server.name(), request: std::mem::take(&mut self.request) });
@@ -72,7 +72,7 @@
         let Ok((stream, _)) = listener.accept().await else { continue };
         let mut set = tasks.borrow_mut();
         while set.try_join_next().is_some() {}
-        if server.kind().connections.is_some_and(|most| Rc::strong_count(&open) > most) {
+        if server.kind().connections.is_some_and(|max| Rc::strong_count(&open) > max) {
             continue;
         }
         let (server, tasks, open) = (server.clone(), tasks.clone(), open.clone());
@@ -87,78 +87,82 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let (server, tasks) = (server.clone(), tasks.clone());
-        async move { answer(server, tasks, request).await.map_err(|()| std::io::Error::other("broken off")) }
+        async move { answer(server, tasks, request).await.map_err(|()| std::io::Error::other("response aborted")) }
     });
     let builder = hyper::server::conn::http1::Builder::new();
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
 }
 
-fn json(server: &Server, status: u16, body: String) -> Response<Reply> {
+fn json(server: &Server, status: u16, body: String) -> Response<ResponseBody> {
     let built = Response::builder()
         .status(status)
         .header("content-type", "application/json")
         .header(LOAD_HEADER, server.load().to_header())
-        .body(Reply::Whole(Some(Bytes::from(body))));
-    built.unwrap_or_else(|_| Response::new(Reply::Whole(None)))
+        .body(ResponseBody::Whole(Some(Bytes::from(body))));
+    built.unwrap_or_else(|_| Response::new(ResponseBody::Whole(None)))
 }
 
-fn turned(server: &Server, request: &str, refusal: Refusal) -> Response<Reply> {
+fn rejected(server: &Server, request: &str, refusal: Refusal) -> Response<ResponseBody> {
     let (name, code) = (server.name(), refusal.code().to_owned());
     server.record(What::Turned { server: name, request: request.to_owned(), code });
     json(server, refusal.status(), refusal.body())
 }
 
 /// An `Err` breaks the connection.
-async fn answer(server: Rc<Server>, tasks: Tasks, request: Request<Incoming>) -> Result<Response<Reply>, ()> {
+async fn answer(
+    server: Rc<Server>,
+    tasks: Tasks,
+    request: Request<Incoming>,
+) -> Result<Response<ResponseBody>, ()> {
     let (head, body) = request.into_parts();
-    let body = Limited::new(body, BODY_BYTES).collect().await.map_err(|_| ())?.to_bytes();
-    let text =
+    let body = Limited::new(body, MAX_BODY_BYTES).collect().await.map_err(|_| ())?.to_bytes();
+    let header =
         |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned();
-    let wrong =
+    let bad_request =
         |server: &Server| json(server, 400, error_body("invalid_request_error", "not understood", None));
     if server.silent() && head.uri.path() != COMPLETIONS {
         std::future::pending::<()>().await;
     }
     Ok(match head.uri.path() {
         COMPLETIONS => {
-            let Ok(asked) = serde_json::from_slice::<CompletionRequest>(&body) else {
-                return Ok(wrong(&server));
+            let Ok(request) = serde_json::from_slice::<CompletionRequest>(&body) else {
+                return Ok(bad_request(&server));
             };
-            let names = Names {
-                request: text(REQUEST_ID),
-                client: text(CLIENT_REQUEST_ID),
-                key: text(IDEMPOTENCY_KEY),
+            let ids = RequestIds {
+                request: header(REQUEST_ID),
+                client: header(CLIENT_REQUEST_ID),
+                key: header(IDEMPOTENCY_KEY),
             };
-            return completion(server, tasks, asked, names).await;
+            return completion(server, tasks, request, ids).await;
         }
         PROBE => {
-            server.presses(0.3);
+            server.record_work(0.3);
             json(&server, 200, "{}".into())
         }
         RELEASE => match serde_json::from_slice::<ReleaseRequest>(&body) {
-            Ok(asked) => {
-                server.release(&asked.request_id);
+            Ok(request) => {
+                server.release(&request.request_id);
                 json(&server, 200, "{}".into())
             }
-            Err(_) => wrong(&server),
+            Err(_) => bad_request(&server),
         },
         HOLD => match serde_json::from_slice::<HoldRequest>(&body) {
-            Ok(asked) => {
-                let held = server.hold(&asked.request_id, asked.tokens as f64);
+            Ok(request) => {
+                let held = server.hold(&request.request_id, request.tokens as f64);
                 json(&server, 200, serde_json::to_string(&HoldReply { held }).unwrap_or_default())
             }
-            Err(_) => wrong(&server),
+            Err(_) => bad_request(&server),
         },
         TAKE => match serde_json::from_slice::<TakeRequest>(&body) {
-            Ok(asked) => take(&server, asked.block, &text("x-cell")).await,
-            Err(_) => wrong(&server),
+            Ok(request) => take(&server, request.block, &header("x-cell")).await,
+            Err(_) => bad_request(&server),
         },
         _ => json(&server, 404, error_body("not_found", "no such path", None)),
     })
 }
 
 /// Moves a state over the links, after which it is let go here.
-async fn take(server: &Rc<Server>, block: u64, cell: &str) -> Response<Reply> {
+async fn take(server: &Rc<Server>, block: u64, cell: &str) -> Response<ResponseBody> {
     let Some(tokens) = server.begin_move(block) else {
         return json(server, 404, error_body("not_found", "no such state", None));
     };
@@ -181,7 +185,7 @@
     response.status().is_success().then_some(())
 }
 
-struct Names {
+struct RequestIds {
     request: String,
     client: String,
     key: String,
@@ -190,83 +194,83 @@
 async fn completion(
     server: Rc<Server>,
     tasks: Tasks,
-    asked: CompletionRequest,
-    names: Names,
-) -> Result<Response<Reply>, ()> {
+    request: CompletionRequest,
+    ids: RequestIds,
+) -> Result<Response<ResponseBody>, ()> {
     let arrived_ms = server.now_ms();
-    let reference = asked.kv_transfer_params.clone().filter(|state| state.do_remote_prefill);
-    let answer = Answer::of(&asked);
-    let (work, work_ms) = server.work(&asked.prompt, answer.words.len() as u32, reference.is_some());
+    let reference = request.kv_transfer_params.clone().filter(|state| state.do_remote_prefill);
+    let answer = Answer::of(&request);
+    let (work, work_ms) = server.work(&request.prompt, answer.words.len() as u32, reference.is_some());
     let tokens = work.tokens;
-    let open = Open { server: server.clone(), request: names.request.clone() };
+    let open = OpenDispatch { server: server.clone(), request: ids.request.clone() };
     server.record(What::Dispatch {
         server: server.name(),
-        request: names.request.clone(),
-        client: names.client.clone(),
-        model: asked.model.clone(),
+        request: ids.request.clone(),
+        client: ids.client.clone(),
+        model: request.model.clone(),
         work_ms,
         writes: server.kind().role != Role::Reader,
     });
-    if server.presses(work_ms) {
+    if server.record_work(work_ms) {
         server.record(What::FellOver { server: server.name() });
     }
     if server.silent() {
         std::future::pending::<()>().await;
     }
-    let trouble = server.trouble();
-    let of_model = trouble.erring_model.as_ref().is_none_or(|model| *model == asked.model);
-    if of_model && server.shared.by_chance(trouble.erring) {
+    let faults = server.response_faults();
+    let affects_model = faults.erring_model.as_ref().is_none_or(|model| *model == request.model);
+    if affects_model && server.shared.with_probability(faults.erring) {
         return Ok(json(&server, 500, error_body("server_error", "it failed", None)));
     }
-    let (asker, mut heard) = match server.arrive(&names.request, work) {
-        Ok(taken) => taken,
-        Err(refusal) => return Ok(turned(&server, &names.request, refusal)),
+    let (guard, mut events) = match server.arrive(&ids.request, work) {
+        Ok(accepted) => accepted,
+        Err(refusal) => return Ok(rejected(&server, &ids.request, refusal)),
     };
     // None once the server's process has ended.
-    while let Some(done) = heard.recv().await {
-        match done {
-            Heard::Fetch => {
+    while let Some(event) = events.recv().await {
+        match event {
+            DispatchEvent::Fetch => {
                 let (server, reference) = (server.clone(), reference.clone());
-                let (start, id) = (asker.start, asker.id);
+                let (start, id) = (guard.start, guard.id);
                 tasks.borrow_mut().spawn_local(async move {
-                    let there = match &reference {
+                    let available = match &reference {
                         Some(reference) => fetch(&server, reference).await.is_some(),
                         None => false,
                     };
-                    server.fetched(start, id, there);
+                    server.fetched(start, id, available);
                 });
             }
-            Heard::Refused(refusal) => return Ok(turned(&server, &names.request, refusal)),
-            Heard::Read { kept } => {
+            DispatchEvent::Refused(refusal) => return Ok(rejected(&server, &ids.request, refusal)),
+            DispatchEvent::Read { cached } => {
                 let state = StateReference {
                     do_remote_prefill: true,
                     remote_engine_id: Some(server.name()),
-                    remote_block_ids: Some(vec![asker.id]),
+                    remote_block_ids: Some(vec![guard.id]),
                     remote_host: Some(server.address.get().ip().to_string()),
                     remote_port: Some(server.address.get().port()),
                     ..StateReference::default()
                 };
-                let usage = Some(usage(tokens, kept, 1));
+                let usage = Some(usage(tokens, cached, 1));
                 let choices = vec![Choice::default()];
-                let done =
-                    Completion { id: names.request.clone(), choices, usage, kv_transfer_params: Some(state) };
+                let completion =
+                    Completion { id: ids.request.clone(), choices, usage, kv_transfer_params: Some(state) };
                 drop(open);
-                return Ok(json(&server, 200, serde_json::to_string(&done).unwrap_or_default()));
+                return Ok(json(&server, 200, serde_json::to_string(&completion).unwrap_or_default()));
             }
-            Heard::First { kept } => {
-                server.effect(&names.request, &names.key, &asked.model, arrived_ms);
-                let lost = server.shared.by_chance(trouble.answer_lost);
-                let (sender, pieces) = mpsc::channel(8);
-                let usage = usage(tokens, kept, answer.words.len() as u64);
-                let writer = write(asker, heard, sender, usage, names.request, lost, answer);
+            DispatchEvent::First { cached } => {
+                server.effect(&ids.request, &ids.key, &request.model, arrived_ms);
+                let lost = server.shared.with_probability(faults.answer_lost);
+                let (sender, chunks) = mpsc::channel(8);
+                let usage = usage(tokens, cached, answer.words.len() as u64);
+                let writer = write(guard, events, sender, usage, ids.request, lost, answer);
                 tasks.borrow_mut().spawn_local(writer);
                 let built = Response::builder()
                     .header("content-type", "text/event-stream")
                     .header(LOAD_HEADER, server.load().to_header())
-                    .body(Reply::Pieces(pieces, Some(open)));
+                    .body(ResponseBody::Chunks(chunks, Some(open)));
                 return built.map_err(|_| ());
             }
-            Heard::Token | Heard::Finished => {}
+            DispatchEvent::Token | DispatchEvent::Finished => {}
         }
     }
     Err(())
@@ -279,8 +283,8 @@
 }
 
 impl Answer {
-    fn of(asked: &CompletionRequest) -> Answer {
-        let (mut words, stop_reason) = words(answer_length(asked), &asked.stop);
+    fn of(request: &CompletionRequest) -> Answer {
+        let (mut words, stop_reason) = words(answer_length(request), &request.stop);
         if words.is_empty() {
             // One token stands for the end alone.
             words.push(String::new());
@@ -299,9 +303,9 @@
 }
 
 async fn write(
-    asker: Asker,
-    mut heard: mpsc::Receiver<Heard>,
-    pieces: mpsc::Sender<Bytes>,
+    guard: DispatchGuard,
+    mut events: mpsc::Receiver<DispatchEvent>,
+    chunks: mpsc::Sender<Bytes>,
     usage: Usage,
     id: String,
     lost: bool,
@@ -311,27 +315,27 @@
     let event =
         |chunk: &Completion| format!("data: {}\n\n", serde_json::to_string(chunk).unwrap_or_default());
     let mut words = answer.words.into_iter();
-    // Before it hears of more, it has heard of the first.
-    let mut next = Some(Heard::Token);
-    while let Some(Heard::Token) = next {
+    // Before it hears of more, it has events of the first.
+    let mut next = Some(DispatchEvent::Token);
+    while let Some(DispatchEvent::Token) = next {
         let text = words.next().unwrap_or_default();
         chunk.choices = vec![Choice { text, ..Choice::default() }];
-        if !lost && pieces.send(Bytes::from(event(&chunk))).await.is_err() {
+        if !lost && chunks.send(Bytes::from(event(&chunk))).await.is_err() {
             return;
         }
         next = tokio::select! {
-            next = heard.recv() => next,
-            _ = pieces.closed() => return,
+            next = events.recv() => next,
+            _ = chunks.closed() => return,
         };
     }
     if next.is_none() {
         // The process ended in the middle.
-        let _ = pieces.send(Bytes::new()).await;
+        let _ = chunks.send(Bytes::new()).await;
         return;
     }
-    drop(asker);
+    drop(guard);
     if lost {
-        let _ = pieces.send(Bytes::new()).await;
+        let _ = chunks.send(Bytes::new()).await;
         return;
     }
     let stop_reason = answer.stop_reason;
@@ -340,23 +344,23 @@
     (chunk.choices, chunk.usage) = (Vec::new(), Some(usage));
     last.push_str(&event(&chunk));
     last.push_str("data: [DONE]\n\n");
-    let _ = pieces.send(Bytes::from(last)).await;
+    let _ = chunks.send(Bytes::from(last)).await;
 }
 
-fn usage(tokens: f64, kept: f64, written: u64) -> Usage {
+fn usage(tokens: f64, cached: f64, completion_tokens: u64) -> Usage {
     Usage {
         prompt_tokens: tokens as u64,
-        completion_tokens: written,
-        prompt_tokens_details: Some(PromptDetails { cached_tokens: kept as u64 }),
+        completion_tokens,
+        prompt_tokens_details: Some(PromptDetails { cached_tokens: cached as u64 }),
     }
 }
 
 /// The true length of an answer: from half of what is allowed to all, by its prompt.
-fn answer_length(asked: &CompletionRequest) -> u64 {
-    let most = u64::from(asked.max_tokens).max(1);
-    let draw =
-        asked.prompt.bytes().rev().take(64).fold(7u64, |sum, byte| sum.wrapping_mul(31) + u64::from(byte));
-    (most / 2 + draw % (most / 2 + 1)).max(1)
+fn answer_length(request: &CompletionRequest) -> u64 {
+    let max = u64::from(request.max_tokens).max(1);
+    let hash =
+        request.prompt.bytes().rev().take(64).fold(7u64, |sum, byte| sum.wrapping_mul(31) + u64::from(byte));
+    (max / 2 + hash % (max / 2 + 1)).max(1)
 }
 
 /// The list service's port.
@@ -372,17 +376,17 @@
                 let list = list.clone();
                 async move {
                     if list.down.get() {
-                        return Err(std::io::Error::other("down"));
+                        return Err(std::io::Error::other("list service is down"));
                     }
                     let query = request.uri().query().unwrap_or("").to_owned();
-                    let part = |name: &str| {
+                    let parameter = |name: &str| {
                         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
                         pairs.filter(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).next()
                     };
-                    let router = part("router").and_then(|text| text.parse().ok()).unwrap_or(0);
-                    let wait_ms = part("wait_ms").and_then(|text| text.parse().ok()).unwrap_or(0.0);
-                    let after = part("after").and_then(|text| text.parse().ok());
-                    let epoch = part("epoch").and_then(|text| text.parse().ok()).unwrap_or(0);
+                    let router = parameter("router").and_then(|text| text.parse().ok()).unwrap_or(0);
+                    let wait_ms = parameter("wait_ms").and_then(|text| text.parse().ok()).unwrap_or(0.0);
+                    let after = parameter("after").and_then(|text| text.parse().ok());
+                    let epoch = parameter("epoch").and_then(|text| text.parse().ok()).unwrap_or(0);
                     let answer = list.poll(router, epoch, after, wait_ms).await;
                     let body = serde_json::to_vec(&answer).unwrap_or_default();
                     Ok::<_, std::io::Error>(Response::new(Full::new(Bytes::from(body))))
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -25,16 +25,16 @@
 use crate::server::{Server, Shared};
 
 /// A server with its sockets.
-struct Post {
+struct ServerProcess {
     server: Rc<Server>,
     tasks: Tasks,
-    listening: RefCell<Option<JoinHandle<()>>>,
+    listener_task: RefCell<Option<JoinHandle<()>>>,
 }
 
 pub struct Fleet {
     pub shared: Rc<Shared>,
     pub list_address: SocketAddr,
-    posts: BTreeMap<String, Post>,
+    processes: BTreeMap<String, ServerProcess>,
 }
 
 /// Opens a listening socket that may be taken over right after its process ended.
@@ -58,88 +58,97 @@
         let list = ListService::new(record.clone(), settings.list_delay_ms, settings.list_hold_ms);
         tokio::task::spawn_local(http::listen_list(list.clone(), listener));
         let shared = Rc::new(Shared::new(settings, record, list.clone()));
-        let net = fastrand::Rng::with_seed(u64::from(std::process::id()) ^ u64::from(list_address.port()))
+        let subnet = fastrand::Rng::with_seed(u64::from(std::process::id()) ^ u64::from(list_address.port()))
             .u8(2..250);
-        let mut posts = BTreeMap::new();
+        let mut processes = BTreeMap::new();
         for (row, server) in shared.settings.servers.iter().enumerate() {
-            let ip = Ipv4Addr::new(127, net, (row / 200) as u8, (row % 200 + 1) as u8);
+            let ip = Ipv4Addr::new(127, subnet, (row / 200) as u8, (row % 200 + 1) as u8);
             let listener =
                 bind(SocketAddr::from((ip, 0)), 1024).with_context(|| format!("listening on {ip}"))?;
             let server = Server::new(shared.clone(), server.clone(), listener.local_addr()?);
             let tasks: Tasks = Rc::new(RefCell::new(JoinSet::new()));
-            let listening = tokio::task::spawn_local(http::listen(server.clone(), listener, tasks.clone()));
-            server.begin(false);
+            let listener_task =
+                tokio::task::spawn_local(http::listen(server.clone(), listener, tasks.clone()));
+            server.start_process(false);
             tokio::task::spawn_local(server.clone().run());
-            let post = Post { server: server.clone(), tasks, listening: RefCell::new(Some(listening)) };
-            posts.insert(server.row.name.clone(), post);
+            let process = ServerProcess {
+                server: server.clone(),
+                tasks,
+                listener_task: RefCell::new(Some(listener_task)),
+            };
+            processes.insert(server.row.name.clone(), process);
         }
-        list.settle();
-        Ok(Fleet { shared, list_address, posts })
+        list.publish_all();
+        Ok(Fleet { shared, list_address, processes })
     }
 
     /// A server by its first name.
     pub fn server(&self, name: &str) -> Option<&Rc<Server>> {
-        self.posts.get(name).map(|post| &post.server)
+        self.processes.get(name).map(|process| &process.server)
     }
 
     pub fn names(&self) -> impl Iterator<Item = &String> {
-        self.posts.keys()
+        self.processes.keys()
     }
 
     pub fn in_zone(&self, zone: &str) -> Vec<String> {
-        let inside = self.posts.iter().filter(|(_, post)| post.server.row.zone == zone);
+        let inside = self.processes.iter().filter(|(_, process)| process.server.row.zone == zone);
         inside.map(|(name, _)| name.clone()).collect()
     }
 
     /// A server's process ends; the list hears of it as late as of anything.
-    pub async fn kill(&self, name: &str, how: Dead) {
-        let Some(post) = self.posts.get(name) else { return };
-        if !post.server.up.get() {
+    pub async fn kill(&self, name: &str, failure: Dead) {
+        let Some(process) = self.processes.get(name) else { return };
+        if !process.server.up.get() {
             return;
         }
-        let listening = post.listening.borrow_mut().take();
-        listening.iter().for_each(JoinHandle::abort);
-        post.server.end();
-        post.tasks.borrow_mut().abort_all();
-        post.server.list("gone");
+        let listener_task = process.listener_task.borrow_mut().take();
+        listener_task.iter().for_each(JoinHandle::abort);
+        process.server.end_process();
+        process.tasks.borrow_mut().abort_all();
+        process.server.list("gone");
         // The listener goes with its task; its address is free once that has ended.
-        if let Some(listening) = listening {
-            let _ = listening.await;
+        if let Some(listener_task) = listener_task {
+            let _ = listener_task.await;
         }
-        let address = post.server.address.get();
-        let dead = match how {
+        let address = process.server.address.get();
+        let listener_task = match failure {
             Dead::Refuse => None,
-            Dead::Reset => bind(address, 64).ok().map(|listener| tokio::task::spawn_local(reset(listener))),
+            Dead::Reset => {
+                bind(address, 64).ok().map(|listener| tokio::task::spawn_local(reset_connections(listener)))
+            }
             // A full backlog that nobody takes from: connections are never made.
             Dead::Unreachable => {
-                bind(address, 0).ok().map(|listener| tokio::task::spawn_local(fill(listener)))
+                bind(address, 0).ok().map(|listener| tokio::task::spawn_local(fill_backlog(listener)))
             }
         };
-        *post.listening.borrow_mut() = dead;
+        *process.listener_task.borrow_mut() = listener_task;
     }
 
     /// A new process at the same place: cold, and under another name if wanted.
-    pub async fn back(&self, name: &str, as_new: bool) -> Result<()> {
-        let Some(post) = self.posts.get(name).filter(|post| !post.server.up.get()) else { return Ok(()) };
-        let listening = post.listening.borrow_mut().take();
-        if let Some(listening) = listening {
-            listening.abort();
-            let _ = listening.await;
+    pub async fn restart(&self, name: &str, as_new: bool) -> Result<()> {
+        let Some(process) = self.processes.get(name).filter(|process| !process.server.up.get()) else {
+            return Ok(());
+        };
+        let listener_task = process.listener_task.borrow_mut().take();
+        if let Some(listener_task) = listener_task {
+            listener_task.abort();
+            let _ = listener_task.await;
         }
         if as_new {
-            let next = format!("{name}-{}", post.server.start.get());
-            *post.server.name.borrow_mut() = next;
+            let new_name = format!("{name}-{}", process.server.start.get());
+            *process.server.name.borrow_mut() = new_name;
         }
-        let address = post.server.address.get();
-        let listener = bind(address, 1024).with_context(|| format!("{name} back on {address}"))?;
-        let task = http::listen(post.server.clone(), listener, post.tasks.clone());
-        *post.listening.borrow_mut() = Some(tokio::task::spawn_local(task));
-        post.server.begin(true);
+        let address = process.server.address.get();
+        let listener = bind(address, 1024).with_context(|| format!("restarting {name} on {address}"))?;
+        let task = http::listen(process.server.clone(), listener, process.tasks.clone());
+        *process.listener_task.borrow_mut() = Some(tokio::task::spawn_local(task));
+        process.server.start_process(true);
         Ok(())
     }
 }
 
-async fn reset(listener: TcpListener) {
+async fn reset_connections(listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
             let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
@@ -147,13 +156,13 @@
     }
 }
 
-async fn fill(listener: TcpListener) {
+async fn fill_backlog(listener: TcpListener) {
     let Ok(address) = listener.local_addr() else { return };
-    let mut kept = Vec::new();
+    let mut streams = Vec::new();
     for _ in 0..4 {
         let stream =
             tokio::time::timeout(std::time::Duration::from_millis(50), TcpStream::connect(address)).await;
-        kept.extend(stream.ok().and_then(Result::ok));
+        streams.extend(stream.ok().and_then(Result::ok));
     }
     std::future::pending::<()>().await;
 }
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -11,9 +11,9 @@
 use crate::record::Record;
 
 /// Inside a cell, or out of it.
-type Which = (u32, bool);
+type LinkKey = (u32, bool);
 
-struct Wire {
+struct SharedLink {
     link: Link,
     done: BTreeSet<u64>,
     changed: Rc<Notify>,
@@ -23,50 +23,56 @@
     record: Record,
     near_tokens_per_s: f64,
     far_tokens_per_s: f64,
-    wires: RefCell<BTreeMap<Which, Wire>>,
-    next: Cell<u64>,
+    links_by_key: RefCell<BTreeMap<LinkKey, SharedLink>>,
+    next_id: Cell<u64>,
 }
 
 impl Links {
     pub fn new(record: Record, near_tokens_per_s: f64, far_tokens_per_s: f64) -> Self {
-        Links { record, near_tokens_per_s, far_tokens_per_s, wires: RefCell::default(), next: Cell::new(0) }
+        Links {
+            record,
+            near_tokens_per_s,
+            far_tokens_per_s,
+            links_by_key: RefCell::default(),
+            next_id: Cell::new(0),
+        }
     }
 
-    fn on<T>(&self, which: Which, act: impl FnOnce(&mut Wire, f64) -> T) -> T {
-        let rate = if which.1 { self.near_tokens_per_s } else { self.far_tokens_per_s };
-        let mut wires = self.wires.borrow_mut();
-        let wire = wires.entry(which).or_insert_with(|| Wire {
+    fn with_link<T>(&self, key: LinkKey, update: impl FnOnce(&mut SharedLink, f64) -> T) -> T {
+        let rate = if key.1 { self.near_tokens_per_s } else { self.far_tokens_per_s };
+        let mut links_by_key = self.links_by_key.borrow_mut();
+        let shared = links_by_key.entry(key).or_insert_with(|| SharedLink {
             link: Link::new(rate),
             done: BTreeSet::new(),
             changed: Rc::default(),
         });
-        act(wire, self.record.now_ms())
+        update(shared, self.record.now_ms())
     }
 
     /// Makes both links of a cell slower by a factor.
     pub fn slow(&self, cell: u32, factor: f64) {
         for near in [true, false] {
-            self.on((cell, near), |wire, now_ms| {
-                wire.link.set_slow(now_ms, factor);
-                wire.changed.notify_waiters();
+            self.with_link((cell, near), |shared, now_ms| {
+                shared.link.set_slow(now_ms, factor);
+                shared.changed.notify_waiters();
             });
         }
     }
 
     /// Passes once so many tokens went over the link of a cell, shared evenly with all else on it.
     pub async fn transfer(&self, cell: u32, near: bool, tokens: f64) {
-        let id = self.next.replace(self.next.get() + 1);
-        let which = (cell, near);
-        let changed = self.on(which, |wire, now_ms| {
-            wire.link.begin(now_ms, id, tokens);
-            wire.changed.notify_waiters();
-            wire.changed.clone()
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let key = (cell, near);
+        let changed = self.with_link(key, |shared, now_ms| {
+            shared.link.begin(now_ms, id, tokens);
+            shared.changed.notify_waiters();
+            shared.changed.clone()
         });
-        let transfer = Transfer { links: self, which, id };
+        let transfer = Transfer { links: self, key, id };
         loop {
             let notified = changed.notified();
-            let next_ms = self.on(which, |wire, _| wire.link.next_ms());
-            let Some(next_ms) = next_ms.filter(|_| !self.ended(which, id)) else { break };
+            let next_ms = self.with_link(key, |shared, _| shared.link.next_ms());
+            let Some(next_ms) = next_ms.filter(|_| !self.ended(key, id)) else { break };
             tokio::select! {
                 _ = sleep_until(self.record.at(next_ms)) => {}
                 _ = notified => {}
@@ -75,14 +81,14 @@
         drop(transfer);
     }
 
-    fn ended(&self, which: Which, id: u64) -> bool {
-        self.on(which, |wire, now_ms| {
-            let ended = wire.link.ended(now_ms);
+    fn ended(&self, key: LinkKey, id: u64) -> bool {
+        self.with_link(key, |shared, now_ms| {
+            let ended = shared.link.ended(now_ms);
             if !ended.is_empty() {
-                wire.done.extend(ended);
-                wire.changed.notify_waiters();
+                shared.done.extend(ended);
+                shared.changed.notify_waiters();
             }
-            wire.done.contains(&id)
+            shared.done.contains(&id)
         })
     }
 }
@@ -90,16 +96,16 @@
 /// Leaves the link when done or when nobody waits for it any more.
 struct Transfer<'a> {
     links: &'a Links,
-    which: Which,
+    key: LinkKey,
     id: u64,
 }
 
 impl Drop for Transfer<'_> {
     fn drop(&mut self) {
-        self.links.on(self.which, |wire, now_ms| {
-            if !wire.done.remove(&self.id) {
-                wire.link.cancel(now_ms, self.id);
-                wire.changed.notify_waiters();
+        self.links.with_link(self.key, |shared, now_ms| {
+            if !shared.done.remove(&self.id) {
+                shared.link.cancel(now_ms, self.id);
+                shared.changed.notify_waiters();
             }
         });
     }
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -20,20 +20,20 @@
     record: Record,
     epoch: Cell<u64>,
     /// Share of the servers that it leaves out.
-    lies: Cell<f64>,
+    omitted_share: Cell<f64>,
     delay_ms: f64,
     hold_ms: f64,
-    pub behind_ms: Cell<f64>,
+    pub extra_delay_ms: Cell<f64>,
     pub down: Cell<bool>,
     /// Version n is the change of row n - 1.
     changes: RefCell<Vec<Change>>,
-    shown: Cell<usize>,
+    published: Cell<usize>,
     /// Where a router reaches a server, by its number and the server's own address, if not there.
-    pub ways: RefCell<BTreeMap<(usize, String), String>>,
+    pub address_overrides: RefCell<BTreeMap<(usize, String), String>>,
 }
 
 /// Another one for each start: the time of it.
-fn epoch() -> u64 {
+fn start_epoch() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |since| since.as_micros() as u64)
 }
@@ -42,22 +42,22 @@
     pub fn new(record: Record, delay_ms: f64, hold_ms: f64) -> Rc<Self> {
         Rc::new(ListService {
             record,
-            epoch: Cell::new(epoch()),
-            lies: Cell::new(0.0),
+            epoch: Cell::new(start_epoch()),
+            omitted_share: Cell::new(0.0),
             delay_ms,
             hold_ms,
-            behind_ms: Cell::new(0.0),
+            extra_delay_ms: Cell::new(0.0),
             down: Cell::new(false),
             changes: RefCell::default(),
-            shown: Cell::new(0),
-            ways: RefCell::default(),
+            published: Cell::new(0),
+            address_overrides: RefCell::default(),
         })
     }
 
     /// Starts anew and leaves out a share of the servers.
-    pub fn anew(&self, lies: f64) {
+    pub fn restart_omitting(&self, omitted_share: f64) {
         self.epoch.set(self.epoch.get() + 1);
-        self.lies.set(lies);
+        self.omitted_share.set(omitted_share);
     }
 
     pub fn change(&self, entry: ServerEntry, started_ms: Option<f64>) {
@@ -65,22 +65,22 @@
     }
 
     /// What was listed before the day is known at once.
-    pub fn settle(&self) {
-        self.shown.set(self.changes.borrow().len());
+    pub fn publish_all(&self) {
+        self.published.set(self.changes.borrow().len());
     }
 
     fn version(&self) -> usize {
-        let until = self.record.now_ms() - self.delay_ms - self.behind_ms.get();
-        let late = self.changes.borrow().iter().take_while(|change| change.at_ms <= until).count();
-        self.shown.set(self.shown.get().max(late));
-        self.shown.get()
+        let until = self.record.now_ms() - self.delay_ms - self.extra_delay_ms.get();
+        let due = self.changes.borrow().iter().take_while(|change| change.at_ms <= until).count();
+        self.published.set(self.published.get().max(due));
+        self.published.get()
     }
 
     /// The answer to one poll; waits for news as long as it may.
     pub async fn poll(&self, router: usize, epoch: u64, after: Option<usize>, wait_ms: f64) -> ServerList {
         let until = self.record.now_ms() + wait_ms.min(self.hold_ms);
-        let same = || epoch == self.epoch.get() && Some(self.version()) == after;
-        while same() && self.record.now_ms() < until {
+        let unchanged = || epoch == self.epoch.get() && Some(self.version()) == after;
+        while unchanged() && self.record.now_ms() < until {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         let version = self.version();
@@ -93,13 +93,16 @@
         }
         let servers: Vec<_> =
             newest.into_values().filter(|entry| after.is_some() || entry.readiness != "gone").collect();
-        let ways = self.ways.borrow();
-        let way = |entry: ServerEntry| match ways.get(&(router, entry.address.clone())) {
+        let overrides = self.address_overrides.borrow();
+        let override_address = |entry: ServerEntry| match overrides.get(&(router, entry.address.clone())) {
             Some(address) => ServerEntry { address: address.clone(), ..entry },
             None => entry,
         };
-        let servers: Vec<ServerEntry> =
-            servers.into_iter().filter(|entry| !left_out(&entry.name, self.lies.get())).map(way).collect();
+        let servers: Vec<ServerEntry> = servers
+            .into_iter()
+            .filter(|entry| !left_out(&entry.name, self.omitted_share.get()))
+            .map(override_address)
+            .collect();
         for entry in &servers {
             let (server, readiness) = (entry.name.clone(), entry.readiness.clone());
             self.record.add(What::Told { router, server, readiness, cold: entry.age_ms.is_some() });
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -11,19 +11,19 @@
 pub struct Record {
     origin: Rc<Cell<Instant>>,
     lines: Rc<RefCell<Vec<Line>>>,
-    kept: bool,
+    keeps_lines: bool,
 }
 
 impl Default for Record {
     fn default() -> Self {
-        Record { origin: Rc::new(Cell::new(Instant::now())), lines: Rc::default(), kept: true }
+        Record { origin: Rc::new(Cell::new(Instant::now())), lines: Rc::default(), keeps_lines: true }
     }
 }
 
 impl Record {
     /// A clock that keeps no lines, for a fleet that runs for long.
     pub fn clock_only() -> Self {
-        Record { kept: false, ..Record::default() }
+        Record { keeps_lines: false, ..Record::default() }
     }
 
     /// The clock starts anew; what was recorded so far lies before 0.
@@ -42,7 +42,7 @@
     }
 
     pub fn add(&self, what: What) {
-        if !self.kept {
+        if !self.keeps_lines {
             return;
         }
         let at_ms = self.now_ms();
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -25,66 +25,66 @@
     pub list: Rc<ListService>,
     pub links: Links,
     /// What the servers that drop repeats remember.
-    seen: RefCell<Seen>,
-    pub chance: RefCell<fastrand::Rng>,
+    seen_keys: RefCell<Seen>,
+    pub rng: RefCell<fastrand::Rng>,
 }
 
 impl Shared {
     pub fn new(settings: FleetSettings, record: Record, list: Rc<ListService>) -> Self {
-        let chance = RefCell::new(fastrand::Rng::with_seed(settings.seed));
+        let rng = RefCell::new(fastrand::Rng::with_seed(settings.seed));
         let links = Links::new(record.clone(), settings.near_tokens_per_s, settings.far_tokens_per_s);
-        Shared { settings, record, list, links, seen: RefCell::default(), chance }
+        Shared { settings, record, list, links, seen_keys: RefCell::default(), rng }
     }
 
-    pub fn by_chance(&self, share: f64) -> bool {
-        share > 0.0 && self.chance.borrow_mut().f64() < share
+    pub fn with_probability(&self, share: f64) -> bool {
+        share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 }
 
 /// What befalls a server's answers at present; what befalls its work is the model's to know.
 #[derive(Clone, Default)]
-pub struct Trouble {
+pub struct ResponseFaults {
     pub erring: f64,
     pub erring_model: Option<String>,
     pub answer_lost: f64,
 }
 
-struct KeptState {
+struct HeldState {
     request: String,
     moving: bool,
 }
 
 /// What the model did for one dispatch, as its connection hears it.
 #[derive(Clone, Copy, Debug)]
-pub enum Heard {
+pub enum DispatchEvent {
     Fetch,
-    Read { kept: f64 },
-    First { kept: f64 },
+    Read { cached: f64 },
+    First { cached: f64 },
     Token,
     Finished,
     Refused(Refusal),
 }
 
 struct State {
-    trouble: Trouble,
+    response_faults: ResponseFaults,
     model: Model,
     /// Dispatches in hand by their names, and who waits for them.
-    waiting: BTreeMap<u64, (String, Option<mpsc::Sender<Heard>>)>,
-    states: BTreeMap<u64, KeptState>,
-    /// Dispatches whose state is not wanted any more, and places kept ahead.
+    waiting: BTreeMap<u64, (String, Option<mpsc::Sender<DispatchEvent>>)>,
+    states: BTreeMap<u64, HeldState>,
+    /// Dispatches whose state is not wanted any more, and reservations kept ahead.
     released: BTreeMap<String, f64>,
-    places: BTreeMap<String, u64>,
+    reservations: BTreeMap<String, u64>,
 }
 
 impl State {
     fn new(model: Model) -> Self {
         State {
-            trouble: Trouble::default(),
+            response_faults: ResponseFaults::default(),
             model,
             waiting: BTreeMap::new(),
             states: BTreeMap::new(),
             released: BTreeMap::new(),
-            places: BTreeMap::new(),
+            reservations: BTreeMap::new(),
         }
     }
 }
@@ -98,8 +98,8 @@
     pub up: Cell<bool>,
     started_ms: Cell<Option<f64>>,
     state: RefCell<State>,
-    changed: Notify,
-    next: Cell<u64>,
+    model_changed: Notify,
+    next_id: Cell<u64>,
 }
 
 /// Text that counts as one token, and as one block of kept text, in bytes.
@@ -107,9 +107,9 @@
 const BLOCK_BYTES: usize = 256;
 
 /// A timer is good for a millisecond; what is far less, in ms, counts as no time.
-const NO_TIME_MS: f64 = 0.1;
+const TIMER_SLACK_MS: f64 = 0.1;
 
-fn beginnings(prompt: &str) -> Prompt {
+fn prefixes(prompt: &str) -> Prompt {
     let mut hash = DefaultHasher::new();
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate();
     blocks
@@ -139,8 +139,8 @@
             up: Cell::new(false),
             started_ms: Cell::new(None),
             state: RefCell::new(State::new(model)),
-            changed: Notify::new(),
-            next: Cell::new(1),
+            model_changed: Notify::new(),
+            next_id: Cell::new(1),
         })
     }
 
@@ -160,17 +160,17 @@
         self.shared.record.now_ms()
     }
 
-    pub fn trouble(&self) -> Trouble {
-        self.state.borrow().trouble.clone()
+    pub fn response_faults(&self) -> ResponseFaults {
+        self.state.borrow().response_faults.clone()
     }
 
-    pub fn change_trouble(&self, change: impl FnOnce(&mut Trouble)) {
-        change(&mut self.state.borrow_mut().trouble);
+    pub fn change_response_faults(&self, change: impl FnOnce(&mut ResponseFaults)) {
+        change(&mut self.state.borrow_mut().response_faults);
     }
 
-    pub fn befalls(&self, change: impl FnOnce(&mut Befalls)) {
+    pub fn change_model_faults(&self, change: impl FnOnce(&mut Befalls)) {
         change(&mut self.state.borrow_mut().model.befalls);
-        self.changed.notify_one();
+        self.model_changed.notify_one();
     }
 
     pub fn silent(&self) -> bool {
@@ -193,7 +193,7 @@
     }
 
     /// A new process: it has kept nothing, and is cold unless it ran before the day.
-    pub fn begin(&self, cold: bool) {
+    pub fn start_process(&self, cold: bool) {
         self.start.set(self.start.get() + 1);
         let now_ms = self.now_ms();
         self.started_ms.set(cold.then_some(now_ms));
@@ -211,7 +211,7 @@
     }
 
     /// The process ends; what it held is gone with it.
-    pub fn end(&self) {
+    pub fn end_process(&self) {
         self.up.set(false);
         self.start.set(self.start.get() + 1);
         let now_ms = self.now_ms();
@@ -220,7 +220,7 @@
             state.model.restart(now_ms);
             state.waiting.clear();
             state.released.clear();
-            state.places.clear();
+            state.reservations.clear();
             std::mem::take(&mut state.states)
         };
         for state in states.values() {
@@ -236,18 +236,18 @@
     /// Lets the model's time pass, as long as its process lives.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let wakes = {
+            let next_event = {
                 let model = &self.state.borrow().model;
                 model.wakes_ms().filter(|_| !model.befalls.silent)
             };
-            let Some(at_ms) = wakes else {
-                self.changed.notified().await;
+            let Some(at_ms) = next_event else {
+                self.model_changed.notified().await;
                 continue;
             };
-            if at_ms > self.now_ms() + NO_TIME_MS {
+            if at_ms > self.now_ms() + TIMER_SLACK_MS {
                 tokio::select! {
                     _ = sleep_until(self.shared.record.at(at_ms)) => {}
-                    _ = self.changed.notified() => continue,
+                    _ = self.model_changed.notified() => continue,
                 }
             } else {
                 tokio::task::yield_now().await;
@@ -262,43 +262,43 @@
         let mut did = Vec::new();
         let result = act(&mut self.state.borrow_mut().model, &mut did);
         for did in did {
-            let (id, heard) = match did {
-                Did::Fetch(id) => (id, Heard::Fetch),
+            let (id, event) = match did {
+                Did::Fetch(id) => (id, DispatchEvent::Fetch),
                 Did::Read { id, kept } => {
-                    self.has_read(id);
-                    (id, Heard::Read { kept })
+                    self.hold_state(id);
+                    (id, DispatchEvent::Read { cached: kept })
                 }
-                Did::First { id, kept } => (id, Heard::First { kept }),
-                Did::Token(id) => (id, Heard::Token),
-                Did::Finished { id } => (id, Heard::Finished),
-                Did::Refused { id, refusal } => (id, Heard::Refused(refusal)),
+                Did::First { id, kept } => (id, DispatchEvent::First { cached: kept }),
+                Did::Token(id) => (id, DispatchEvent::Token),
+                Did::Finished { id } => (id, DispatchEvent::Finished),
+                Did::Refused { id, refusal } => (id, DispatchEvent::Refused(refusal)),
             };
             let waiter = self.state.borrow().waiting.get(&id).and_then(|(_, waiter)| waiter.clone());
             // There is room for all that a dispatch can hear.
-            let heard = waiter.is_some_and(|waiter| waiter.try_send(heard).is_ok());
-            if !heard {
+            let delivered = waiter.is_some_and(|waiter| waiter.try_send(event).is_ok());
+            if !delivered {
                 self.drop_state(id, "unwanted");
                 self.cancel(id, true);
             }
         }
-        self.changed.notify_one();
+        self.model_changed.notify_one();
         result
     }
 
     /// Notes work that arrives; true if a cold server falls over under it.
-    pub fn presses(&self, work_ms: f64) -> bool {
+    pub fn record_work(&self, work_ms: f64) -> bool {
         let now_ms = self.now_ms();
         let model = &mut self.state.borrow_mut().model;
-        let falls = model.presses(now_ms, work_ms);
-        model.befalls.silent |= falls;
-        falls
+        let overloaded = model.presses(now_ms, work_ms);
+        model.befalls.silent |= overloaded;
+        overloaded
     }
 
     /// What a dispatch would be to the model.
     pub fn work(&self, prompt: &str, answer: u32, fetches: bool) -> (Work, f64) {
         let tokens = prompt.len().div_ceil(TOKEN_BYTES) as f64;
-        let id = self.next.replace(self.next.get() + 1);
-        let work = Work { id, prompt: beginnings(prompt), tokens, answer, fetches, place: None };
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let work = Work { id, prompt: prefixes(prompt), tokens, answer, fetches, place: None };
         let work_ms = self.state.borrow().model.work_ms(&work);
         (work, work_ms)
     }
@@ -311,33 +311,33 @@
         self: &Rc<Self>,
         request: &str,
         mut work: Work,
-    ) -> Result<(Asker, mpsc::Receiver<Heard>), Refusal> {
+    ) -> Result<(DispatchGuard, mpsc::Receiver<DispatchEvent>), Refusal> {
         let now_ms = self.now_ms();
         let id = work.id;
-        let (sender, heard) = mpsc::channel(work.answer as usize + 8);
+        let (sender, events) = mpsc::channel(work.answer as usize + 8);
         {
             let mut state = self.state.borrow_mut();
-            work.place = state.places.remove(completion_of(request));
+            work.place = state.reservations.remove(completion_of(request));
             state.waiting.insert(id, (request.to_owned(), Some(sender)));
         }
-        let asker = Asker { server: self.clone(), start: self.start.get(), id };
+        let guard = DispatchGuard { server: self.clone(), start: self.start.get(), id };
         self.act(|model, did| model.arrive(now_ms, work, did))?;
-        Ok((asker, heard))
+        Ok((guard, events))
     }
 
-    pub fn fetched(self: &Rc<Self>, start: u64, id: u64, there: bool) {
+    pub fn fetched(self: &Rc<Self>, start: u64, id: u64, available: bool) {
         if self.start.get() == start {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.fetched(now_ms, id, there, did));
+            self.act(|model, did| model.fetched(now_ms, id, available, did));
         }
     }
 
-    fn cancel(self: &Rc<Self>, id: u64, stops: bool) {
+    fn cancel(self: &Rc<Self>, id: u64, stops_work: bool) {
         if let Some((_, waiter)) = self.state.borrow_mut().waiting.get_mut(&id) {
             *waiter = None;
         }
         let now_ms = self.now_ms();
-        self.act(|model, did| model.cancel(now_ms, id, stops, did));
+        self.act(|model, did| model.cancel(now_ms, id, stops_work, did));
         let mut state = self.state.borrow_mut();
         if !state.model.has(id) {
             state.waiting.remove(&id);
@@ -349,12 +349,12 @@
     }
 
     /// A state waits until it is taken, released, or its lease ends.
-    fn has_read(self: &Rc<Self>, id: u64) {
+    fn hold_state(self: &Rc<Self>, id: u64) {
         let request = self.state.borrow().waiting.get(&id).map(|(request, _)| request.clone());
         let request = request.unwrap_or_default();
         self.record(What::State { server: self.name(), request: request.clone() });
         let released = self.state.borrow().released.contains_key(&request);
-        self.state.borrow_mut().states.insert(id, KeptState { request, moving: false });
+        self.state.borrow_mut().states.insert(id, HeldState { request, moving: false });
         if released {
             self.drop_state(id, "unwanted");
             return;
@@ -378,8 +378,8 @@
     pub fn begin_move(&self, block: u64) -> Option<f64> {
         let mut state = self.state.borrow_mut();
         let tokens = state.model.holds(block)?;
-        let kept = state.states.get_mut(&block).filter(|kept| !kept.moving)?;
-        kept.moving = true;
+        let held = state.states.get_mut(&block).filter(|state| !state.moving)?;
+        held.moving = true;
         Some(tokens)
     }
 
@@ -394,30 +394,31 @@
 
     /// A place for a completion's answer, at once or not at all.
     pub fn hold(self: &Rc<Self>, request: &str, tokens: f64) -> bool {
-        let place = self.next.replace(self.next.get() + 1);
-        let held = self.state.borrow_mut().model.hold(place, tokens);
+        let reservation = self.next_id.replace(self.next_id.get() + 1);
+        let held = self.state.borrow_mut().model.hold(reservation, tokens);
         if held {
-            let old = self.state.borrow_mut().places.insert(completion_of(request).to_owned(), place);
-            self.give_up(old);
+            let previous =
+                self.state.borrow_mut().reservations.insert(completion_of(request).to_owned(), reservation);
+            self.release_reservation(previous);
         }
         held
     }
 
-    fn give_up(self: &Rc<Self>, place: Option<u64>) {
-        if let Some(place) = place {
+    fn release_reservation(self: &Rc<Self>, reservation: Option<u64>) {
+        if let Some(reservation) = reservation {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.give_up(now_ms, place, did));
+            self.act(|model, did| model.give_up(now_ms, reservation, did));
         }
     }
 
     /// Lets go of what a dispatch left here, or will leave once it is read.
     pub fn release(self: &Rc<Self>, request: &str) {
         let now_ms = self.now_ms();
-        let place = self.state.borrow_mut().places.remove(completion_of(request));
-        self.give_up(place);
+        let reservation = self.state.borrow_mut().reservations.remove(completion_of(request));
+        self.release_reservation(reservation);
         let blocks: Vec<_> = {
             let state = self.state.borrow();
-            let of = state.states.iter().filter(|(_, kept)| kept.request == request && !kept.moving);
+            let of = state.states.iter().filter(|(_, state)| state.request == request && !state.moving);
             of.map(|(block, _)| *block).collect()
         };
         for block in blocks {
@@ -434,7 +435,7 @@
         let rule = self.shared.settings.repeats.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
             let group = repeats::group(rule.group, &self.row.zone, self.row.cell);
-            self.shared.seen.borrow_mut().repeats(group, key, arrived_ms, self.now_ms(), rule.window_ms)
+            self.shared.seen_keys.borrow_mut().repeats(group, key, arrived_ms, self.now_ms(), rule.window_ms)
         });
         let (server, request, key) = (self.name(), request.to_owned(), key.to_owned());
         self.record(What::Effect { server, request, key, repeat });
@@ -444,9 +445,9 @@
     pub fn load(&self) -> Load {
         let load = self.state.borrow_mut().model.load(self.now_ms(), self.shared.settings.report_every_ms);
         let noise = self.shared.settings.report_noise;
-        let wrong = |figure: f64| match noise > 0.0 {
-            true => figure * (1.0 + noise * (2.0 * self.shared.chance.borrow_mut().f64() - 1.0)),
-            false => figure,
+        let with_noise = |value: f64| match noise > 0.0 {
+            true => value * (1.0 + noise * (2.0 * self.shared.rng.borrow_mut().f64() - 1.0)),
+            false => value,
         };
         let metrics = [
             (RUNNING_REQUESTS, load.in_hand),
@@ -456,23 +457,26 @@
         Load {
             mem_utilization: Some(load.memory_share),
             application_utilization: Some(load.slots_share),
-            named_metrics: metrics.into_iter().map(|(name, value)| (name.to_owned(), wrong(value))).collect(),
+            named_metrics: metrics
+                .into_iter()
+                .map(|(name, value)| (name.to_owned(), with_noise(value)))
+                .collect(),
         }
     }
 }
 
 /// Someone waits for a dispatch as long as this lives.
-pub struct Asker {
+pub struct DispatchGuard {
     pub server: Rc<Server>,
     pub start: u64,
     pub id: u64,
 }
 
-impl Drop for Asker {
+impl Drop for DispatchGuard {
     fn drop(&mut self) {
         if self.server.start.get() == self.start {
-            let stops = self.server.shared.settings.cancel_stops;
-            self.server.cancel(self.id, stops);
+            let stops_work = self.server.shared.settings.cancel_stops;
+            self.server.cancel(self.id, stops_work);
         }
     }
 }
