--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -1,4 +1,4 @@
-//! The sockets of a stand-in: its listener, its connections and the calls it answers.
+//! HTTP endpoints of a simulated server and of the list service: listeners, connections and requests.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -22,10 +22,10 @@
 use crate::record::What;
 use crate::server::{DispatchEvent, DispatchGuard, Server};
 
-/// Largest body that a stand-in reads.
+/// Largest accepted request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// The open connections and running work of one server's process.
+/// Tasks of one server's process: open connections and running work.
 pub type Tasks = Rc<RefCell<JoinSet<()>>>;
 
 pub enum ResponseBody {
@@ -43,16 +43,16 @@
     ) -> Poll<Option<Result<Frame<Bytes>, std::io::Error>>> {
         match self.get_mut() {
             ResponseBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            // An empty chunk stands for an answer that breaks off.
+            // An empty chunk marks an answer that is aborted.
             ResponseBody::Chunks(chunks, _) => chunks.poll_recv(cx).map(|chunk| match chunk {
-                Some(bytes) if bytes.is_empty() => Some(Err(std::io::Error::other("response aborted"))),
+                Some(bytes) if bytes.is_empty() => Some(Err(std::io::Error::other("aborted"))),
                 chunk => chunk.map(|bytes| Ok(Frame::data(bytes))),
             }),
         }
     }
 }
 
-/// Notes when a dispatch's connection is done with it.
+/// Records the end of a dispatch once its connection drops it.
 pub struct OpenDispatch {
     server: Rc<Server>,
     request: String,
@@ -65,7 +65,8 @@
     }
 }
 
-/// Serves connections as long as the server's process lives.
+/// Accepts connections until the server's process ends. Connections beyond the kind's limit are closed at
+/// once.
 pub async fn listen(server: Rc<Server>, listener: TcpListener, tasks: Tasks) {
     let open = Rc::new(());
     loop {
@@ -87,7 +88,7 @@
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let (server, tasks) = (server.clone(), tasks.clone());
-        async move { answer(server, tasks, request).await.map_err(|()| std::io::Error::other("response aborted")) }
+        async move { answer(server, tasks, request).await.map_err(|()| std::io::Error::other("aborted")) }
     });
     let builder = hyper::server::conn::http1::Builder::new();
     let _ = builder.serve_connection(TokioIo::new(stream), service).await;
@@ -108,7 +109,7 @@
     json(server, refusal.status(), refusal.body())
 }
 
-/// An `Err` breaks the connection.
+/// Answers one request. An `Err` closes the connection without a response.
 async fn answer(
     server: Rc<Server>,
     tasks: Tasks,
@@ -161,7 +162,7 @@
     })
 }
 
-/// Moves a state over the links, after which it is let go here.
+/// Transfers a state over the links of the cells and releases it afterwards.
 async fn take(server: &Rc<Server>, block: u64, cell: &str) -> Response<ResponseBody> {
     let Some(tokens) = server.begin_move(block) else {
         return json(server, 404, error_body("not_found", "no such state", None));
@@ -172,6 +173,7 @@
     json(server, 200, serde_json::to_string(&TakeReply { tokens: tokens as u64 }).unwrap_or_default())
 }
 
+/// Fetches a state from the server that holds it; `None` if that fails.
 async fn fetch(server: &Server, state: &StateReference) -> Option<()> {
     let host = state.remote_host.as_deref()?;
     let address: SocketAddr = format!("{host}:{}", state.remote_port?).parse().ok()?;
@@ -226,7 +228,7 @@
         Ok(accepted) => accepted,
         Err(refusal) => return Ok(rejected(&server, &ids.request, refusal)),
     };
-    // None once the server's process has ended.
+    // The channel is closed once the server's process has ended.
     while let Some(event) = events.recv().await {
         match event {
             DispatchEvent::Fetch => {
@@ -276,7 +278,7 @@
     Err(())
 }
 
-/// What an answer will say: its words, cut before the first stop text, and that text.
+/// Content of an answer: its words up to the first stop text, and that stop text.
 struct Answer {
     words: Vec<String>,
     stop_reason: Option<String>,
@@ -286,14 +288,14 @@
     fn of(request: &CompletionRequest) -> Answer {
         let (mut words, stop_reason) = words(answer_length(request), &request.stop);
         if words.is_empty() {
-            // One token stands for the end alone.
+            // An empty answer still has one token, for its end.
             words.push(String::new());
         }
         Answer { words, stop_reason }
     }
 }
 
-/// The words of an answer of so many tokens, cut before the first stop text, and that text.
+/// Words of an answer of `tokens` tokens up to the first stop text, and that stop text.
 fn words(tokens: u64, stops: &[String]) -> (Vec<String>, Option<String>) {
     let text = " wort".repeat(tokens as usize);
     let first = stops.iter().filter_map(|stop| Some((text.find(stop.as_str())?, stop))).min();
@@ -302,6 +304,8 @@
     (words, first.map(|(_, stop)| stop.clone()))
 }
 
+/// Streams an answer as server-sent events, one token each. With `lost`, the work is done but the connection
+/// is aborted without an event.
 async fn write(
     guard: DispatchGuard,
     mut events: mpsc::Receiver<DispatchEvent>,
@@ -315,7 +319,7 @@
     let event =
         |chunk: &Completion| format!("data: {}\n\n", serde_json::to_string(chunk).unwrap_or_default());
     let mut words = answer.words.into_iter();
-    // Before it hears of more, it has events of the first.
+    // The first token was received by the caller.
     let mut next = Some(DispatchEvent::Token);
     while let Some(DispatchEvent::Token) = next {
         let text = words.next().unwrap_or_default();
@@ -329,7 +333,7 @@
         };
     }
     if next.is_none() {
-        // The process ended in the middle.
+        // The process ended before the answer was complete.
         let _ = chunks.send(Bytes::new()).await;
         return;
     }
@@ -355,7 +359,7 @@
     }
 }
 
-/// The true length of an answer: from half of what is allowed to all, by its prompt.
+/// Length of an answer in tokens: between half of `max_tokens` and all of it, determined by the prompt.
 fn answer_length(request: &CompletionRequest) -> u64 {
     let max = u64::from(request.max_tokens).max(1);
     let hash =
@@ -363,7 +367,7 @@
     (max / 2 + hash % (max / 2 + 1)).max(1)
 }
 
-/// The list service's port.
+/// Serves the list service.
 pub async fn listen_list(list: Rc<crate::list::ListService>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -398,7 +402,7 @@
     }
 }
 
-/// For tests that need an answer which no stand-in gives: the same bytes to every request.
+/// Sends the same bytes to every request, for tests that need a response which no simulated server gives.
 pub async fn listen_raw(listener: TcpListener, bytes: Vec<u8>) -> Result<(), Infallible> {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     loop {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Stand-in model servers and a list service on local sockets, with troubles on command. Simulated: they take the
-//! time of such servers, not their work.
+//! Simulated model servers and a list service on local sockets, with faults on command. The servers take the
+//! time that real servers would need, without doing the work.
 
 pub mod http;
 pub mod links;
@@ -24,7 +24,7 @@
 use crate::record::Record;
 use crate::server::{Server, Shared};
 
-/// A server with its sockets.
+/// A server, the tasks of its process and the task of its listener.
 struct ServerProcess {
     server: Rc<Server>,
     tasks: Tasks,
@@ -37,7 +37,7 @@
     processes: BTreeMap<String, ServerProcess>,
 }
 
-/// Opens a listening socket that may be taken over right after its process ended.
+/// Opens a listening socket whose address can be reused immediately after the process has ended.
 fn bind(address: SocketAddr, backlog: i32) -> std::io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -48,10 +48,11 @@
 }
 
 impl Fleet {
-    /// Starts all servers warm, each on a loopback address of its own so that nothing else can take its port.
+    /// Starts all servers in the warm state. Each has a loopback address of its own, so that no other process
+    /// takes its port.
     ///
     /// # Errors
-    /// An address that can't be listened on.
+    /// Returns an error if an address can't be bound.
     pub async fn start(settings: FleetSettings, record: Record) -> Result<Self> {
         let listener = bind(settings.list, 64).with_context(|| format!("listening on {}", settings.list))?;
         let list_address = listener.local_addr()?;
@@ -82,7 +83,7 @@
         Ok(Fleet { shared, list_address, processes })
     }
 
-    /// A server by its first name.
+    /// Finds a server by its initial name.
     pub fn server(&self, name: &str) -> Option<&Rc<Server>> {
         self.processes.get(name).map(|process| &process.server)
     }
@@ -96,7 +97,7 @@
         inside.map(|(name, _)| name.clone()).collect()
     }
 
-    /// A server's process ends; the list hears of it as late as of anything.
+    /// Ends a server's process. The list service publishes that with its usual delay.
     pub async fn kill(&self, name: &str, failure: Dead) {
         let Some(process) = self.processes.get(name) else { return };
         if !process.server.up.get() {
@@ -107,7 +108,7 @@
         process.server.end_process();
         process.tasks.borrow_mut().abort_all();
         process.server.list("gone");
-        // The listener goes with its task; its address is free once that has ended.
+        // The task owns the listener, so the address is free once the task has ended.
         if let Some(listener_task) = listener_task {
             let _ = listener_task.await;
         }
@@ -117,7 +118,7 @@
             Dead::Reset => {
                 bind(address, 64).ok().map(|listener| tokio::task::spawn_local(reset_connections(listener)))
             }
-            // A full backlog that nobody takes from: connections are never made.
+            // The backlog is full and nothing accepts, so connection attempts stay unanswered.
             Dead::Unreachable => {
                 bind(address, 0).ok().map(|listener| tokio::task::spawn_local(fill_backlog(listener)))
             }
@@ -125,7 +126,7 @@
         *process.listener_task.borrow_mut() = listener_task;
     }
 
-    /// A new process at the same place: cold, and under another name if wanted.
+    /// Starts a new, cold process at the same address; with `as_new`, under a new name.
     pub async fn restart(&self, name: &str, as_new: bool) -> Result<()> {
         let Some(process) = self.processes.get(name).filter(|process| !process.server.up.get()) else {
             return Ok(());
@@ -148,6 +149,7 @@
     }
 }
 
+/// Accepts connections and resets them.
 async fn reset_connections(listener: TcpListener) {
     loop {
         if let Ok((stream, _)) = listener.accept().await {
@@ -156,6 +158,7 @@
     }
 }
 
+/// Fills the listener's backlog and keeps it full.
 async fn fill_backlog(listener: TcpListener) {
     let Ok(address) = listener.local_addr() else { return };
     let mut streams = Vec::new();
--- a/crates/fleet/src/links.rs
+++ b/crates/fleet/src/links.rs
@@ -1,4 +1,4 @@
-//! The links of the cells in real time, by the emulator's model of a link.
+//! Runs the emulator's model of the links of each cell in real time.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,11 +10,12 @@
 
 use crate::record::Record;
 
-/// Inside a cell, or out of it.
+/// A cell, and whether the link is the one inside the cell (`true`) or the one out of it.
 type LinkKey = (u32, bool);
 
 struct SharedLink {
     link: Link,
+    /// Transfers that ended and were not yet collected.
     done: BTreeSet<u64>,
     changed: Rc<Notify>,
 }
@@ -49,7 +50,7 @@
         update(shared, self.record.now_ms())
     }
 
-    /// Makes both links of a cell slower by a factor.
+    /// Slows down both links of a cell by a factor.
     pub fn slow(&self, cell: u32, factor: f64) {
         for near in [true, false] {
             self.with_link((cell, near), |shared, now_ms| {
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Passes once so many tokens went over the link of a cell, shared evenly with all else on it.
+    /// Waits until `tokens` tokens were transferred over a link of the cell. All transfers on a link share it
+    /// evenly.
     pub async fn transfer(&self, cell: u32, near: bool, tokens: f64) {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let key = (cell, near);
@@ -93,7 +95,7 @@
     }
 }
 
-/// Leaves the link when done or when nobody waits for it any more.
+/// A transfer that is cancelled when dropped before its end.
 struct Transfer<'a> {
     links: &'a Links,
     key: LinkKey,
--- a/crates/fleet/src/links/tests.rs
+++ b/crates/fleet/src/links/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the module `links`.
-
 use super::*;
 
 #[tokio::test(start_paused = true)]
--- a/crates/fleet/src/list.rs
+++ b/crates/fleet/src/list.rs
@@ -1,4 +1,4 @@
-//! The list service: versions of who exists, told late.
+//! List service: versioned changes of the server list, published with a delay.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -19,20 +19,23 @@
 pub struct ListService {
     record: Record,
     epoch: Cell<u64>,
-    /// Share of the servers that it leaves out.
+    /// Share of the servers that the list omits.
     omitted_share: Cell<f64>,
+    /// Delay until a change is published, and the longest time that a poll is held.
     delay_ms: f64,
     hold_ms: f64,
     pub extra_delay_ms: Cell<f64>,
     pub down: Cell<bool>,
-    /// Version n is the change of row n - 1.
+    /// Version n is the state after the first n changes.
     changes: RefCell<Vec<Change>>,
+    /// Last published version.
     published: Cell<usize>,
-    /// Where a router reaches a server, by its number and the server's own address, if not there.
+    /// Address at which a router reaches a server, by the router's index and the server's own address, where
+    /// it differs.
     pub address_overrides: RefCell<BTreeMap<(usize, String), String>>,
 }
 
-/// Another one for each start: the time of it.
+/// Epoch of a start of the service: its time, so that each start has a new one.
 fn start_epoch() -> u64 {
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     now.map_or(1, |since| since.as_micros() as u64)
@@ -54,7 +57,7 @@
         })
     }
 
-    /// Starts anew and leaves out a share of the servers.
+    /// Simulates a restart with a new epoch, after which the list omits a share of the servers.
     pub fn restart_omitting(&self, omitted_share: f64) {
         self.epoch.set(self.epoch.get() + 1);
         self.omitted_share.set(omitted_share);
@@ -64,7 +67,7 @@
         self.changes.borrow_mut().push(Change { at_ms: self.record.now_ms(), entry, started_ms });
     }
 
-    /// What was listed before the day is known at once.
+    /// Publishes all changes so far without delay, for the servers listed before the scenario starts.
     pub fn publish_all(&self) {
         self.published.set(self.changes.borrow().len());
     }
@@ -76,7 +79,7 @@
         self.published.get()
     }
 
-    /// The answer to one poll; waits for news as long as it may.
+    /// Answers one poll; waits for a new version up to the requested time and the service's limit.
     pub async fn poll(&self, router: usize, epoch: u64, after: Option<usize>, wait_ms: f64) -> ServerList {
         let until = self.record.now_ms() + wait_ms.min(self.hold_ms);
         let unchanged = || epoch == self.epoch.get() && Some(self.version()) == after;
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,4 +1,4 @@
-//! Keeps what the sockets carried, as it passed, on one clock.
+//! Records what the sockets carried, with times of one clock.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 pub use paddleproxy_emulator::record::{Line, What};
 use tokio::time::Instant;
 
-/// The record of one day.
+/// The record of one scenario.
 #[derive(Clone)]
 pub struct Record {
     origin: Rc<Cell<Instant>>,
@@ -21,12 +21,12 @@
 }
 
 impl Record {
-    /// A clock that keeps no lines, for a fleet that runs for long.
+    /// A clock that keeps no lines, for a fleet that runs for a long time.
     pub fn clock_only() -> Self {
         Record { keeps_lines: false, ..Record::default() }
     }
 
-    /// The clock starts anew; what was recorded so far lies before 0.
+    /// Resets the clock to 0; earlier lines get negative times.
     pub fn restart(&self) {
         let now_ms = self.now_ms();
         self.origin.set(Instant::now());
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,5 +1,5 @@
-//! One stand-in model server: the emulator's server in real time, with what only sockets know beside it. Work takes
-//! time and no CPU to speak of.
+//! A simulated model server: runs the emulator's server model in real time and holds the state that only a
+//! server with sockets has. Work takes time but hardly any CPU.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,13 +18,13 @@
 use crate::list::ListService;
 use crate::record::{Record, What};
 
-/// What all servers of a fleet share.
+/// State shared by all servers of a fleet.
 pub struct Shared {
     pub settings: FleetSettings,
     pub record: Record,
     pub list: Rc<ListService>,
     pub links: Links,
-    /// What the servers that drop repeats remember.
+    /// Idempotency keys seen by the servers that drop repeats.
     seen_keys: RefCell<Seen>,
     pub rng: RefCell<fastrand::Rng>,
 }
@@ -41,20 +41,23 @@
     }
 }
 
-/// What befalls a server's answers at present; what befalls its work is the model's to know.
+/// Current faults of a server's responses. Faults of its work are part of the model.
 #[derive(Clone, Default)]
 pub struct ResponseFaults {
+    /// Share of requests that are answered with status 500, and the model that this is limited to.
     pub erring: f64,
     pub erring_model: Option<String>,
+    /// Share of answers that are aborted after the work was done.
     pub answer_lost: f64,
 }
 
+/// A state (KV cache of a prompt) that waits to be fetched.
 struct HeldState {
     request: String,
     moving: bool,
 }
 
-/// What the model did for one dispatch, as its connection hears it.
+/// Event of one dispatch, from the model to the connection.
 #[derive(Clone, Copy, Debug)]
 pub enum DispatchEvent {
     Fetch,
@@ -68,11 +71,12 @@
 struct State {
     response_faults: ResponseFaults,
     model: Model,
-    /// Dispatches in hand by their names, and who waits for them.
+    /// Current dispatches: the request id, and the channel of the connection that waits for its events.
     waiting: BTreeMap<u64, (String, Option<mpsc::Sender<DispatchEvent>>)>,
     states: BTreeMap<u64, HeldState>,
-    /// Dispatches whose state is not wanted any more, and reservations kept ahead.
+    /// Requests whose state was released, and when.
     released: BTreeMap<String, f64>,
+    /// Reserved slots by completion.
     reservations: BTreeMap<String, u64>,
 }
 
@@ -94,6 +98,7 @@
     pub row: ServerRow,
     pub name: RefCell<String>,
     pub address: Cell<SocketAddr>,
+    /// Counts starts and ends of the process; identifies the process that an operation belongs to.
     pub start: Cell<u64>,
     pub up: Cell<bool>,
     started_ms: Cell<Option<f64>>,
@@ -102,13 +107,14 @@
     next_id: Cell<u64>,
 }
 
-/// Text that counts as one token, and as one block of kept text, in bytes.
+/// Length of the text that counts as one token, and of one block of cached text, in bytes.
 pub const TOKEN_BYTES: usize = 4;
 const BLOCK_BYTES: usize = 256;
 
-/// A timer is good for a millisecond; what is far less, in ms, counts as no time.
+/// Waits shorter than this don't use a timer, since timers have a resolution of 1 ms.
 const TIMER_SLACK_MS: f64 = 0.1;
 
+/// Prefixes of a prompt in steps of a block: hash and length in tokens of each.
 fn prefixes(prompt: &str) -> Prompt {
     let mut hash = DefaultHasher::new();
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate();
@@ -120,7 +126,7 @@
         .collect()
 }
 
-/// The part of a dispatch's name that names its completion.
+/// The part of a dispatch's request id that identifies its completion.
 pub fn completion_of(request: &str) -> &str {
     request.rsplit_once('.').map_or(request, |(completion, _)| completion)
 }
@@ -192,7 +198,8 @@
         self.shared.list.change(entry, self.started_ms.get());
     }
 
-    /// A new process: it has kept nothing, and is cold unless it ran before the day.
+    /// Starts a new process with an empty cache. It is cold, that is not yet at full capacity, unless it
+    /// started before the scenario.
     pub fn start_process(&self, cold: bool) {
         self.start.set(self.start.get() + 1);
         let now_ms = self.now_ms();
@@ -210,7 +217,7 @@
         self.list("ready");
     }
 
-    /// The process ends; what it held is gone with it.
+    /// Ends the process; its dispatches, states and reservations are lost.
     pub fn end_process(&self) {
         self.up.set(false);
         self.start.set(self.start.get() + 1);
@@ -233,7 +240,7 @@
         self.record(What::StateGone { server: self.name(), request: request.to_owned(), why: why.into() });
     }
 
-    /// Lets the model's time pass, as long as its process lives.
+    /// Runs the model's timers in real time.
     pub async fn run(self: Rc<Self>) {
         loop {
             let next_event = {
@@ -252,12 +259,12 @@
             } else {
                 tokio::task::yield_now().await;
             }
-            // By the model's clock, so that late timers don't add up.
+            // Steps to the scheduled time, not to the current one, so that timer delays don't accumulate.
             self.act(|model, did| model.step(at_ms, did));
         }
     }
 
-    /// Does something to the model and tells those who wait what came of it.
+    /// Applies an operation to the model and sends the resulting events to the waiting connections.
     fn act<T>(self: &Rc<Self>, act: impl FnOnce(&mut Model, &mut Vec<Did>) -> T) -> T {
         let mut did = Vec::new();
         let result = act(&mut self.state.borrow_mut().model, &mut did);
@@ -274,7 +281,8 @@
                 Did::Refused { id, refusal } => (id, DispatchEvent::Refused(refusal)),
             };
             let waiter = self.state.borrow().waiting.get(&id).and_then(|(_, waiter)| waiter.clone());
-            // There is room for all that a dispatch can hear.
+            // The channel has room for all events of a dispatch, so a failure means that the connection is
+            // gone.
             let delivered = waiter.is_some_and(|waiter| waiter.try_send(event).is_ok());
             if !delivered {
                 self.drop_state(id, "unwanted");
@@ -285,7 +293,7 @@
         result
     }
 
-    /// Notes work that arrives; true if a cold server falls over under it.
+    /// Records work that arrives. Returns whether it overloads a cold server, which then becomes silent.
     pub fn record_work(&self, work_ms: f64) -> bool {
         let now_ms = self.now_ms();
         let model = &mut self.state.borrow_mut().model;
@@ -294,7 +302,7 @@
         overloaded
     }
 
-    /// What a dispatch would be to the model.
+    /// Converts a dispatch to the model's work item; also returns its time on a warm server, in ms.
     pub fn work(&self, prompt: &str, answer: u32, fetches: bool) -> (Work, f64) {
         let tokens = prompt.len().div_ceil(TOKEN_BYTES) as f64;
         let id = self.next_id.replace(self.next_id.get() + 1);
@@ -303,10 +311,10 @@
         (work, work_ms)
     }
 
-    /// A dispatch arrives; what becomes of it is heard from then on.
+    /// Hands a dispatch to the model. Its events arrive on the returned channel.
     ///
     /// # Errors
-    /// Why it is turned away at once.
+    /// Returns the refusal if the dispatch is rejected at once.
     pub fn arrive(
         self: &Rc<Self>,
         request: &str,
@@ -348,7 +356,7 @@
         self.state.borrow_mut().model.flush();
     }
 
-    /// A state waits until it is taken, released, or its lease ends.
+    /// Holds a state until it is fetched, released, or its lease ends.
     fn hold_state(self: &Rc<Self>, id: u64) {
         let request = self.state.borrow().waiting.get(&id).map(|(request, _)| request.clone());
         let request = request.unwrap_or_default();
@@ -369,12 +377,12 @@
         });
     }
 
-    /// States that wait here.
+    /// Number of held states.
     pub fn states(&self) -> usize {
         self.state.borrow().states.len()
     }
 
-    /// A state that may be taken, which nobody else may from now on; its tokens.
+    /// Claims a state for a transfer, so that no other request can take it. Returns its size in tokens.
     pub fn begin_move(&self, block: u64) -> Option<f64> {
         let mut state = self.state.borrow_mut();
         let tokens = state.model.holds(block)?;
@@ -392,7 +400,7 @@
         }
     }
 
-    /// A place for a completion's answer, at once or not at all.
+    /// Reserves a slot and memory for a completion's answer; `false` if there is none at this time.
     pub fn hold(self: &Rc<Self>, request: &str, tokens: f64) -> bool {
         let reservation = self.next_id.replace(self.next_id.get() + 1);
         let held = self.state.borrow_mut().model.hold(reservation, tokens);
@@ -411,7 +419,7 @@
         }
     }
 
-    /// Lets go of what a dispatch left here, or will leave once it is read.
+    /// Releases the reservation and the state of a dispatch, also a state that is held only later.
     pub fn release(self: &Rc<Self>, request: &str) {
         let now_ms = self.now_ms();
         let reservation = self.state.borrow_mut().reservations.remove(completion_of(request));
@@ -430,7 +438,8 @@
         state.released.insert(request.to_owned(), now_ms);
     }
 
-    /// Work takes its effect, once for each key in the group of servers that drops repeats.
+    /// Records the effect of a dispatch. In a group of servers that drops repeats, work with a repeated key has
+    /// no effect and is recorded as a repeat.
     pub fn effect(&self, request: &str, key: &str, model: &str, arrived_ms: f64) {
         let rule = self.shared.settings.repeats.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
@@ -441,7 +450,7 @@
         self.record(What::Effect { server, request, key, repeat });
     }
 
-    /// Its load as of a while back.
+    /// Load report, which lags behind the actual load and has noise if configured.
     pub fn load(&self) -> Load {
         let load = self.state.borrow_mut().model.load(self.now_ms(), self.shared.settings.report_every_ms);
         let noise = self.shared.settings.report_noise;
@@ -465,7 +474,7 @@
     }
 }
 
-/// Someone waits for a dispatch as long as this lives.
+/// Cancels its dispatch when dropped, that is when the connection no longer waits for it.
 pub struct DispatchGuard {
     pub server: Rc<Server>,
     pub start: u64,
