--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -438,8 +438,8 @@
         state.released.insert(request.to_owned(), now_ms);
     }
 
-    /// Records the effect of a dispatch. In a group of servers that drops repeats, work with a repeated key has
-    /// no effect and is recorded as a repeat.
+    /// Records the effect of a dispatch. In a group of servers that drops repeats, work with a repeated key
+    /// has no effect and is recorded as a repeat.
     pub fn effect(&self, request: &str, key: &str, model: &str, arrived_ms: f64) {
         let rule = self.shared.settings.repeats.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
