--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -11,7 +11,7 @@
 
 /// CPU of all decisions of one completion with so many servers listed, in microseconds.
 pub fn cost_us(servers: usize) -> f64 {
-    let text = crate::process::router(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
+    let text = crate::process::router_config(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
     let Ok(settings) = paddleproxy_settings::router::parse("bench", &text) else { return f64::NAN };
     let settings = Settings { probes_allowed: false, ..settings.decisions };
     let mut control = Control::new(settings, 7);
@@ -48,9 +48,8 @@
         };
         control.handle(now_ms, &Event::Arrived(arrival), &mut actions);
         control.handle(now_ms, &Event::Began { completion, seq, took_ms: 1.0 }, &mut actions);
-        let (outcome, kept_tokens) = (Outcome::Finished, 0.0);
-        let ended =
-            Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens: kept_tokens };
+        let (outcome, cached_tokens) = (Outcome::Finished, 0.0);
+        let ended = Event::Ended { completion, seq, took_ms: 1.0, done: true, outcome, cached_tokens };
         control.handle(now_ms, &ended, &mut actions);
         actions.clear();
     }
--- a/crates/bench/src/list_updates.rs
+++ b/crates/bench/src/list_updates.rs
@@ -12,44 +12,44 @@
 
 /// Time that the core is held up by a change, in microseconds.
 #[derive(Clone, Debug, Serialize)]
-pub struct Change {
+pub struct ListUpdateCost {
     pub servers: usize,
     /// One server in a version of changes; the whole list anew; other settings.
-    pub one: Pause,
-    pub whole: Pause,
-    pub settings: Pause,
+    pub one: BlockedTime,
+    pub whole: BlockedTime,
+    pub settings: BlockedTime,
 }
 
 #[derive(Clone, Copy, Debug, Serialize)]
-pub struct Pause {
+pub struct BlockedTime {
     pub p50_us: f64,
     pub p99_us: f64,
     pub worst_us: f64,
 }
 
-const TIMES: usize = 500;
+const REPETITIONS: usize = 500;
 
-fn pause(mut act: impl FnMut(usize)) -> Pause {
-    let Ok(mut taken) = Histogram::<u64>::new(3) else {
-        return Pause { p50_us: 0.0, p99_us: 0.0, worst_us: 0.0 };
+fn measure_blocked(mut operation: impl FnMut(usize)) -> BlockedTime {
+    let Ok(mut blocked_ns) = Histogram::<u64>::new(3) else {
+        return BlockedTime { p50_us: 0.0, p99_us: 0.0, worst_us: 0.0 };
     };
-    for number in 0..TIMES {
+    for number in 0..REPETITIONS {
         let began = Instant::now();
-        act(number);
+        operation(number);
         // A histogram that grows by itself takes any value.
-        let _ = taken.record(began.elapsed().as_nanos() as u64);
+        let _ = blocked_ns.record(began.elapsed().as_nanos() as u64);
     }
     let us = |nanos: u64| nanos as f64 / 1e3;
-    Pause {
-        p50_us: us(taken.value_at_quantile(0.5)),
-        p99_us: us(taken.value_at_quantile(0.99)),
-        worst_us: us(taken.max()),
+    BlockedTime {
+        p50_us: us(blocked_ns.value_at_quantile(0.5)),
+        p99_us: us(blocked_ns.value_at_quantile(0.99)),
+        worst_us: us(blocked_ns.max()),
     }
 }
 
 /// The cost with so many servers listed; None where the settings of the measurement are wrong.
-pub fn cost(servers: usize) -> Option<Change> {
-    let text = crate::process::router(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
+pub fn cost(servers: usize) -> Option<ListUpdateCost> {
+    let text = crate::process::router_config(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
     let settings = paddleproxy_settings::router::parse("bench", &text).ok()?;
     let kinds =
         settings.names.kinds.iter().cloned().zip(settings.decisions.kinds.iter().map(|kind| kind.role));
@@ -69,7 +69,7 @@
     let all: Vec<_> = (0..servers).map(|number| entry(number, "ready")).collect();
     let mut version = 0;
     let mut now_ms = 0.0;
-    let mut hear = |servers: Vec<ServerEntry>, whole: bool| {
+    let mut apply_list = |servers: Vec<ServerEntry>, whole: bool| {
         now_ms += 1.0;
         let after = (!whole).then_some(version);
         version += 1;
@@ -81,13 +81,13 @@
             control.handle(now_ms, &Event::Listed { kind, rows }, &mut Vec::new());
         }
     };
-    hear(all.clone(), true);
-    let one = pause(|number| {
+    apply_list(all.clone(), true);
+    let one = measure_blocked(|number| {
         let readiness = if number % 2 == 0 { "draining" } else { "ready" };
-        hear(vec![entry(number / 2 % servers, readiness)], false);
+        apply_list(vec![entry(number / 2 % servers, readiness)], false);
     });
-    let whole = pause(|_| hear(all.clone(), true));
+    let whole = measure_blocked(|_| apply_list(all.clone(), true));
     let changed = Event::Settings(Box::new(settings.decisions.clone()));
-    let settings = pause(|_| control.handle(now_ms, &changed, &mut Vec::new()));
-    Some(Change { servers, one, whole, settings })
+    let settings = measure_blocked(|_| control.handle(now_ms, &changed, &mut Vec::new()));
+    Some(ListUpdateCost { servers, one, whole, settings })
 }
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 pub struct Load {
     pub rate: f64,
-    pub length_ms: f64,
+    pub duration_ms: f64,
     pub tokens: u32,
     pub targets: Vec<Target>,
 }
@@ -49,16 +49,16 @@
     pub first_us: Histogram<u64>,
     /// Time from the first event to the last, for each event between, of answers of more than one.
     pub event_ns: Histogram<u64>,
-    pub asked: usize,
+    pub sent: usize,
     pub done: usize,
     pub failed: usize,
     /// Of those, turned away with 429 or 529.
-    pub turned_away: usize,
+    pub rejected: usize,
     pub events: usize,
 }
 
 /// Time of a load in which connections are made; its latencies don't count.
-const WARM_MS: f64 = 500.0;
+const WARM_UP_MS: f64 = 500.0;
 
 type Sender = SendRequest<Full<Bytes>>;
 type Idle = Rc<RefCell<BTreeMap<SocketAddr, Vec<Sender>>>>;
@@ -67,46 +67,46 @@
 pub const MESSAGES: &str = "/v1/messages";
 
 /// Requests open at once; what is due beyond counts as failed.
-const OPEN_MAX: usize = 4000;
+const MAX_OPEN_REQUESTS: usize = 4000;
 
 pub async fn run(load: &Load) -> Vec<Measured> {
     let idle = Idle::default();
     let rows: Vec<_> = load.targets.iter().map(|_| Rc::new(RefCell::new(Measured::new()))).collect();
     let open = Rc::new(());
-    let count = (load.rate * load.length_ms / 1e3) as usize;
-    let warm = (load.rate * WARM_MS.min(load.length_ms / 4.0) / 1e3) as usize;
+    let count = (load.rate * load.duration_ms / 1e3) as usize;
+    let warm_up_requests = (load.rate * WARM_UP_MS.min(load.duration_ms / 4.0) / 1e3) as usize;
     let origin = Instant::now();
     let mut tasks = tokio::task::JoinSet::new();
     for number in 0..count {
         let due = origin + Duration::from_secs_f64(number as f64 / load.rate);
         sleep_until(due).await;
         let (target, row) = (load.targets[number % rows.len()], rows[number % rows.len()].clone());
-        row.borrow_mut().asked += 1;
-        if Rc::strong_count(&open) > OPEN_MAX {
+        row.borrow_mut().sent += 1;
+        if Rc::strong_count(&open) > MAX_OPEN_REQUESTS {
             row.borrow_mut().failed += 1;
             continue;
         }
         let (idle, open, tokens) = (idle.clone(), open.clone(), load.tokens);
         tasks.spawn_local(async move {
-            let asked = one(target, number, tokens, &idle);
-            match timeout(Duration::from_secs(10), asked).await {
-                Ok(Ok((first, events, rest))) => {
+            let result = request_once(target, number, tokens, &idle);
+            match timeout(Duration::from_secs(10), result).await {
+                Ok(Ok((first, events, event_span))) => {
                     let mut row = row.borrow_mut();
                     row.done += 1;
                     row.events += events;
-                    if number >= warm {
+                    if number >= warm_up_requests {
                         // A histogram that grows by itself takes any value.
                         let _ = row.first_us.record(first.as_micros() as u64);
                         if events > 1 {
-                            let _ = row.event_ns.record(rest.as_nanos() as u64 / (events as u64 - 1));
+                            let _ = row.event_ns.record(event_span.as_nanos() as u64 / (events as u64 - 1));
                         }
                     }
                 }
                 failed => {
-                    let turned = matches!(&failed, Ok(Err(cause)) if cause.is::<TurnedAway>());
+                    let rejected = matches!(&failed, Ok(Err(cause)) if cause.is::<Rejected>());
                     let mut row = row.borrow_mut();
                     row.failed += 1;
-                    row.turned_away += usize::from(turned);
+                    row.rejected += usize::from(rejected);
                 }
             }
             drop(open);
@@ -120,7 +120,7 @@
 impl Measured {
     fn new() -> Self {
         let new = || Histogram::new(3).unwrap_or_else(|_| unreachable!("3 digits are allowed"));
-        Measured { first_us: new(), event_ns: new(), asked: 0, done: 0, failed: 0, turned_away: 0, events: 0 }
+        Measured { first_us: new(), event_ns: new(), sent: 0, done: 0, failed: 0, rejected: 0, events: 0 }
     }
 
     pub fn quantile_ms(&self, quantile: f64) -> f64 {
@@ -130,15 +130,15 @@
 
 /// Not taken, at once.
 #[derive(Debug)]
-struct TurnedAway;
+struct Rejected;
 
-impl std::fmt::Display for TurnedAway {
+impl std::fmt::Display for Rejected {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "turned away")
+        write!(f, "rejected")
     }
 }
 
-impl std::error::Error for TurnedAway {}
+impl std::error::Error for Rejected {}
 
 /// Reads streams on until told to stop; the longest silence that any of them saw, in ms.
 pub async fn longest_silence(
@@ -149,28 +149,28 @@
     for (sender, mut body) in streams {
         let mut stop = stop.clone();
         tasks.spawn_local(async move {
-            let (mut longest, mut at) = (0.0f64, Instant::now());
+            let (mut longest_ms, mut last_event) = (0.0f64, Instant::now());
             loop {
                 tokio::select! {
                     _ = stop.changed() => break,
                     frame = body.frame() => match frame {
                         Some(Ok(_)) => {
-                            longest = longest.max(at.elapsed().as_secs_f64() * 1e3);
-                            at = Instant::now();
+                            longest_ms = longest_ms.max(last_event.elapsed().as_secs_f64() * 1e3);
+                            last_event = Instant::now();
                         }
                         _ => break,
                     },
                 }
             }
             drop(sender);
-            longest
+            longest_ms
         });
     }
-    let mut longest = 0.0f64;
-    while let Some(one) = tasks.join_next().await {
-        longest = longest.max(one.unwrap_or(f64::INFINITY));
+    let mut longest_ms = 0.0f64;
+    while let Some(silence_ms) = tasks.join_next().await {
+        longest_ms = longest_ms.max(silence_ms.unwrap_or(f64::INFINITY));
     }
-    longest
+    longest_ms
 }
 
 async fn connect(address: SocketAddr) -> Result<Sender> {
@@ -201,12 +201,17 @@
 }
 
 /// The time to the first event, how many events came, and the time from the first to the last.
-async fn one(target: Target, number: usize, tokens: u32, idle: &Idle) -> Result<(Duration, usize, Duration)> {
+async fn request_once(
+    target: Target,
+    number: usize,
+    tokens: u32,
+    idle: &Idle,
+) -> Result<(Duration, usize, Duration)> {
     // From the moment of sending: timers are good for a millisecond only.
-    let due = Instant::now();
+    let sent_at = Instant::now();
     let address = target.address();
-    let kept = idle.borrow_mut().entry(address).or_default().pop();
-    let mut sender = match kept.filter(Sender::is_ready) {
+    let reused = idle.borrow_mut().entry(address).or_default().pop();
+    let mut sender = match reused.filter(Sender::is_ready) {
         Some(sender) => sender,
         None => connect(address).await?,
     };
@@ -214,33 +219,33 @@
     if matches!(response.status().as_u16(), 429 | 529) {
         response.into_body().collect().await?;
         idle.borrow_mut().entry(address).or_default().push(sender);
-        return Err(TurnedAway.into());
+        return Err(Rejected.into());
     }
     ensure!(response.status().is_success(), "status {}", response.status());
     let mut body = response.into_body();
-    let (first, mut events) = first_event(&mut body, due).await?;
-    let begun = Instant::now();
-    let mut rest = Duration::ZERO;
+    let (first, mut events) = first_event(&mut body, sent_at).await?;
+    let started = Instant::now();
+    let mut event_span = Duration::ZERO;
     while let Some(frame) = body.frame().await {
-        events += count(&frame?.into_data().unwrap_or_default());
-        rest = begun.elapsed();
+        events += count_events(&frame?.into_data().unwrap_or_default());
+        event_span = started.elapsed();
     }
     idle.borrow_mut().entry(address).or_default().push(sender);
-    Ok((first, events, rest))
+    Ok((first, events, event_span))
 }
 
-async fn first_event(body: &mut Incoming, due: Instant) -> Result<(Duration, usize)> {
+async fn first_event(body: &mut Incoming, sent_at: Instant) -> Result<(Duration, usize)> {
     while let Some(frame) = body.frame().await {
         let bytes = frame?.into_data().unwrap_or_default();
-        let events = count(&bytes);
+        let events = count_events(&bytes);
         if events > 0 {
-            return Ok((due.elapsed(), events));
+            return Ok((sent_at.elapsed(), events));
         }
     }
-    anyhow::bail!("no event at all")
+    anyhow::bail!("response without events")
 }
 
-fn count(bytes: &[u8]) -> usize {
+fn count_events(bytes: &[u8]) -> usize {
     bytes.windows(6).filter(|window| *window == b"data: ").count()
 }
 
@@ -270,9 +275,9 @@
 }
 
 /// Bytes that a slow reader takes in at once, how often, and the receive buffer it asks for.
-const SLOW_BYTES: usize = 64;
-const SLOW_EVERY_MS: u64 = 500;
-const SLOW_BUFFER: u32 = 2048;
+const SLOW_READ_BYTES: usize = 64;
+const SLOW_READ_INTERVAL_MS: u64 = 500;
+const SLOW_RECEIVE_BUFFER_BYTES: u32 = 2048;
 const SLOW_TOKENS: u32 = 1000;
 
 /// Opens streams that take in an eighth of what is written to them; how many still ran at the end, and the most memory
@@ -280,16 +285,16 @@
 pub async fn read_slowly(
     address: SocketAddr,
     count: usize,
-    length_ms: f64,
+    duration_ms: f64,
     memory_mib: impl Fn() -> Result<f64>,
 ) -> Result<(usize, f64)> {
-    let begun = Instant::now();
-    let until = begun + Duration::from_secs_f64(length_ms / 1e3);
+    let started = Instant::now();
+    let until = started + Duration::from_secs_f64(duration_ms / 1e3);
     let mut tasks = tokio::task::JoinSet::new();
     for number in 0..count {
         tasks.spawn_local(async move {
             let socket = tokio::net::TcpSocket::new_v4()?;
-            socket.set_recv_buffer_size(SLOW_BUFFER)?;
+            socket.set_recv_buffer_size(SLOW_RECEIVE_BUFFER_BYTES)?;
             let mut stream = socket.connect(address).await?;
             let turn = json!({ "role": "user", "content": format!("question {number}") });
             let body = json!({
@@ -302,10 +307,10 @@
             );
             stream.write_all(head.as_bytes()).await?;
             stream.write_all(body.as_bytes()).await?;
-            let mut buffer = [0; SLOW_BYTES];
+            let mut buffer = [0; SLOW_READ_BYTES];
             while Instant::now() < until {
-                ensure!(stream.read(&mut buffer).await? > 0, "cut");
-                tokio::time::sleep(Duration::from_millis(SLOW_EVERY_MS)).await;
+                ensure!(stream.read(&mut buffer).await? > 0, "connection closed");
+                tokio::time::sleep(Duration::from_millis(SLOW_READ_INTERVAL_MS)).await;
             }
             Ok(stream)
         });
@@ -313,14 +318,14 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
-    let mut most = 0.0f64;
+    let mut max_mib = 0.0f64;
     while Instant::now() < until {
         tokio::time::sleep(Duration::from_millis(250)).await;
-        most = most.max(memory_mib()?);
+        max_mib = max_mib.max(memory_mib()?);
     }
     let mut open = Vec::with_capacity(count);
     while let Some(stream) = tasks.join_next().await {
         open.extend(stream.ok().and_then(Result::ok));
     }
-    Ok((open.len(), most))
+    Ok((open.len(), max_mib))
 }
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -15,7 +15,7 @@
 pub struct Program {
     child: Child,
     /// What it said when it was ready.
-    pub said: serde_json::Value,
+    pub startup: serde_json::Value,
 }
 
 impl Program {
@@ -30,30 +30,31 @@
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("starting {}", program.display()))?;
-        let out = child.stdout.take().context("no output")?;
+        let out = child.stdout.take().context("the program has no output pipe")?;
         let line = timeout(Duration::from_secs(20), BufReader::new(out).lines().next_line()).await??;
-        let said = serde_json::from_str(&line.with_context(|| format!("{command} ended at once"))?)?;
-        Ok(Program { child, said })
+        let startup =
+            serde_json::from_str(&line.with_context(|| format!("{command} ended without a startup line"))?)?;
+        Ok(Program { child, startup })
     }
 
-    fn read(&self, name: &str) -> Result<String> {
-        let pid = self.child.id().context("it has ended")?;
+    fn read_proc(&self, name: &str) -> Result<String> {
+        let pid = self.child.id().context("the process has ended")?;
         Ok(std::fs::read_to_string(format!("/proc/{pid}/{name}"))?)
     }
 
     /// CPU time of its one busy thread so far, in microseconds; 0 where the system does not tell.
     pub fn cpu_us(&self) -> f64 {
-        let text = self.read("schedstat").unwrap_or_default();
+        let text = self.read_proc("schedstat").unwrap_or_default();
         text.split(' ').next().and_then(|nanos| nanos.parse::<f64>().ok()).map_or(0.0, |nanos| nanos / 1e3)
     }
 
     /// Memory that it holds, in MiB.
     pub fn memory_mib(&self) -> Result<f64> {
-        let pid = self.child.id().context("it has ended")?;
+        let pid = self.child.id().context("the process has ended")?;
         paddleproxy_day::resident_mib(&pid.to_string()).context("no VmRSS")
     }
 
-    pub async fn end(mut self) {
+    pub async fn stop(mut self) {
         // Started here, so ended here.
         let _ = self.child.kill().await;
     }
@@ -62,13 +63,13 @@
 const ROUTER: &str = include_str!("../../../examples/router.kdl");
 const FLEET: &str = include_str!("../../../examples/fleet.kdl");
 
-pub fn router(list: SocketAddr, dir: &Path, places: usize) -> String {
+pub fn router_config(list: SocketAddr, dir: &Path, max_completions: usize) -> String {
     ROUTER
         .replace("127.0.0.1:8080", "127.0.0.1:0")
         .replace("127.0.0.1:8081", "127.0.0.1:0")
         .replace("127.0.0.1:8090", &list.to_string())
         .replace("state/router-0", &dir.join("state").display().to_string())
-        .replace("open-completions 4000", &format!("open-completions {places}"))
+        .replace("open-completions 4000", &format!("open-completions {max_completions}"))
         .replace("open 3000", "open 20000")
         .replace("requests-per-s 2000", "requests-per-s 200000")
         .replace("tokens-per-s \"20M\"", "tokens-per-s \"2000M\"")
@@ -76,15 +77,15 @@
 }
 
 /// Mixed servers alone, each with room for everything, whose tokens take the given time.
-pub fn fleet(servers: usize, token_ms: f64) -> String {
+pub fn fleet_config(servers: usize, token_ms: f64) -> String {
     let head = FLEET.split("    servers ").next().unwrap_or_default();
-    let roomy = head
+    let unlimited = head
         .replace("127.0.0.1:8090", "127.0.0.1:0")
         .replace("slots 48", "slots 100000")
         .replace("memory \"200k\"", "memory \"1000M\"")
         .replace("read-rate \"10k\"", "read-rate \"1000M\"")
         .replace("token-time \"20ms\"", &format!("token-time \"{token_ms}ms\""));
-    let mut text = roomy;
+    let mut text = unlimited;
     for cell in 0..servers.div_ceil(10) {
         let count = 10.min(servers - cell * 10);
         text.push_str(&format!(
@@ -99,9 +100,9 @@
     stream
         .write_all(format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes())
         .await?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).await?;
-    let (head, body) = answer.split_once("\r\n\r\n").context("no answer")?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).await?;
+    let (head, body) = response.split_once("\r\n\r\n").context("incomplete HTTP response")?;
     if !head.starts_with("HTTP/1.1 200") {
         bail!("{path}: {}", head.lines().next().unwrap_or_default());
     }
@@ -109,14 +110,14 @@
 }
 
 /// Waits until a router has its list.
-pub async fn ready(admin: SocketAddr) -> Result<()> {
+pub async fn wait_until_ready(admin: SocketAddr) -> Result<()> {
     for _ in 0..1000 {
         if get(admin, "/healthz").await.is_ok() {
             return Ok(());
         }
         sleep(Duration::from_millis(10)).await;
     }
-    bail!("the router does not get ready")
+    bail!("the router did not become ready in time")
 }
 
 /// Allocations of a router so far; None from one that was built without counting them.
@@ -128,5 +129,5 @@
 
 pub async fn first_server(list: SocketAddr) -> Result<SocketAddr> {
     let list: ServerList = serde_json::from_str(&get(list, "/v1/servers?router=0&wait_ms=0").await?)?;
-    Ok(list.servers.first().context("no servers")?.address.parse()?)
+    Ok(list.servers.first().context("the list has no servers")?.address.parse()?)
 }
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -4,32 +4,32 @@
 
 use serde::Serialize;
 
-use crate::changes::Change;
-use crate::drains::Drains;
+use crate::drains::DrainDelay;
+use crate::list_updates::ListUpdateCost;
 use crate::load::Measured;
-use crate::stores::{Durable, StoreCost};
+use crate::stores::{DurableWrites, StoreCost};
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     pub schema: &'static str,
-    pub added: Option<Added>,
-    pub ramp: Vec<Added>,
+    pub added: Option<AddedLatency>,
+    pub ramp: Vec<AddedLatency>,
     /// CPU of the router for one completion of few events, and for each further event, in microseconds.
     pub completion_us: f64,
     pub event_us: f64,
-    pub forms: Vec<Form>,
-    pub refusals: Option<Refusals>,
+    pub forms: Vec<ApiCost>,
+    pub refusals: Option<RejectionRate>,
     pub memory: Vec<Memory>,
-    pub module: Vec<ModuleShare>,
+    pub module: Vec<DecisionCost>,
     pub stores: Vec<StoreCost>,
-    pub durable: Vec<Durable>,
-    pub drains: Option<Drains>,
-    pub changes: Vec<Change>,
+    pub durable: Vec<DurableWrites>,
+    pub drains: Option<DrainDelay>,
+    pub changes: Vec<ListUpdateCost>,
 }
 
 /// What the router adds to the time to the first event, against going to the server directly.
 #[derive(Clone, Debug, Serialize)]
-pub struct Added {
+pub struct AddedLatency {
     pub rate: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -41,31 +41,31 @@
     pub core: Option<f64>,
 }
 
-impl Added {
-    pub(crate) fn of(rate: f64, through: &Measured, direct: &Measured) -> Added {
-        let added = |quantile| through.quantile_ms(quantile) - direct.quantile_ms(quantile);
-        Added {
+impl AddedLatency {
+    pub(crate) fn of(rate: f64, through: &Measured, direct: &Measured) -> AddedLatency {
+        let difference_ms = |quantile| through.quantile_ms(quantile) - direct.quantile_ms(quantile);
+        AddedLatency {
             rate,
-            p50_ms: added(0.5),
-            p99_ms: added(0.99),
+            p50_ms: difference_ms(0.5),
+            p99_ms: difference_ms(0.99),
             direct_p50_ms: direct.quantile_ms(0.5),
             direct_p99_ms: direct.quantile_ms(0.99),
-            asked: through.asked,
+            asked: through.sent,
             done: through.done,
             core: None,
         }
     }
 
-    pub(crate) fn with_cpu(self, core: f64) -> Added {
-        Added { core: Some(core), ..self }
+    pub(crate) fn with_cpu(self, core: f64) -> AddedLatency {
+        AddedLatency { core: Some(core), ..self }
     }
 }
 
 /// What one form of the API costs.
 #[derive(Clone, Debug, Serialize)]
-pub struct Form {
+pub struct ApiCost {
     pub path: String,
-    pub added: Added,
+    pub added: AddedLatency,
     /// Time that a stream without pauses takes longer than the engine's own, for each event, in microseconds.
     pub added_event_us: f64,
     /// CPU of the router for each further event, in microseconds.
@@ -84,7 +84,7 @@
 /// The highest rate tried at which a full router turned all away and no stream that filled it was held up for as long
 /// as two of its tokens take.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Refusals {
+pub struct RejectionRate {
     pub rate: f64,
     pub streams: usize,
     pub longest_silence_ms: f64,
@@ -105,7 +105,7 @@
 
 /// The decisions' part of the router's CPU for one completion.
 #[derive(Clone, Debug, Serialize)]
-pub struct ModuleShare {
+pub struct DecisionCost {
     pub servers: usize,
     pub module_us: f64,
     pub router_us: f64,
@@ -153,7 +153,7 @@
                 self.completion_us, self.event_us
             );
         }
-        for Form { path, added, added_event_us, event_us, allocations } in &self.forms {
+        for ApiCost { path, added, added_event_us, event_us, allocations } in &self.forms {
             let (p50, p99) = (added.p50_ms, added.p99_ms);
             let _ = writeln!(
                 text,
@@ -185,19 +185,19 @@
                 "store of {entries}: {behind_per_s:.0} writes/s behind, {log_mib:.1} MiB, {compacted_mib:.1} after a snapshot of {compact_ms:.0} ms, opened in {open_ms:.0} ms, weighed in {weigh_ms:.0}"
             );
         }
-        for Durable { at_once, per_s, p50_ms, p99_ms } in &self.durable {
+        for DurableWrites { at_once, per_s, p50_ms, p99_ms } in &self.durable {
             let _ = writeln!(
                 text,
                 "durable writes, {at_once} at once: {per_s:.0}/s, {p50_ms:.2} ms at p50, {p99_ms:.2} at p99"
             );
         }
-        if let Some(Drains { edits, p50_ms, worst_ms, asked, done }) = &self.drains {
+        if let Some(DrainDelay { edits, p50_ms, worst_ms, asked, done }) = &self.drains {
             let _ = writeln!(
                 text,
                 "drains by file: last new work {p50_ms:.0} ms after the edit at p50, {worst_ms:.0} at worst, of {edits}; {done} of {asked} answered"
             );
         }
-        for Change { servers, one, whole, settings } in &self.changes {
+        for ListUpdateCost { servers, one, whole, settings } in &self.changes {
             let _ = writeln!(
                 text,
                 "{servers} servers: a change holds the core up for {:.0} us at p99 ({:.0} at worst), a whole list {:.0} ({:.0}), settings {:.0} ({:.0})",
--- a/crates/bench/src/stores.rs
+++ b/crates/bench/src/stores.rs
@@ -26,14 +26,14 @@
 
 /// Writes that are waited for until they are on the disk.
 #[derive(Clone, Debug, Serialize)]
-pub struct Durable {
+pub struct DurableWrites {
     pub at_once: usize,
     pub per_s: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
 }
 
-fn kept(number: usize) -> Op {
+fn cache_entry(number: usize) -> Op {
     let server = format!("north-m{}", number % 100);
     let value = StoredCacheEntry { tokens: 1234.0 + number as f64, at_ms: 1.7e12, start: 1 };
     let key = retention::cache_entry_key(Text::Session(number as u64 * 7919), &server);
@@ -50,7 +50,7 @@
     let began = Instant::now();
     for _ in 0..2 {
         for from in (0..entries).step_by(100) {
-            let ops: Vec<_> = (from..entries.min(from + 100)).map(kept).collect();
+            let ops: Vec<_> = (from..entries.min(from + 100)).map(cache_entry).collect();
             store.write(&ops)?;
         }
     }
@@ -67,19 +67,19 @@
     let open_ms = began.elapsed().as_secs_f64() * 1e3;
     let starts = (0..100).map(|number| (format!("north-m{number}"), 1)).collect();
     let began = Instant::now();
-    let believed = retention::recover_cache_entries(
+    let recovered = retention::recover_cache_entries(
         1.7e12,
         &retention::CACHE_RECOVERY_LIMITS,
         &starts,
         retention::stored_cache_entries(store.entries_of(Kind::Kept)),
     );
     let weigh_ms = began.elapsed().as_secs_f64() * 1e3;
-    anyhow::ensure!(store.len() == entries && !believed.is_empty(), "the store lost entries");
+    anyhow::ensure!(store.len() == entries && !recovered.is_empty(), "the store lost entries");
     Ok(StoreCost { entries, behind_per_s, log_mib, compacted_mib, compact_ms, open_ms, weigh_ms })
 }
 
 /// Durable writes by so many who each wait for theirs.
-pub async fn durable(at_once: usize, writes: usize) -> Result<Durable> {
+pub async fn durable(at_once: usize, writes: usize) -> Result<DurableWrites> {
     let dir = tempfile::tempdir()?;
     let store = Store::open(Disk::open(dir.path())?, Options::default())?;
     let (handle, _) = Handle::start(store)?;
@@ -88,24 +88,24 @@
     for task in 0..at_once {
         let handle = handle.clone();
         tasks.spawn_local(async move {
-            let mut took = Vec::new();
+            let mut latencies_us = Vec::new();
             for number in 0..writes / at_once {
                 let began = Instant::now();
                 let key = Key::new(Kind::Tokened, format!("app\0{task}-{number}"));
                 let acknowledged = handle.write_durable(vec![Op::Put { key, value: vec![b'1'; 60] }])?;
                 acknowledged.await?.map_err(anyhow::Error::msg)?;
-                took.push(began.elapsed().as_micros() as u64);
+                latencies_us.push(began.elapsed().as_micros() as u64);
             }
-            anyhow::Ok(took)
+            anyhow::Ok(latencies_us)
         });
     }
-    let mut us = Histogram::<u64>::new(3)?;
-    while let Some(took) = tasks.join_next().await {
-        for one in took?? {
-            us.record(one)?;
+    let mut histogram_us = Histogram::<u64>::new(3)?;
+    while let Some(latencies_us) = tasks.join_next().await {
+        for latency_us in latencies_us?? {
+            histogram_us.record(latency_us)?;
         }
     }
-    let per_s = us.len() as f64 / began.elapsed().as_secs_f64();
-    let ms = |quantile| us.value_at_quantile(quantile) as f64 / 1e3;
-    Ok(Durable { at_once, per_s, p50_ms: ms(0.5), p99_ms: ms(0.99) })
+    let per_s = histogram_us.len() as f64 / began.elapsed().as_secs_f64();
+    let ms = |quantile| histogram_us.value_at_quantile(quantile) as f64 / 1e3;
+    Ok(DurableWrites { at_once, per_s, p50_ms: ms(0.5), p99_ms: ms(0.99) })
 }
