--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions alone, without sockets.
+//! Cost of the decision module alone, without sockets.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -6,10 +6,10 @@
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
-/// Completions that are decided.
+/// Number of measured completions.
 const COMPLETIONS: u32 = 2000;
 
-/// CPU of all decisions of one completion with so many servers listed, in microseconds.
+/// CPU time of all decisions of one completion with `servers` listed servers, in microseconds.
 pub fn cost_us(servers: usize) -> f64 {
     let text = crate::process::router_config(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
     let Ok(settings) = paddleproxy_settings::router::parse("bench", &text) else { return f64::NAN };
--- a/crates/bench/src/drains.rs
+++ b/crates/bench/src/drains.rs
@@ -1,4 +1,5 @@
-//! How soon new work to a server stops once operators write that it drains, by what the sockets carried.
+//! Delay from an edit of the servers file that drains a server to the last new request at that server, as
+//! recorded at its sockets.
 
 use std::path::Path;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use crate::load::{self, Load, Target};
 use crate::process::{self, Program};
 
-/// Time from an edit to the last new work at the server that it drains; 0 where none came after it.
+/// Time from an edit to the last new work at the drained server; 0 if none arrived after the edit.
 #[derive(Clone, Debug, Serialize)]
 pub struct DrainDelay {
     pub edits: usize,
@@ -25,7 +26,7 @@
 
 const SERVERS: usize = 10;
 const REQUESTS_PER_S: f64 = 400.0;
-/// A drain lasts so long, and so long is waited after it.
+/// Duration of a drain, and the wait before the next one.
 const DRAINED_MS: u64 = 250;
 const BETWEEN_MS: u64 = 120;
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,5 +1,6 @@
-//! Measures a router on loopback against going to a stand-in directly, in one run, on the machine at hand.
-//! Figures are of this machine and of simulated servers; ratios within a run progress more than the figures.
+//! Measures a router on loopback against direct requests to a simulated server, in one run on the local
+//! machine. Absolute figures depend on the machine and on the simulated servers; ratios within a run are more
+//! meaningful.
 
 mod decisions;
 mod drains;
@@ -21,23 +22,26 @@
 pub use crate::report::{AddedLatency, Allocations, ApiCost, DecisionCost, Memory, RejectionRate, Report};
 pub use crate::stores::{DurableWrites, StoreCost};
 
-/// How long and how hard to measure.
+/// Durations, rates and sizes to measure.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Length of each load, in ms.
+    /// Duration of each load, in ms.
     pub load_ms: f64,
-    /// Requests a second at which the added latency is compared.
+    /// Requests per second at which the added latency is measured.
     pub rate: f64,
-    /// Rates tried in turn until the added p99 is too high.
+    /// Rates that are tried in turn until the added p99 exceeds [`ADDED_LIMIT_MS`].
     pub ramp_rates: Vec<f64>,
+    /// Numbers of open streams for which the memory is measured.
     pub streams: Vec<usize>,
-    /// How long slow readers read, in ms.
+    /// How long slow clients read, in ms.
     pub slow_readers_ms: f64,
+    /// Numbers of listed servers.
     pub servers: Vec<usize>,
-    /// Edits of the operators' list.
+    /// Number of drains by edits of the operators' servers file.
     pub edits: usize,
-    /// Entries of a store, and durable writes.
+    /// Sizes of the store, in entries.
     pub store_entries: Vec<usize>,
+    /// Number of durable writes.
     pub durable_writes: usize,
 }
 
@@ -58,7 +62,7 @@
 }
 
 impl Plan {
-    /// A short run that shows that everything works.
+    /// A short run that checks that every measurement works.
     pub fn quick() -> Self {
         let ramp_rates = vec![500.0, 1000.0];
         Plan {
@@ -75,15 +79,15 @@
     }
 }
 
-/// The added p99 at which a rate counts as too high, in ms.
+/// Added p99 above which a rate counts as too high, in ms.
 pub const ADDED_LIMIT_MS: f64 = 5.0;
-/// Answers of so many tokens; the longer ones tell the cost of an event.
+/// Lengths of answers, in tokens. The difference between the two gives the cost of an event.
 const SHORT_TOKENS: u32 = 4;
 const LONG_TOKENS: u32 = 68;
-/// Time of a token for readers that take in less than is written.
+/// Time per token for streams whose clients read slower than the server writes.
 const SLOW_TOKEN_MS: f64 = 200.0;
 
-/// A router and a fleet as processes of their own.
+/// A router and a fleet, each in a process of its own.
 struct Deployment {
     router: Program,
     fleet: Program,
@@ -132,7 +136,7 @@
     }
 }
 
-/// How many requests a second a full router turns away while the streams that fill it run on.
+/// Highest rate of requests that a full router rejects without delaying the streams that fill it.
 async fn rejection_rate(program: &Path, plan: &Plan) -> Result<RejectionRate> {
     const TOKEN_MS: f64 = 100.0;
     const MAX_COMPLETIONS: usize = 64;
@@ -165,7 +169,7 @@
     Ok(best)
 }
 
-/// What changes of the list cost, and a store.
+/// Measures the cost of list updates and of the store.
 async fn lists_and_stores(plan: &Plan, report: &mut Report, progress: &impl Fn(&str)) -> Result<()> {
     progress("list updates");
     report.changes.extend(plan.servers.iter().filter_map(|servers| list_updates::cost(*servers)));
@@ -179,10 +183,10 @@
     Ok(())
 }
 
-/// The part of the plan that needs no router.
+/// Runs the part of the plan that needs no router.
 ///
 /// # Errors
-/// A disk that fails.
+/// Returns an error if the disk fails.
 pub async fn run_alone(plan: &Plan, progress: impl Fn(&str)) -> Result<Report> {
     let mut report = Report::new();
     lists_and_stores(plan, &mut report, &progress).await?;
@@ -192,7 +196,7 @@
 /// Runs the whole plan with `program` as router and fleet.
 ///
 /// # Errors
-/// What could not be started or asked.
+/// Returns an error if a process can't be started or a request fails.
 pub async fn run(program: &Path, plan: &Plan, progress: impl Fn(&str)) -> Result<Report> {
     let mut report = Report::new();
     progress("added latency");
--- a/crates/bench/src/list_updates.rs
+++ b/crates/bench/src/list_updates.rs
@@ -1,4 +1,4 @@
-//! What one change of the list costs the core task.
+//! Cost of list updates for the core task.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -10,13 +10,15 @@
 use paddleproxy_membership::{ListUpdate, Membership, SourceId};
 use serde::Serialize;
 
-/// Time that the core is held up by a change, in microseconds.
+/// Time for which an update blocks the core task, by kind of update.
 #[derive(Clone, Debug, Serialize)]
 pub struct ListUpdateCost {
     pub servers: usize,
-    /// One server in a version of changes; the whole list anew; other settings.
+    /// A version that changes one server.
     pub one: BlockedTime,
+    /// A version with the whole list.
     pub whole: BlockedTime,
+    /// A reload of the settings.
     pub settings: BlockedTime,
 }
 
@@ -36,7 +38,7 @@
     for number in 0..REPETITIONS {
         let began = Instant::now();
         operation(number);
-        // A histogram that grows by itself takes any value.
+        // The histogram resizes itself, so recording can't fail.
         let _ = blocked_ns.record(began.elapsed().as_nanos() as u64);
     }
     let us = |nanos: u64| nanos as f64 / 1e3;
@@ -47,7 +49,7 @@
     }
 }
 
-/// The cost with so many servers listed; None where the settings of the measurement are wrong.
+/// Measures the cost with `servers` listed servers; `None` if the settings of the measurement are invalid.
 pub fn cost(servers: usize) -> Option<ListUpdateCost> {
     let text = crate::process::router_config(([127, 0, 0, 1], 1).into(), std::path::Path::new("state"), 1000);
     let settings = paddleproxy_settings::router::parse("bench", &text).ok()?;
--- a/crates/bench/src/load.rs
+++ b/crates/bench/src/load.rs
@@ -1,4 +1,4 @@
-//! Requests at a steady rate on kept connections, bounded in count and time.
+//! Sends requests at a constant rate over pooled connections, with limits on open requests and on their time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,9 +21,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
-    /// A router, by the form of its API at that path.
+    /// A router, and the path of the API to use.
     Router(SocketAddr, &'static str),
-    /// A stand-in, by the engine's wire.
+    /// A simulated server, by the engine's API.
     Server(SocketAddr),
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Targets take turns, so that what disturbs one disturbs the other.
+/// A load. Requests alternate between the targets, so that a disturbance of the machine affects all of them.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub rate: f64,
@@ -44,20 +44,20 @@
     pub targets: Vec<Target>,
 }
 
-/// What came of the requests to one target; times from the moment at which a request was sent.
+/// Results of the requests to one target. Times start when a request is sent.
 pub struct Measured {
     pub first_us: Histogram<u64>,
-    /// Time from the first event to the last, for each event between, of answers of more than one.
+    /// Mean time between two events of an answer, for answers of more than one event.
     pub event_ns: Histogram<u64>,
     pub sent: usize,
     pub done: usize,
     pub failed: usize,
-    /// Of those, turned away with 429 or 529.
+    /// Failed requests that were rejected with status 429 or 529.
     pub rejected: usize,
     pub events: usize,
 }
 
-/// Time of a load in which connections are made; its latencies don't count.
+/// Time at the start of a load in which connections are opened; latencies in it are not counted.
 const WARM_UP_MS: f64 = 500.0;
 
 type Sender = SendRequest<Full<Bytes>>;
@@ -66,7 +66,7 @@
 /// Path of the messages API.
 pub const MESSAGES: &str = "/v1/messages";
 
-/// Requests open at once; what is due beyond counts as failed.
+/// Maximum number of open requests; further requests count as failed without being sent.
 const MAX_OPEN_REQUESTS: usize = 4000;
 
 pub async fn run(load: &Load) -> Vec<Measured> {
@@ -95,7 +95,7 @@
                     row.done += 1;
                     row.events += events;
                     if number >= warm_up_requests {
-                        // A histogram that grows by itself takes any value.
+                        // The histogram resizes itself, so recording can't fail.
                         let _ = row.first_us.record(first.as_micros() as u64);
                         if events > 1 {
                             let _ = row.event_ns.record(event_span.as_nanos() as u64 / (events as u64 - 1));
@@ -128,7 +128,7 @@
     }
 }
 
-/// Not taken, at once.
+/// The request was rejected with status 429 or 529.
 #[derive(Debug)]
 struct Rejected;
 
@@ -140,7 +140,8 @@
 
 impl std::error::Error for Rejected {}
 
-/// Reads streams on until told to stop; the longest silence that any of them saw, in ms.
+/// Reads streams until `stop` changes. Returns the longest time between two events of any stream, in ms;
+/// infinite if a task failed.
 pub async fn longest_silence(
     streams: Vec<(Sender, Incoming)>,
     stop: tokio::sync::watch::Receiver<bool>,
@@ -200,14 +201,15 @@
         .body(Full::new(Bytes::from(body.to_string())))?)
 }
 
-/// The time to the first event, how many events came, and the time from the first to the last.
+/// Sends one request. Returns the time to the first event, the number of events, and the time from the first
+/// event to the last.
 async fn request_once(
     target: Target,
     number: usize,
     tokens: u32,
     idle: &Idle,
 ) -> Result<(Duration, usize, Duration)> {
-    // From the moment of sending: timers are good for a millisecond only.
+    // Times start here and not at the scheduled time, since timers have a resolution of 1 ms.
     let sent_at = Instant::now();
     let address = target.address();
     let reused = idle.borrow_mut().entry(address).or_default().pop();
@@ -249,7 +251,7 @@
     bytes.windows(6).filter(|window| *window == b"data: ").count()
 }
 
-/// Opens streams until each has had its first event; they stay open as long as they are kept.
+/// Opens streams and waits for the first event of each. They stay open until dropped.
 pub async fn open_streams(address: SocketAddr, count: usize) -> Vec<(Sender, Incoming)> {
     let mut open = Vec::with_capacity(count);
     let mut number = 0;
@@ -274,14 +276,14 @@
     open
 }
 
-/// Bytes that a slow reader takes in at once, how often, and the receive buffer it asks for.
+/// Size and interval of the reads of a slow client, and the size of its receive buffer.
 const SLOW_READ_BYTES: usize = 64;
 const SLOW_READ_INTERVAL_MS: u64 = 500;
 const SLOW_RECEIVE_BUFFER_BYTES: u32 = 2048;
 const SLOW_TOKENS: u32 = 1000;
 
-/// Opens streams that take in an eighth of what is written to them; how many still ran at the end, and the most memory
-/// seen, in MiB.
+/// Opens streams whose clients read an eighth of what is written to them. Returns how many still ran at the
+/// end, and the highest memory use of the router, in MiB.
 pub async fn read_slowly(
     address: SocketAddr,
     count: usize,
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -1,4 +1,4 @@
-//! Router and fleet as processes of their own, and what they use of the machine.
+//! Starts the router and the fleet as processes and reads their resource use.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -14,7 +14,7 @@
 
 pub struct Program {
     child: Child,
-    /// What it said when it was ready.
+    /// The JSON line that it prints when it is ready.
     pub startup: serde_json::Value,
 }
 
@@ -42,20 +42,19 @@
         Ok(std::fs::read_to_string(format!("/proc/{pid}/{name}"))?)
     }
 
-    /// CPU time of its one busy thread so far, in microseconds; 0 where the system does not tell.
+    /// CPU time of its main thread so far, in microseconds; 0 if the system does not report it.
     pub fn cpu_us(&self) -> f64 {
         let text = self.read_proc("schedstat").unwrap_or_default();
         text.split(' ').next().and_then(|nanos| nanos.parse::<f64>().ok()).map_or(0.0, |nanos| nanos / 1e3)
     }
 
-    /// Memory that it holds, in MiB.
+    /// Resident memory, in MiB.
     pub fn memory_mib(&self) -> Result<f64> {
         let pid = self.child.id().context("the process has ended")?;
         paddleproxy_day::resident_mib(&pid.to_string()).context("no VmRSS")
     }
 
     pub async fn stop(mut self) {
-        // Started here, so ended here.
         let _ = self.child.kill().await;
     }
 }
@@ -63,6 +62,7 @@
 const ROUTER: &str = include_str!("../../../examples/router.kdl");
 const FLEET: &str = include_str!("../../../examples/fleet.kdl");
 
+/// The example router with free ports, the given list service, and limits that the loads don't reach.
 pub fn router_config(list: SocketAddr, dir: &Path, max_completions: usize) -> String {
     ROUTER
         .replace("127.0.0.1:8080", "127.0.0.1:0")
@@ -76,7 +76,8 @@
         .replace("connections 6000", "connections 20000")
 }
 
-/// Mixed servers alone, each with room for everything, whose tokens take the given time.
+/// A fleet of mixed servers only, practically without limits on slots, memory and read rate, with the given
+/// time per token.
 pub fn fleet_config(servers: usize, token_ms: f64) -> String {
     let head = FLEET.split("    servers ").next().unwrap_or_default();
     let unlimited = head
@@ -109,7 +110,7 @@
     Ok(body.to_owned())
 }
 
-/// Waits until a router has its list.
+/// Waits until a router is ready, that is has received its list.
 pub async fn wait_until_ready(admin: SocketAddr) -> Result<()> {
     for _ in 0..1000 {
         if get(admin, "/healthz").await.is_ok() {
@@ -120,13 +121,14 @@
     bail!("the router did not become ready in time")
 }
 
-/// Allocations of a router so far; None from one that was built without counting them.
+/// Number of memory allocations of a router so far; `None` if it was built without counting them.
 pub async fn allocations(admin: SocketAddr) -> Option<f64> {
     let text = get(admin, "/metrics").await.ok()?;
     let line = text.lines().find_map(|line| line.strip_prefix("paddleproxy_allocations_total "))?;
     line.parse().ok()
 }
 
+/// Address of the first server in the list.
 pub async fn first_server(list: SocketAddr) -> Result<SocketAddr> {
     let list: ServerList = serde_json::from_str(&get(list, "/v1/servers?router=0&wait_ms=0").await?)?;
     Ok(list.servers.first().context("the list has no servers")?.address.parse()?)
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -1,4 +1,4 @@
-//! The figures, as a table and as JSON.
+//! The report, as text and as JSON.
 
 use std::fmt::Write;
 
@@ -14,7 +14,7 @@
     pub schema: &'static str,
     pub added: Option<AddedLatency>,
     pub ramp: Vec<AddedLatency>,
-    /// CPU of the router for one completion of few events, and for each further event, in microseconds.
+    /// CPU time of the router for one completion of few events, and for each further event, in microseconds.
     pub completion_us: f64,
     pub event_us: f64,
     pub forms: Vec<ApiCost>,
@@ -27,7 +27,7 @@
     pub changes: Vec<ListUpdateCost>,
 }
 
-/// What the router adds to the time to the first event, against going to the server directly.
+/// Time to the first event that the router adds, compared with direct requests to the server.
 #[derive(Clone, Debug, Serialize)]
 pub struct AddedLatency {
     pub rate: f64,
@@ -61,28 +61,29 @@
     }
 }
 
-/// What one form of the API costs.
+/// Cost of one API of the router.
 #[derive(Clone, Debug, Serialize)]
 pub struct ApiCost {
     pub path: String,
     pub added: AddedLatency,
-    /// Time that a stream without pauses takes longer than the engine's own, for each event, in microseconds.
+    /// Additional time per event compared with the engine's own stream, for answers without pauses, in
+    /// microseconds.
     pub added_event_us: f64,
-    /// CPU of the router for each further event, in microseconds.
+    /// CPU time of the router for each further event, in microseconds.
     pub event_us: f64,
-    /// None from a router that was built without counting them.
+    /// `None` if the router was built without counting them.
     pub allocations: Option<Allocations>,
 }
 
-/// Allocations of the router for a completion of few events, and for each further event.
+/// Memory allocations of the router for a completion of few events, and for each further event.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Allocations {
     pub completion: f64,
     pub event: f64,
 }
 
-/// The highest rate tried at which a full router turned all away and no stream that filled it was held up for as long
-/// as two of its tokens take.
+/// Highest tried rate at which a full router rejected every request and no stream that filled it was silent
+/// for longer than the time of two tokens.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RejectionRate {
     pub rate: f64,
@@ -95,15 +96,16 @@
 
 #[derive(Clone, Debug, Serialize)]
 pub struct Memory {
-    /// Streams that were open.
+    /// Number of open streams.
     pub streams: usize,
-    /// What their clients read.
+    /// How the clients read.
     pub reads: &'static str,
+    /// Memory without streams, and with them.
     pub empty_mib: f64,
     pub mib: f64,
 }
 
-/// The decisions' part of the router's CPU for one completion.
+/// CPU time of the decisions and of the whole router for one completion, in microseconds.
 #[derive(Clone, Debug, Serialize)]
 pub struct DecisionCost {
     pub servers: usize,
@@ -132,7 +134,7 @@
 
     pub fn text(&self) -> String {
         let mut text = String::from("simulated servers, loopback, this machine\n\n");
-        // Writing to a String does not fail.
+        // Writing to a String can't fail.
         let _ = writeln!(
             text,
             "{:>8} {:>10} {:>10} {:>11} {:>11} {:>7} {:>7} {:>6}",
@@ -157,7 +159,8 @@
             let (p50, p99) = (added.p50_ms, added.p99_ms);
             let _ = writeln!(
                 text,
-                "{path}: {p50:.3} ms added at p50, {p99:.3} at p99, {added_event_us:.1} us an event; {event_us:.1} us of CPU an event"
+                "{path}: {p50:.3} ms added at p50, {p99:.3} at p99, {added_event_us:.1} us an event; \
+                 {event_us:.1} us of CPU an event"
             );
             if let Some(Allocations { completion, event }) = allocations {
                 let _ = writeln!(text, "    {completion:.0} allocations a completion, {event:.1} an event");
@@ -166,7 +169,8 @@
         if let Some(row) = &self.refusals {
             let _ = writeln!(
                 text,
-                "refusals: {:.0} a second beside {} streams, whose longest silence was {:.0} ms at {:.0} ms a token; {:.2} core",
+                "refusals: {:.0} a second beside {} streams, whose longest silence was {:.0} ms \
+                 at {:.0} ms a token; {:.2} core",
                 row.rate, row.streams, row.longest_silence_ms, row.token_ms, row.core
             );
         }
@@ -174,7 +178,8 @@
             let Memory { streams, reads, empty_mib, mib } = row;
             let _ = writeln!(
                 text,
-                "memory: {mib:.1} MiB with {streams} streams whose clients read {reads}, {empty_mib:.1} MiB with none"
+                "memory: {mib:.1} MiB with {streams} streams whose clients read {reads}, \
+                 {empty_mib:.1} MiB with none"
             );
         }
         for row in &self.stores {
@@ -182,7 +187,9 @@
                 row;
             let _ = writeln!(
                 text,
-                "store of {entries}: {behind_per_s:.0} writes/s behind, {log_mib:.1} MiB, {compacted_mib:.1} after a snapshot of {compact_ms:.0} ms, opened in {open_ms:.0} ms, weighed in {weigh_ms:.0}"
+                "store of {entries}: {behind_per_s:.0} writes/s behind, {log_mib:.1} MiB, \
+                 {compacted_mib:.1} after a snapshot of {compact_ms:.0} ms, opened in {open_ms:.0} ms, \
+                 weighed in {weigh_ms:.0}"
             );
         }
         for DurableWrites { at_once, per_s, p50_ms, p99_ms } in &self.durable {
@@ -194,13 +201,15 @@
         if let Some(DrainDelay { edits, p50_ms, worst_ms, asked, done }) = &self.drains {
             let _ = writeln!(
                 text,
-                "drains by file: last new work {p50_ms:.0} ms after the edit at p50, {worst_ms:.0} at worst, of {edits}; {done} of {asked} answered"
+                "drains by file: last new work {p50_ms:.0} ms after the edit at p50, {worst_ms:.0} at worst, \
+                 of {edits}; {done} of {asked} answered"
             );
         }
         for ListUpdateCost { servers, one, whole, settings } in &self.changes {
             let _ = writeln!(
                 text,
-                "{servers} servers: a change holds the core up for {:.0} us at p99 ({:.0} at worst), a whole list {:.0} ({:.0}), settings {:.0} ({:.0})",
+                "{servers} servers: a change holds the core up for {:.0} us at p99 ({:.0} at worst), \
+                 a whole list {:.0} ({:.0}), settings {:.0} ({:.0})",
                 one.p99_us, one.worst_us, whole.p99_us, whole.worst_us, settings.p99_us, settings.worst_us
             );
         }
--- a/crates/bench/src/stores.rs
+++ b/crates/bench/src/stores.rs
@@ -1,4 +1,4 @@
-//! What a store costs on this machine's disk.
+//! Cost of a store on the local disk.
 
 use std::time::Instant;
 
@@ -10,21 +10,22 @@
 use paddleproxy_store::{Disk, Handle, Key};
 use serde::Serialize;
 
-/// One size of a store.
+/// Cost of a store of one size.
 #[derive(Clone, Debug, Serialize)]
 pub struct StoreCost {
     pub entries: usize,
-    /// Writes a second that are not waited for.
+    /// Writes per second without waiting for durability.
     pub behind_per_s: f64,
     pub log_mib: f64,
     pub compacted_mib: f64,
     pub compact_ms: f64,
-    /// Opening it anew, and weighing what it holds.
+    /// Time to open the store again.
     pub open_ms: f64,
+    /// Time to recover the cache entries from it.
     pub weigh_ms: f64,
 }
 
-/// Writes that are waited for until they are on the disk.
+/// Writes that wait until they are on disk, `at_once` of them concurrently.
 #[derive(Clone, Debug, Serialize)]
 pub struct DurableWrites {
     pub at_once: usize,
@@ -42,7 +43,7 @@
 
 const MIB: f64 = (1 << 20) as f64;
 
-/// A store of so many entries, each written twice.
+/// Measures a store of `entries` entries, each written twice.
 pub fn cost(entries: usize) -> Result<StoreCost> {
     let dir = tempfile::tempdir()?;
     let options = Options { dead_factor: f64::INFINITY, ..Options::default() };
@@ -78,7 +79,7 @@
     Ok(StoreCost { entries, behind_per_s, log_mib, compacted_mib, compact_ms, open_ms, weigh_ms })
 }
 
-/// Durable writes by so many who each wait for theirs.
+/// Measures durable writes by `at_once` concurrent writers, each of which waits for its own write.
 pub async fn durable(at_once: usize, writes: usize) -> Result<DurableWrites> {
     let dir = tempfile::tempdir()?;
     let store = Store::open(Disk::open(dir.path())?, Options::default())?;
