--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -201,14 +201,14 @@
     let mut report = Report::new();
     progress("added latency");
     let deployment = Deployment::start(program, 10, 0.0).await?;
-    let warm = Load {
+    let warm_up = Load {
         rate: plan.rate / 2.0,
         duration_ms: 1000.0,
         tokens: SHORT_TOKENS,
         targets: vec![deployment.router_target(), Target::Server(deployment.server)],
     };
-    load::run(&warm).await;
-    let both = Load { rate: 2.0 * plan.rate, duration_ms: plan.load_ms, ..warm.clone() };
+    load::run(&warm_up).await;
+    let both = Load { rate: 2.0 * plan.rate, duration_ms: plan.load_ms, ..warm_up.clone() };
     let measured = load::run(&both).await;
     report.added = Some(AddedLatency::of(plan.rate, &measured[0], &measured[1]));
     progress("highest rate");
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -260,16 +260,16 @@
                 tokio::task::yield_now().await;
             }
             // Steps to the scheduled time, not to the current one, so that timer delays don't accumulate.
-            self.act(|model, did| model.step(at_ms, did));
+            self.update_model(|model, outcomes| model.step(at_ms, outcomes));
         }
     }
 
     /// Applies an operation to the model and sends the resulting events to the waiting connections.
-    fn act<T>(self: &Rc<Self>, act: impl FnOnce(&mut Model, &mut Vec<Did>) -> T) -> T {
-        let mut did = Vec::new();
-        let result = act(&mut self.state.borrow_mut().model, &mut did);
-        for did in did {
-            let (id, event) = match did {
+    fn update_model<T>(self: &Rc<Self>, update: impl FnOnce(&mut Model, &mut Vec<Did>) -> T) -> T {
+        let mut outcomes = Vec::new();
+        let result = update(&mut self.state.borrow_mut().model, &mut outcomes);
+        for outcome in outcomes {
+            let (id, event) = match outcome {
                 Did::Fetch(id) => (id, DispatchEvent::Fetch),
                 Did::Read { id, kept } => {
                     self.hold_state(id);
@@ -329,14 +329,14 @@
             state.waiting.insert(id, (request.to_owned(), Some(sender)));
         }
         let guard = DispatchGuard { server: self.clone(), start: self.start.get(), id };
-        self.act(|model, did| model.arrive(now_ms, work, did))?;
+        self.update_model(|model, outcomes| model.arrive(now_ms, work, outcomes))?;
         Ok((guard, events))
     }
 
     pub fn fetched(self: &Rc<Self>, start: u64, id: u64, available: bool) {
         if self.start.get() == start {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.fetched(now_ms, id, available, did));
+            self.update_model(|model, outcomes| model.fetched(now_ms, id, available, outcomes));
         }
     }
 
@@ -345,7 +345,7 @@
             *waiter = None;
         }
         let now_ms = self.now_ms();
-        self.act(|model, did| model.cancel(now_ms, id, stops_work, did));
+        self.update_model(|model, outcomes| model.cancel(now_ms, id, stops_work, outcomes));
         let mut state = self.state.borrow_mut();
         if !state.model.has(id) {
             state.waiting.remove(&id);
@@ -395,7 +395,7 @@
         let gone = self.state.borrow_mut().states.remove(&block);
         if let Some(gone) = gone {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.let_go(now_ms, block, did));
+            self.update_model(|model, outcomes| model.let_go(now_ms, block, outcomes));
             self.state_gone(&gone.request, why);
         }
     }
@@ -415,7 +415,7 @@
     fn release_reservation(self: &Rc<Self>, reservation: Option<u64>) {
         if let Some(reservation) = reservation {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.give_up(now_ms, reservation, did));
+            self.update_model(|model, outcomes| model.give_up(now_ms, reservation, outcomes));
         }
     }
 
--- a/crates/peerlab/examples/zones.rs
+++ b/crates/peerlab/examples/zones.rs
@@ -153,8 +153,8 @@
                 rows.iter().map(of).filter(|value| value.is_finite()).sum::<f64>() / rows.len() as f64
             };
             println!(
-                "{count} combinations, 60 routers: in target during, mean {:.4} with failover, {:.4} without; \
-                 most leaves a minute {}; most a zone was given {:.2} of its room",
+                "{count} combinations, 60 routers: in target during, mean {:.4} with failover, \
+                 {:.4} without; most leaves a minute {}; most a zone was given {:.2} of its room",
                 mean(|row| row.2.in_target_by_phase[2]),
                 mean(|row| row.3.in_target_by_phase[2]),
                 rows.iter().map(|row| row.2.max_departures_per_minute).max().unwrap_or(0),
--- a/crates/peerlab/src/baselines.rs
+++ b/crates/peerlab/src/baselines.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Period { node: usize },
-    Arrives { to: usize, from: usize, ack: bool, failures: Vec<(usize, u32)> },
+    Deliver { to: usize, from: usize, ack: bool, failures: Vec<(usize, u32)> },
     ProbeDeadline { node: usize, target: usize, seq: u64 },
     Resume { node: usize },
 }
@@ -119,7 +119,7 @@
         self.nodes
             .iter()
             .enumerate()
-            .filter(|(at, n)| *at != target && n.up && n.failed[target].is_some())
+            .filter(|(observer, n)| *observer != target && n.up && n.failed[target].is_some())
             .count()
     }
 
@@ -199,13 +199,13 @@
                     self.mark_failed(node, target, incarnation.max(self.nodes[target].incarnation));
                 }
             }
-            Event::Arrives { to, from, ack, failures } => {
+            Event::Deliver { to, from, ack, failures } => {
                 if !self.nodes[to].up {
                     return;
                 }
                 if self.paused(to) {
                     let in_ms = self.nodes[to].paused_until_ms - self.now_ms;
-                    self.schedule(in_ms, Event::Arrives { to, from, ack, failures });
+                    self.schedule(in_ms, Event::Deliver { to, from, ack, failures });
                     return;
                 }
                 self.nodes[to].last_received_ms[from] = self.now_ms;
@@ -251,6 +251,6 @@
         }
         let (min_ms, max_ms) = self.links.delay_ms;
         let in_ms = min_ms + (max_ms - min_ms) * self.rng.f64();
-        self.schedule(in_ms, Event::Arrives { to, from, ack, failures });
+        self.schedule(in_ms, Event::Deliver { to, from, ack, failures });
     }
 }
--- a/crates/peerlab/src/faults.rs
+++ b/crates/peerlab/src/faults.rs
@@ -208,14 +208,14 @@
                     late_share: rng.f64() * 0.3,
                     late_ms: rng.f64() * 1500.0,
                 };
-                let calm = Fault::LinkConditions {
+                let unimpaired = Fault::LinkConditions {
                     loss: 0.0,
                     duplicated: 0.0,
                     corrupted: 0.0,
                     late_share: 0.0,
                     late_ms: 0.0,
                 };
-                pair(impaired, Some(calm));
+                pair(impaired, Some(unimpaired));
             }
             9 => pair(Fault::Need { node, need: rng.f64() * 20.0 }, None),
             _ => {
--- a/crates/peerlab/src/simulation.rs
+++ b/crates/peerlab/src/simulation.rs
@@ -112,6 +112,7 @@
 /// IP and UDP headers of one datagram, in bytes.
 pub const DATAGRAM_HEADER_BYTES: u64 = 28;
 
+/// A simulated cluster: routers, links and the queue of events, in virtual time.
 pub struct Simulation {
     pub now_ms: f64,
     pub rules: Rules,
@@ -243,6 +244,7 @@
         self.nodes[node].persisted_generation = None;
     }
 
+    /// The router leaves the cluster and its process ends.
     pub fn leave(&mut self, node: usize) {
         self.handle_event(node, |_| Event::Leave);
         self.kill(node);
@@ -265,6 +267,7 @@
         }
     }
 
+    /// Cuts the link in one direction, with `calls_only` for calls alone.
     pub fn cut(&mut self, from: usize, to: usize, calls_only: bool) {
         if !calls_only {
             self.cut_links.insert((from, to));
@@ -486,6 +489,7 @@
         }
     }
 
+    /// Schedules the next timer of the router, unless an earlier one is scheduled.
     fn arm(&mut self, node: usize) {
         let own = &self.nodes[node];
         let Some(peers) = own.peers.as_ref() else { return };
--- a/crates/peerlab/src/zones.rs
+++ b/crates/peerlab/src/zones.rs
@@ -45,8 +45,8 @@
     FalseReporters { routers: usize },
 }
 
-#[derive(Clone, Debug, PartialEq)]
 /// A fault and its start and end, in ms.
+#[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledZoneFault {
     pub fault: ZoneFault,
     pub from_ms: f64,
@@ -253,23 +253,27 @@
 
     fn run(&mut self, faults: &[ScheduledZoneFault]) -> Outcome {
         let Scenario { zones, routers, completions_per_s, duration_ms, delay_ms, mode, .. } = self.scenario;
-        let first_ms = faults.iter().map(|b| b.from_ms).fold(f64::INFINITY, f64::min);
-        let last_ms = faults.iter().map(|b| b.to_ms).fold(f64::NEG_INFINITY, f64::max);
+        let first_ms = faults.iter().map(|fault| fault.from_ms).fold(f64::INFINITY, f64::min);
+        let last_ms = faults.iter().map(|fault| fault.to_ms).fold(f64::NEG_INFINITY, f64::max);
         let mut outcome = Outcome { min_unaffected_throughput: f64::INFINITY, ..Outcome::default() };
+        // For each phase: completions in target, and all completions.
         let mut sums = [(0.0f64, 0.0f64); 4];
+        // `second`: completions in target, all completions, and again all and those whose session was not
+        // moved.
         let (mut second, mut served_before) = ((0.0, 0.0, 0.0, 0.0), vec![0.0; zones]);
         let (mut served, mut served_mean) = (vec![0.0f64; zones], vec![0.0f64; zones]);
         let (mut change_times, mut departure_times): (Vec<f64>, Vec<Vec<f64>>) =
             (Vec::new(), vec![Vec::new(); zones]);
         let mut moved_before = vec![0u16; zones];
         let mut growing = vec![false; zones];
+        // Each pair: the number of completions, and of those whose session was not moved.
         let (mut all_completions, mut before_faults) = ((0.0, 0.0), (0.0, 0.0));
         let mut next_exchange_ms = 0.0;
         let mut now_ms = 0.0;
         let mut seconds = 0usize;
         while now_ms < duration_ms {
             let active: Vec<&ScheduledZoneFault> =
-                faults.iter().filter(|b| (b.from_ms..b.to_ms).contains(&now_ms)).collect();
+                faults.iter().filter(|fault| (fault.from_ms..fault.to_ms).contains(&now_ms)).collect();
             for zone in 0..zones {
                 let zone_down = FailoverSimulation::zone_is_down(&active, now_ms, zone);
                 match (zone_down, self.lost_ms[zone]) {
@@ -286,11 +290,15 @@
                     )
                 })
             };
-            if mode == DecisionMode::Told && faults.iter().any(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
-                for b in faults.iter().filter(|b| b.from_ms == now_ms || b.to_ms == now_ms) {
-                    if let ZoneFault::Lost { zone, .. } | ZoneFault::Flap { zone, .. } = b.fault {
+            if mode == DecisionMode::Told
+                && faults.iter().any(|fault| fault.from_ms == now_ms || fault.to_ms == now_ms)
+            {
+                for scheduled in
+                    faults.iter().filter(|fault| fault.from_ms == now_ms || fault.to_ms == now_ms)
+                {
+                    if let ZoneFault::Lost { zone, .. } | ZoneFault::Flap { zone, .. } = scheduled.fault {
                         use paddleproxy_failover::OperatorCommand::{Drain, Return};
-                        let command = if b.from_ms == now_ms { Drain } else { Return };
+                        let command = if scheduled.from_ms == now_ms { Drain } else { Return };
                         let router = (0..routers).find(|router| !down(*router)).unwrap_or(0);
                         let router_index = router as u16;
                         self.controllers[router].commands.issue(
@@ -350,7 +358,7 @@
             for round in 0..3 {
                 let mut retries: Vec<Vec<(usize, usize)>> = vec![Vec::new(); zones];
                 for zone in 0..zones {
-                    let room = self.capacity_per_s(&active, now_ms, zone) * TICK_MS / 1e3;
+                    let capacity = self.capacity_per_s(&active, now_ms, zone) * TICK_MS / 1e3;
                     let zone_down = self.lost_ms[zone].is_some();
                     let late_share = active.iter().find_map(|active| match active.fault {
                         ZoneFault::Slow { zone: affected, late_share } if affected == zone => {
@@ -379,14 +387,14 @@
                         let worker = self.random_worker_in(zone);
                         let dispatch_outcome = if zone_down || cut {
                             DispatchOutcome::TimedOut
-                        } else if accepted + served[zone] >= room {
+                        } else if accepted + served[zone] >= capacity {
                             DispatchOutcome::Full
                         } else if late_share.is_some_and(|share| self.rng.f64() < share) {
                             DispatchOutcome::Late
                         } else {
                             DispatchOutcome::InTarget
                         };
-                        let load = served_mean[zone] * TICK_MS / 1e3 / room.max(1e-9);
+                        let load = served_mean[zone] * TICK_MS / 1e3 / capacity.max(1e-9);
                         self.controllers[router].record_outcome(
                             now_ms,
                             &worker,
@@ -448,7 +456,7 @@
                 next_exchange_ms += EXCHANGE_MS;
                 self.exchange(now_ms, mode, delay_ms, &down);
                 if mode != DecisionMode::Off {
-                    let plan = self.controllers[self.first_up(&down)]
+                    let plan = self.controllers[self.first_running_router(&down)]
                         .agreed()
                         .map(|agreed| agreed.plan.clone())
                         .unwrap_or_default();
@@ -495,7 +503,7 @@
         outcome
     }
 
-    fn first_up(&self, down: &impl Fn(usize) -> bool) -> usize {
+    fn first_running_router(&self, down: &impl Fn(usize) -> bool) -> usize {
         (0..self.scenario.routers).find(|router| !down(*router)).unwrap_or(0)
     }
 
@@ -541,7 +549,7 @@
         }
         let reporting_zones: Vec<Zone> =
             (0..zones).filter(|zone| !down(*zone)).map(|zone| Zone(zone as u8)).collect();
-        let first = self.first_up(down);
+        let first = self.first_running_router(down);
         if let Some((_, rows)) = received {
             let rows: Vec<EvidenceRow> =
                 rows.iter().filter_map(|row| EvidenceRow::read(&row.bytes()).ok()).collect();
--- a/crates/peerlab/tests/invariants.rs
+++ b/crates/peerlab/tests/invariants.rs
@@ -18,14 +18,14 @@
     let shared = |sim: &Simulation| {
         (0..9)
             .filter_map(|n| sim.peers(n))
-            .all(|p| p.consensus().allocation().is_some_and(|p| p.entries.len() == 9))
+            .all(|p| p.consensus().allocation().is_some_and(|allocation| allocation.entries.len() == 9))
     };
     assert!(sim.run_until_condition(8000.0, 50.0, shared), "no allocation with an entry for each router");
     sim.run_until(sim.now_ms + 4000.0);
     assert!(sim.violations.is_empty(), "{:?}", sim.violations);
     assert!(
         sim.largest_share_sums[0] > 0.99 && sim.largest_share_sums[1] > 0.99,
-        "granted shares reach the whole once allocations take effect: {:?}",
+        "granted shares must reach the whole once allocations take effect: {:?}",
         sim.largest_share_sums
     );
     for node in 0..9 {
