--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -36,6 +36,7 @@
         Shared { settings, record, list, links, seen_keys: RefCell::default(), rng }
     }
 
+    /// Draws a random event of the given probability.
     pub fn with_probability(&self, share: f64) -> bool {
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
@@ -54,15 +55,20 @@
 /// A state (KV cache of a prompt) that waits to be fetched.
 struct HeldState {
     request: String,
+    /// Whether a transfer of the state has begun.
     moving: bool,
 }
 
 /// Event of one dispatch, from the model to the connection.
 #[derive(Clone, Copy, Debug)]
 pub enum DispatchEvent {
+    /// A slot is free; the state of the prompt can be fetched from the server that holds it.
     Fetch,
+    /// The prompt was read and its state is held; number of cached tokens.
     Read { cached: f64 },
+    /// The first token of the answer; number of cached tokens of the prompt.
     First { cached: f64 },
+    /// A further token.
     Token,
     Finished,
     Refused(Refusal),
@@ -183,6 +189,7 @@
         self.state.borrow().model.befalls.silent
     }
 
+    /// Adds an entry with this readiness to the list service.
     pub fn list(&self, readiness: &str) {
         let entry = ServerEntry {
             name: self.name(),
@@ -333,6 +340,7 @@
         Ok((guard, events))
     }
 
+    /// Continues a dispatch whose state was fetched, or could not be (`available` is false).
     pub fn fetched(self: &Rc<Self>, start: u64, id: u64, available: bool) {
         if self.start.get() == start {
             let now_ms = self.now_ms();
@@ -352,6 +360,7 @@
         }
     }
 
+    /// Empties the cache.
     pub fn flush(&self) {
         self.state.borrow_mut().model.flush();
     }
--- a/crates/peerlab/src/simulation.rs
+++ b/crates/peerlab/src/simulation.rs
@@ -459,8 +459,8 @@
                     });
                 }
                 Action::GenerationRaised { generation } => {
-                    let kept = &mut self.nodes[node].persisted_generation;
-                    *kept = kept.map(|_| generation.0);
+                    let persisted = &mut self.nodes[node].persisted_generation;
+                    *persisted = persisted.map(|_| generation.0);
                 }
                 Action::Reply { .. } | Action::Displaced { .. } | Action::AllocationAdopted { .. } => {}
             }
