--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -65,9 +65,13 @@
     /// A slot is free; the state of the prompt can be fetched from the server that holds it.
     Fetch,
     /// The prompt was read and its state is held; number of cached tokens.
-    Read { cached: f64 },
+    Read {
+        cached: f64,
+    },
     /// The first token of the answer; number of cached tokens of the prompt.
-    First { cached: f64 },
+    First {
+        cached: f64,
+    },
     /// A further token.
     Token,
     Finished,
