--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -321,6 +321,6 @@
             relays.insert((router, real.to_string()), relay.to_string());
         }
     }
-    *fleet.shared.list.ways.borrow_mut() = relays;
+    *fleet.shared.list.address_overrides.borrow_mut() = relays;
     Ok(())
 }
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -49,28 +49,30 @@
             }
         }
         TroubleKind::Silent { servers } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.silent = true))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.silent = true))
         }
         TroubleKind::Slow { servers, factor } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.slow = *factor))
-        }
-        TroubleKind::Ageing { servers, factor } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.ageing = Some((now_ms, *factor))))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.slow = *factor))
         }
+        TroubleKind::Ageing { servers, factor } => on_each_server(scenario, servers, |s| {
+            s.change_model_faults(|t| t.ageing = Some((now_ms, *factor)))
+        }),
         TroubleKind::Erring { servers, share, model } => on_each_server(scenario, servers, |s| {
-            s.change_trouble(|t| (t.erring, t.erring_model) = (*share, model.clone()));
+            s.change_response_faults(|t| (t.erring, t.erring_model) = (*share, model.clone()));
         }),
         TroubleKind::AnswerLost { servers, share } => {
-            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.answer_lost = *share))
+            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.answer_lost = *share))
         }
         TroubleKind::Pausing { servers, pause_ms, every_ms } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.pausing = Some((*pause_ms, *every_ms))));
+            on_each_server(scenario, servers, |s| {
+                s.change_model_faults(|t| t.pausing = Some((*pause_ms, *every_ms)))
+            });
         }
         TroubleKind::Flush { servers } => {
             servers.iter().filter_map(|name| scenario.fleet.server(name)).for_each(|server| server.flush());
         }
         TroubleKind::Drain { servers, notice_ms } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.draining = true));
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.draining = true));
             servers
                 .iter()
                 .filter_map(|name| scenario.fleet.server(name))
@@ -91,9 +93,9 @@
                 scenario.kill_router(router).await;
             }
         }
-        TroubleKind::ListBehind { by_ms } => scenario.fleet.shared.list.behind_ms.set(*by_ms),
+        TroubleKind::ListBehind { by_ms } => scenario.fleet.shared.list.extra_delay_ms.set(*by_ms),
         TroubleKind::ListDown => scenario.fleet.shared.list.down.set(true),
-        TroubleKind::ListLies { share } => scenario.fleet.shared.list.anew(*share),
+        TroubleKind::ListLies { share } => scenario.fleet.shared.list.restart_omitting(*share),
         TroubleKind::RouterKilled { router } => scenario.kill_router(*router).await,
         TroubleKind::RouterStopped { router } => scenario.stop_router(*router).await,
         TroubleKind::Ramp { key, factor } => {
@@ -114,7 +116,7 @@
 async fn end(scenario: &Rc<RunningScenario>, trouble: &Trouble) {
     let restart_servers = |servers: Vec<String>, as_new: bool| async move {
         for name in servers {
-            if let Err(cause) = scenario.fleet.back(&name, as_new).await {
+            if let Err(cause) = scenario.fleet.restart(&name, as_new).await {
                 scenario.record_failure(format!("{cause:#}"));
             }
         }
@@ -131,30 +133,30 @@
             }
         }
         TroubleKind::Silent { servers } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.silent = false))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.silent = false))
         }
         TroubleKind::Slow { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.slow = 1.0))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.slow = 1.0))
         }
         TroubleKind::Ageing { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.ageing = None))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.ageing = None))
         }
         TroubleKind::Erring { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.erring = 0.0))
+            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.erring = 0.0))
         }
         TroubleKind::AnswerLost { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_trouble(|t| t.answer_lost = 0.0))
+            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.answer_lost = 0.0))
         }
         TroubleKind::Pausing { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.befalls(|t| t.pausing = None))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.pausing = None))
         }
         TroubleKind::Flush { .. } => {}
         TroubleKind::Links { cell, .. } => {
             scenario.fleet.shared.links.slow(*cell, 1.0);
         }
-        TroubleKind::ListBehind { .. } => scenario.fleet.shared.list.behind_ms.set(0.0),
+        TroubleKind::ListBehind { .. } => scenario.fleet.shared.list.extra_delay_ms.set(0.0),
         TroubleKind::ListDown => scenario.fleet.shared.list.down.set(false),
-        TroubleKind::ListLies { .. } => scenario.fleet.shared.list.anew(0.0),
+        TroubleKind::ListLies { .. } => scenario.fleet.shared.list.restart_omitting(0.0),
         TroubleKind::RouterKilled { router } | TroubleKind::RouterStopped { router } => {
             scenario.start_router(*router).await
         }
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -1,5 +1,5 @@
-//! One stand-in model server: the emulator's server in real time, with what only sockets know beside it. Work takes
-//! time and no CPU to speak of.
+//! A simulated model server: runs the emulator's server model in real time and holds the state that only a
+//! server with sockets has. Work takes time but hardly any CPU.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -18,73 +18,87 @@
 use crate::list::ListService;
 use crate::record::{Record, What};
 
-/// What all servers of a fleet share.
+/// State shared by all servers of a fleet.
 pub struct Shared {
     pub settings: FleetSettings,
     pub record: Record,
     pub list: Rc<ListService>,
     pub links: Links,
-    /// What the servers that drop repeats remember.
-    seen: RefCell<SeenEffects>,
-    pub chance: RefCell<fastrand::Rng>,
+    /// Idempotency keys seen by the servers that drop repeats.
+    seen_keys: RefCell<SeenEffects>,
+    pub rng: RefCell<fastrand::Rng>,
 }
 
 impl Shared {
     pub fn new(settings: FleetSettings, record: Record, list: Rc<ListService>) -> Self {
-        let chance = RefCell::new(fastrand::Rng::with_seed(settings.seed));
+        let rng = RefCell::new(fastrand::Rng::with_seed(settings.seed));
         let links = Links::new(record.clone(), settings.near_tokens_per_s, settings.far_tokens_per_s);
-        Shared { settings, record, list, links, seen: RefCell::default(), chance }
+        Shared { settings, record, list, links, seen_keys: RefCell::default(), rng }
     }
 
-    pub fn by_chance(&self, share: f64) -> bool {
-        share > 0.0 && self.chance.borrow_mut().f64() < share
+    /// Draws a random event of the given probability.
+    pub fn with_probability(&self, share: f64) -> bool {
+        share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 }
 
-/// What befalls a server's answers at present; what befalls its work is the model's to know.
+/// Current faults of a server's responses. Faults of its work are part of the model.
 #[derive(Clone, Default)]
-pub struct Trouble {
+pub struct ResponseFaults {
+    /// Share of requests that are answered with status 500, and the model that this is limited to.
     pub erring: f64,
     pub erring_model: Option<String>,
+    /// Share of answers that are aborted after the work was done.
     pub answer_lost: f64,
 }
 
-struct KeptState {
+/// A state (KV cache of a prompt) that waits to be fetched.
+struct HeldState {
     request: String,
+    /// Whether a transfer of the state has begun.
     moving: bool,
 }
 
-/// What the model did for one dispatch, as its connection hears it.
+/// Event of one dispatch, from the model to the connection.
 #[derive(Clone, Copy, Debug)]
-pub enum Heard {
+pub enum DispatchEvent {
+    /// A slot is free; the state of the prompt can be fetched from the server that holds it.
     Fetch,
-    Read { kept: f64 },
-    First { kept: f64 },
+    /// The prompt was read and its state is held; number of cached tokens.
+    Read {
+        cached: f64,
+    },
+    /// The first token of the answer; number of cached tokens of the prompt.
+    First {
+        cached: f64,
+    },
+    /// A further token.
     Token,
     Finished,
     Refused(Refusal),
 }
 
 struct State {
-    trouble: Trouble,
+    response_faults: ResponseFaults,
     model: Model,
-    /// Dispatches in hand by their names, and who waits for them.
-    waiting: BTreeMap<u64, (String, Option<mpsc::Sender<Heard>>)>,
-    states: BTreeMap<u64, KeptState>,
-    /// Dispatches whose state is not wanted any more, and places kept ahead.
+    /// Current dispatches: the request id, and the channel of the connection that waits for its events.
+    waiting: BTreeMap<u64, (String, Option<mpsc::Sender<DispatchEvent>>)>,
+    states: BTreeMap<u64, HeldState>,
+    /// Requests whose state was released, and when.
     released: BTreeMap<String, f64>,
-    places: BTreeMap<String, u64>,
+    /// Reserved slots by completion.
+    reservations: BTreeMap<String, u64>,
 }
 
 impl State {
     fn new(model: Model) -> Self {
         State {
-            trouble: Trouble::default(),
+            response_faults: ResponseFaults::default(),
             model,
             waiting: BTreeMap::new(),
             states: BTreeMap::new(),
             released: BTreeMap::new(),
-            places: BTreeMap::new(),
+            reservations: BTreeMap::new(),
         }
     }
 }
@@ -94,22 +108,24 @@
     pub row: ServerRow,
     pub name: RefCell<String>,
     pub address: Cell<SocketAddr>,
+    /// Counts starts and ends of the process; identifies the process that an operation belongs to.
     pub start: Cell<u64>,
     pub up: Cell<bool>,
     started_ms: Cell<Option<f64>>,
     state: RefCell<State>,
-    changed: Notify,
-    next: Cell<u64>,
+    model_changed: Notify,
+    next_id: Cell<u64>,
 }
 
-/// Text that counts as one token, and as one block of kept text, in bytes.
+/// Length of the text that counts as one token, and of one block of cached text, in bytes.
 pub const TOKEN_BYTES: usize = 4;
 const BLOCK_BYTES: usize = 256;
 
-/// A timer is good for a millisecond; what is far less, in ms, counts as no time.
-const NO_TIME_MS: f64 = 0.1;
+/// Waits shorter than this don't use a timer, since timers have a resolution of 1 ms.
+const TIMER_SLACK_MS: f64 = 0.1;
 
-fn beginnings(prompt: &str) -> Prompt {
+/// Prefixes of a prompt in steps of a block: hash and length in tokens of each.
+fn prefixes(prompt: &str) -> Prompt {
     let mut hash = DefaultHasher::new();
     let blocks = prompt.as_bytes().chunks_exact(BLOCK_BYTES).enumerate();
     blocks
@@ -120,7 +136,7 @@
         .collect()
 }
 
-/// The part of a dispatch's name that names its completion.
+/// The part of a dispatch's request id that identifies its completion.
 pub fn completion_of(request: &str) -> &str {
     request.rsplit_once('.').map_or(request, |(completion, _)| completion)
 }
@@ -139,8 +155,8 @@
             up: Cell::new(false),
             started_ms: Cell::new(None),
             state: RefCell::new(State::new(model)),
-            changed: Notify::new(),
-            next: Cell::new(1),
+            model_changed: Notify::new(),
+            next_id: Cell::new(1),
         })
     }
 
@@ -160,23 +176,24 @@
         self.shared.record.now_ms()
     }
 
-    pub fn trouble(&self) -> Trouble {
-        self.state.borrow().trouble.clone()
+    pub fn response_faults(&self) -> ResponseFaults {
+        self.state.borrow().response_faults.clone()
     }
 
-    pub fn change_trouble(&self, change: impl FnOnce(&mut Trouble)) {
-        change(&mut self.state.borrow_mut().trouble);
+    pub fn change_response_faults(&self, change: impl FnOnce(&mut ResponseFaults)) {
+        change(&mut self.state.borrow_mut().response_faults);
     }
 
-    pub fn befalls(&self, change: impl FnOnce(&mut ActiveFaults)) {
+    pub fn change_model_faults(&self, change: impl FnOnce(&mut ActiveFaults)) {
         change(&mut self.state.borrow_mut().model.faults);
-        self.changed.notify_one();
+        self.model_changed.notify_one();
     }
 
     pub fn silent(&self) -> bool {
         self.state.borrow().model.faults.silent
     }
 
+    /// Adds an entry with this readiness to the list service.
     pub fn list(&self, readiness: &str) {
         let entry = ServerEntry {
             name: self.name(),
@@ -192,8 +209,9 @@
         self.shared.list.change(entry, self.started_ms.get());
     }
 
-    /// A new process: it has kept nothing, and is cold unless it ran before the day.
-    pub fn begin(&self, cold: bool) {
+    /// Starts a new process with an empty cache. It is cold, that is not yet at full capacity, unless it
+    /// started before the scenario.
+    pub fn start_process(&self, cold: bool) {
         self.start.set(self.start.get() + 1);
         let now_ms = self.now_ms();
         self.started_ms.set(cold.then_some(now_ms));
@@ -210,8 +228,8 @@
         self.list("ready");
     }
 
-    /// The process ends; what it held is gone with it.
-    pub fn end(&self) {
+    /// Ends the process; its dispatches, states and reservations are lost.
+    pub fn end_process(&self) {
         self.up.set(false);
         self.start.set(self.start.get() + 1);
         let now_ms = self.now_ms();
@@ -220,7 +238,7 @@
             state.model.restart(now_ms);
             state.waiting.clear();
             state.released.clear();
-            state.places.clear();
+            state.reservations.clear();
             std::mem::take(&mut state.states)
         };
         for state in states.values() {
@@ -233,128 +251,133 @@
         self.record(What::StateGone { server: self.name(), request: request.to_owned(), why: why.into() });
     }
 
-    /// Lets the model's time pass, as long as its process lives.
+    /// Runs the model's timers in real time.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let wakes = {
+            let next_event = {
                 let model = &self.state.borrow().model;
                 model.step_end_ms().filter(|_| !model.faults.silent)
             };
-            let Some(at_ms) = wakes else {
-                self.changed.notified().await;
+            let Some(at_ms) = next_event else {
+                self.model_changed.notified().await;
                 continue;
             };
-            if at_ms > self.now_ms() + NO_TIME_MS {
+            if at_ms > self.now_ms() + TIMER_SLACK_MS {
                 tokio::select! {
                     _ = sleep_until(self.shared.record.at(at_ms)) => {}
-                    _ = self.changed.notified() => continue,
+                    _ = self.model_changed.notified() => continue,
                 }
             } else {
                 tokio::task::yield_now().await;
             }
-            // By the model's clock, so that late timers don't add up.
-            self.act(|model, did| model.step(at_ms, did));
+            // Steps to the scheduled time, not to the current one, so that timer delays don't accumulate.
+            self.update_model(|model, outcomes| model.step(at_ms, outcomes));
         }
     }
 
-    /// Does something to the model and tells those who wait what came of it.
-    fn act<T>(self: &Rc<Self>, act: impl FnOnce(&mut Model, &mut Vec<ServerEvent>) -> T) -> T {
-        let mut did = Vec::new();
-        let result = act(&mut self.state.borrow_mut().model, &mut did);
-        for did in did {
-            let (id, heard) = match did {
-                ServerEvent::Fetch(id) => (id, Heard::Fetch),
-                ServerEvent::Read { id, cached_tokens: kept } => {
-                    self.has_read(id);
-                    (id, Heard::Read { kept })
+    /// Applies an operation to the model and sends the resulting events to the waiting connections.
+    fn update_model<T>(self: &Rc<Self>, update: impl FnOnce(&mut Model, &mut Vec<ServerEvent>) -> T) -> T {
+        let mut outcomes = Vec::new();
+        let result = update(&mut self.state.borrow_mut().model, &mut outcomes);
+        for outcome in outcomes {
+            let (id, event) = match outcome {
+                ServerEvent::Fetch(id) => (id, DispatchEvent::Fetch),
+                ServerEvent::Read { id, cached_tokens } => {
+                    self.hold_state(id);
+                    (id, DispatchEvent::Read { cached: cached_tokens })
                 }
-                ServerEvent::First { id, cached_tokens: kept } => (id, Heard::First { kept }),
-                ServerEvent::Token(id) => (id, Heard::Token),
-                ServerEvent::Finished { id } => (id, Heard::Finished),
-                ServerEvent::Refused { id, refusal } => (id, Heard::Refused(refusal)),
+                ServerEvent::First { id, cached_tokens } => {
+                    (id, DispatchEvent::First { cached: cached_tokens })
+                }
+                ServerEvent::Token(id) => (id, DispatchEvent::Token),
+                ServerEvent::Finished { id } => (id, DispatchEvent::Finished),
+                ServerEvent::Refused { id, refusal } => (id, DispatchEvent::Refused(refusal)),
             };
             let waiter = self.state.borrow().waiting.get(&id).and_then(|(_, waiter)| waiter.clone());
-            // There is room for all that a dispatch can hear.
-            let heard = waiter.is_some_and(|waiter| waiter.try_send(heard).is_ok());
-            if !heard {
+            // The channel has room for all events of a dispatch, so a failure means that the connection is
+            // gone.
+            let delivered = waiter.is_some_and(|waiter| waiter.try_send(event).is_ok());
+            if !delivered {
                 self.drop_state(id, "unwanted");
                 self.cancel(id, true);
             }
         }
-        self.changed.notify_one();
+        self.model_changed.notify_one();
         result
     }
 
-    /// Notes work that arrives; true if a cold server falls over under it.
-    pub fn presses(&self, work_ms: f64) -> bool {
+    /// Records work that arrives. Returns whether it overloads a cold server, which then becomes silent.
+    pub fn record_work(&self, work_ms: f64) -> bool {
         let now_ms = self.now_ms();
         let model = &mut self.state.borrow_mut().model;
-        let falls = model.record_arrival(now_ms, work_ms);
-        model.faults.silent |= falls;
-        falls
+        let overloaded = model.record_arrival(now_ms, work_ms);
+        model.faults.silent |= overloaded;
+        overloaded
     }
 
-    /// What a dispatch would be to the model.
+    /// Converts a dispatch to the model's work item; also returns its time on a warm server, in ms.
     pub fn work(&self, prompt: &str, answer: u32, fetches: bool) -> (Work, f64) {
         let tokens = prompt.len().div_ceil(TOKEN_BYTES) as f64;
-        let id = self.next.replace(self.next.get() + 1);
-        let work = Work { id, prompt: beginnings(prompt), tokens, answer, fetches, hold: None };
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let work = Work { id, prompt: prefixes(prompt), tokens, answer, fetches, hold: None };
         let work_ms = self.state.borrow().model.work_ms(&work);
         (work, work_ms)
     }
 
-    /// A dispatch arrives; what becomes of it is heard from then on.
+    /// Hands a dispatch to the model. Its events arrive on the returned channel.
     ///
     /// # Errors
-    /// Why it is turned away at once.
+    /// Returns the refusal if the dispatch is rejected at once.
     pub fn arrive(
         self: &Rc<Self>,
         request: &str,
         mut work: Work,
-    ) -> Result<(Asker, mpsc::Receiver<Heard>), Refusal> {
+    ) -> Result<(DispatchGuard, mpsc::Receiver<DispatchEvent>), Refusal> {
         let now_ms = self.now_ms();
         let id = work.id;
-        let (sender, heard) = mpsc::channel(work.answer as usize + 8);
+        let (sender, events) = mpsc::channel(work.answer as usize + 8);
         {
             let mut state = self.state.borrow_mut();
-            work.hold = state.places.remove(completion_of(request));
+            work.hold = state.reservations.remove(completion_of(request));
             state.waiting.insert(id, (request.to_owned(), Some(sender)));
         }
-        let asker = Asker { server: self.clone(), start: self.start.get(), id };
-        self.act(|model, did| model.arrive(now_ms, work, did))?;
-        Ok((asker, heard))
+        let guard = DispatchGuard { server: self.clone(), start: self.start.get(), id };
+        self.update_model(|model, outcomes| model.arrive(now_ms, work, outcomes))?;
+        Ok((guard, events))
     }
 
-    pub fn fetched(self: &Rc<Self>, start: u64, id: u64, there: bool) {
+    /// Continues a dispatch whose state was fetched, or could not be (`available` is false).
+    pub fn fetched(self: &Rc<Self>, start: u64, id: u64, available: bool) {
         if self.start.get() == start {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.fetched(now_ms, id, there, did));
+            self.update_model(|model, outcomes| model.fetched(now_ms, id, available, outcomes));
         }
     }
 
-    fn cancel(self: &Rc<Self>, id: u64, stops: bool) {
+    fn cancel(self: &Rc<Self>, id: u64, stops_work: bool) {
         if let Some((_, waiter)) = self.state.borrow_mut().waiting.get_mut(&id) {
             *waiter = None;
         }
         let now_ms = self.now_ms();
-        self.act(|model, did| model.cancel(now_ms, id, stops, did));
+        self.update_model(|model, outcomes| model.cancel(now_ms, id, stops_work, outcomes));
         let mut state = self.state.borrow_mut();
         if !state.model.has_dispatch(id) {
             state.waiting.remove(&id);
         }
     }
 
+    /// Empties the cache.
     pub fn flush(&self) {
         self.state.borrow_mut().model.flush();
     }
 
-    /// A state waits until it is taken, released, or its lease ends.
-    fn has_read(self: &Rc<Self>, id: u64) {
+    /// Holds a state until it is fetched, released, or its lease ends.
+    fn hold_state(self: &Rc<Self>, id: u64) {
         let request = self.state.borrow().waiting.get(&id).map(|(request, _)| request.clone());
         let request = request.unwrap_or_default();
         self.record(What::State { server: self.name(), request: request.clone() });
         let released = self.state.borrow().released.contains_key(&request);
-        self.state.borrow_mut().states.insert(id, KeptState { request, moving: false });
+        self.state.borrow_mut().states.insert(id, HeldState { request, moving: false });
         if released {
             self.drop_state(id, "unwanted");
             return;
@@ -369,17 +392,17 @@
         });
     }
 
-    /// States that wait here.
+    /// Number of held states.
     pub fn states(&self) -> usize {
         self.state.borrow().states.len()
     }
 
-    /// A state that may be taken, which nobody else may from now on; its tokens.
+    /// Claims a state for a transfer, so that no other request can take it. Returns its size in tokens.
     pub fn begin_move(&self, block: u64) -> Option<f64> {
         let mut state = self.state.borrow_mut();
         let tokens = state.model.state_tokens(block)?;
-        let kept = state.states.get_mut(&block).filter(|kept| !kept.moving)?;
-        kept.moving = true;
+        let held = state.states.get_mut(&block).filter(|state| !state.moving)?;
+        held.moving = true;
         Some(tokens)
     }
 
@@ -387,37 +410,38 @@
         let gone = self.state.borrow_mut().states.remove(&block);
         if let Some(gone) = gone {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.release_state(now_ms, block, did));
+            self.update_model(|model, outcomes| model.release_state(now_ms, block, outcomes));
             self.state_gone(&gone.request, why);
         }
     }
 
-    /// A place for a completion's answer, at once or not at all.
+    /// Reserves a slot and memory for a completion's answer; `false` if there is none at this time.
     pub fn hold(self: &Rc<Self>, request: &str, tokens: f64) -> bool {
-        let place = self.next.replace(self.next.get() + 1);
-        let held = self.state.borrow_mut().model.hold(place, tokens);
+        let reservation = self.next_id.replace(self.next_id.get() + 1);
+        let held = self.state.borrow_mut().model.hold(reservation, tokens);
         if held {
-            let old = self.state.borrow_mut().places.insert(completion_of(request).to_owned(), place);
-            self.give_up(old);
+            let previous =
+                self.state.borrow_mut().reservations.insert(completion_of(request).to_owned(), reservation);
+            self.release_reservation(previous);
         }
         held
     }
 
-    fn give_up(self: &Rc<Self>, place: Option<u64>) {
-        if let Some(place) = place {
+    fn release_reservation(self: &Rc<Self>, reservation: Option<u64>) {
+        if let Some(reservation) = reservation {
             let now_ms = self.now_ms();
-            self.act(|model, did| model.release_hold(now_ms, place, did));
+            self.update_model(|model, outcomes| model.release_hold(now_ms, reservation, outcomes));
         }
     }
 
-    /// Lets go of what a dispatch left here, or will leave once it is read.
+    /// Releases the reservation and the state of a dispatch, also a state that is held only later.
     pub fn release(self: &Rc<Self>, request: &str) {
         let now_ms = self.now_ms();
-        let place = self.state.borrow_mut().places.remove(completion_of(request));
-        self.give_up(place);
+        let reservation = self.state.borrow_mut().reservations.remove(completion_of(request));
+        self.release_reservation(reservation);
         let blocks: Vec<_> = {
             let state = self.state.borrow();
-            let of = state.states.iter().filter(|(_, kept)| kept.request == request && !kept.moving);
+            let of = state.states.iter().filter(|(_, state)| state.request == request && !state.moving);
             of.map(|(block, _)| *block).collect()
         };
         for block in blocks {
@@ -429,12 +453,13 @@
         state.released.insert(request.to_owned(), now_ms);
     }
 
-    /// Work takes its effect, once for each key in the group of servers that drops repeats.
+    /// Records the effect of a dispatch. In a group of servers that drops repeats, work with a repeated key
+    /// has no effect and is recorded as a repeat.
     pub fn effect(&self, request: &str, key: &str, model: &str, arrived_ms: f64) {
         let rule = self.shared.settings.dedup_rules.iter().find(|rule| rule.model == model);
         let repeat = rule.filter(|_| !key.is_empty()).is_some_and(|rule| {
             let group = deduplication::group_name(rule.group, &self.row.zone, self.row.cell);
-            self.shared.seen.borrow_mut().check_and_record(
+            self.shared.seen_keys.borrow_mut().check_and_record(
                 group,
                 key,
                 arrived_ms,
@@ -446,13 +471,13 @@
         self.record(What::Effect { server, request, key, repeat });
     }
 
-    /// Its load as of a while back.
+    /// Load report, which lags behind the actual load and has noise if configured.
     pub fn load(&self) -> Load {
         let load = self.state.borrow_mut().model.load(self.now_ms(), self.shared.settings.report_every_ms);
         let noise = self.shared.settings.report_noise;
-        let wrong = |figure: f64| match noise > 0.0 {
-            true => figure * (1.0 + noise * (2.0 * self.shared.chance.borrow_mut().f64() - 1.0)),
-            false => figure,
+        let with_noise = |value: f64| match noise > 0.0 {
+            true => value * (1.0 + noise * (2.0 * self.shared.rng.borrow_mut().f64() - 1.0)),
+            false => value,
         };
         let metrics = [
             (RUNNING_REQUESTS, load.active_requests),
@@ -462,23 +487,26 @@
         Load {
             mem_utilization: Some(load.memory_share),
             application_utilization: Some(load.slots_share),
-            named_metrics: metrics.into_iter().map(|(name, value)| (name.to_owned(), wrong(value))).collect(),
+            named_metrics: metrics
+                .into_iter()
+                .map(|(name, value)| (name.to_owned(), with_noise(value)))
+                .collect(),
         }
     }
 }
 
-/// Someone waits for a dispatch as long as this lives.
-pub struct Asker {
+/// Cancels its dispatch when dropped, that is when the connection no longer waits for it.
+pub struct DispatchGuard {
     pub server: Rc<Server>,
     pub start: u64,
     pub id: u64,
 }
 
-impl Drop for Asker {
+impl Drop for DispatchGuard {
     fn drop(&mut self) {
         if self.server.start.get() == self.start {
-            let stops = self.server.shared.settings.cancel_stops;
-            self.server.cancel(self.id, stops);
+            let stops_work = self.server.shared.settings.cancel_stops;
+            self.server.cancel(self.id, stops_work);
         }
     }
 }
