--- a/crates/cli/tests/system_calls.rs
+++ b/crates/cli/tests/system_calls.rs
@@ -33,10 +33,10 @@
 
 /// Requests that the server that joined got, and the mean of those that servers of its kind got meanwhile.
 fn joined_and_others(played: &Played) -> (f64, f64) {
-    let start = played.seen.starts[0];
+    let start = played.observed.starts[0];
     let within = |at_ms: f64| (start.at_ms..start.at_ms + 6000.0).contains(&at_ms);
     let mut counts = std::collections::BTreeMap::<usize, f64>::new();
-    for attempt in played.seen.attempts.iter().filter(|attempt| within(attempt.whole_ms)) {
+    for attempt in played.observed.attempts.iter().filter(|attempt| within(attempt.received_ms)) {
         *counts.entry(attempt.server).or_default() += 1.0;
     }
     let joined = counts.remove(&start.server).unwrap_or(0.0);
--- a/crates/soak/examples/size.rs
+++ b/crates/soak/examples/size.rs
@@ -9,9 +9,9 @@
 use anyhow::{Context, Result};
 use paddleproxy_soak::client::Clients;
 use paddleproxy_soak::configuration::{
-    configuration, kind_of, Allowed, Wanted, FIRST_SERVERS, LONGEST_DEADLINE_S, ZONES,
+    configuration, kind_of, Allowed, RouterParameters, INITIAL_SERVERS, LONGEST_DEADLINE_S, ZONES,
 };
-use paddleproxy_soak::discovery::{Agent, Catalog, Entry};
+use paddleproxy_soak::discovery::{Agent, Catalog, ServerEntry};
 use paddleproxy_soak::process::Router;
 use paddleproxy_soak::record::Record;
 use paddleproxy_soak::server::Server;
@@ -48,20 +48,20 @@
     let dir = std::env::temp_dir().join(format!("paddleproxy-size-{}-{servers}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let record = Record::default();
-    record.with(|seen| seen.lives = vec![Vec::new()]);
+    record.with(|observed| observed.processes = vec![Vec::new()]);
     let catalog = Catalog::new(record.clone());
-    let real: Vec<Rc<Server>> = (0..FIRST_SERVERS)
+    let real: Vec<Rc<Server>> = (0..INITIAL_SERVERS)
         .map(|id| Server::start(record.clone(), id, kind_of(id)))
         .collect::<Result<_, _>>()?;
-    let entry = |row: usize, health| Entry {
+    let entry = |row: usize, health| ServerEntry {
         name: format!("server-{row:05}"),
-        address: real[row % FIRST_SERVERS].address,
+        address: real[row % INITIAL_SERVERS].address,
         zone: ZONES[row / CELL % ZONES.len()].to_owned(),
-        kind: real[row % FIRST_SERVERS].kind,
+        kind: real[row % INITIAL_SERVERS].kind,
         cell: (row / CELL) as u32,
         health,
         started_ms: None,
-        born_ms: 0.0,
+        start_wall_ms: 0.0,
     };
     (0..servers).for_each(|row| catalog.change(row, entry(row, "ready")));
     let agent = Agent::start(catalog.clone(), 0).await?;
@@ -70,7 +70,7 @@
     let allowed = Allowed { probes: false, cancel: true, second_copies: false };
     let known = catalog.whole();
     let list_bytes = known.to_string().len();
-    router.configure(&configuration(&Wanted {
+    router.configure(&configuration(&RouterParameters {
         router: 0,
         routers: servers,
         listen,
@@ -82,7 +82,7 @@
         longest_deadline_s: LONGEST_DEADLINE_S,
     }))?;
     router.start()?;
-    anyhow::ensure!(router.until_ready(Duration::from_secs(20)).await, "the router is never ready");
+    anyhow::ensure!(router.wait_until_ready(Duration::from_secs(20)).await, "the router is never ready");
     let clients = Clients::new(record.clone(), vec![listen], 1, LONGEST_DEADLINE_S);
     let asking: Vec<_> = (0..AT_ONCE)
         .map(|_| {
@@ -90,7 +90,7 @@
             tokio::task::spawn_local(async move {
                 let mut served = 0;
                 for _ in 0..REQUESTS / AT_ONCE {
-                    served += usize::from(clients.ask_once(0).await);
+                    served += usize::from(clients.request_once(0).await);
                 }
                 served
             })
@@ -105,8 +105,8 @@
     for task in asking {
         served += task.await?;
     }
-    let (cpu_s, peak_mib) = used(router.process().context("the router has ended")?)?;
-    let descriptors = router.holds().context("the router has ended")?.0;
+    let (cpu_s, peak_mib) = used(router.pid().context("the router has ended")?)?;
+    let descriptors = router.resources().context("the router has ended")?.0;
     router.terminate(Duration::from_secs(10)).await;
     std::fs::remove_dir_all(&dir)?;
     Ok(Cost { served, cpu_s, peak_mib, descriptors, list_bytes })
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -9,8 +9,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::configuration::{Class, CLASSES};
-use crate::http::Incoming;
+use crate::configuration::{RequestClass, CLASSES};
+use crate::http::ReadBuffer;
 use crate::link::reset;
 use crate::record::{Ending, Record, Request, RouterId};
 
@@ -21,15 +21,15 @@
 
 /// How clients behave, beside those who behave well.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Manners {
+pub struct ClientBehavior {
     /// Part of requests whose client closes before its answer.
-    pub leaves: f64,
+    pub leave_share: f64,
     /// Part of requests that stop in the middle, their client staying.
-    pub halves: f64,
+    pub half_share: f64,
     /// Part of requests sent in pieces.
-    pub pieces: f64,
+    pub piece_share: f64,
     /// Part of requests with very little time.
-    pub hurried: f64,
+    pub hurried_share: f64,
 }
 
 /// What all clients share.
@@ -40,7 +40,7 @@
     /// Routers that take clients.
     pub admitted: RefCell<Vec<bool>>,
     /// How they behave now.
-    pub manners: Cell<Manners>,
+    pub behavior: Cell<ClientBehavior>,
     /// No more requests are begun.
     pub stopped: Cell<bool>,
     /// Requests that are open.
@@ -53,10 +53,10 @@
 /// A connection to a router, with how many answers came on it.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    incoming: Incoming,
+    incoming: ReadBuffer,
     answers: usize,
     router: RouterId,
-    pub(crate) life: usize,
+    pub(crate) generation: usize,
 }
 
 impl Connection {
@@ -68,7 +68,7 @@
 
 /// What a client is about to do.
 pub(crate) struct Intent {
-    class: Class,
+    class: RequestClass,
     leaves_after_ms: Option<f64>,
     half: bool,
     pieces: bool,
@@ -92,7 +92,7 @@
             record,
             addresses,
             admitted,
-            manners: Cell::default(),
+            behavior: Cell::default(),
             stopped: Cell::new(false),
             open: Cell::new(0),
             next: Cell::new(0),
@@ -108,7 +108,8 @@
         let mut connection: Option<Connection> = None;
         while !self.stopped.get() {
             sleep(Duration::from_secs_f64(pause_ms * (0.5 + rng.f64()) / 1e3)).await;
-            let usable = |open: &Connection| open.life == self.record.life(open.router) && !open.closed();
+            let usable =
+                |open: &Connection| open.generation == self.record.generation(open.router) && !open.closed();
             let open = match connection.take().filter(usable) {
                 Some(open) => Some(open),
                 None => self.connect(&mut rng).await,
@@ -120,11 +121,11 @@
     }
 
     /// One request to one router, with all the time that its class gives; whether it was served whole.
-    pub async fn ask_once(&self, router: RouterId) -> bool {
+    pub async fn request_once(&self, router: RouterId) -> bool {
         let Ok(stream) = TcpStream::connect(self.addresses[router]).await else { return false };
         let _ = stream.set_nodelay(true);
-        let (incoming, life) = (Incoming::default(), self.record.life(router));
-        let connection = Connection { stream, incoming, answers: 0, router, life };
+        let (incoming, generation) = (ReadBuffer::default(), self.record.generation(router));
+        let connection = Connection { stream, incoming, answers: 0, router, generation };
         let class = CLASSES[0];
         let session = fastrand::Rng::with_seed(self.next.get()).u64(..);
         let deadline_ms = self.deadline_ms(&class);
@@ -140,7 +141,7 @@
         };
         let id = self.id();
         self.exchange(connection, intent, &id).await;
-        let ended = self.record.with(|seen| seen.requests.get(&id).and_then(|request| request.ended));
+        let ended = self.record.with(|observed| observed.requests.get(&id).and_then(|request| request.ended));
         matches!(ended, Some((_, Ending::Whole { status: 200 })))
     }
 
@@ -155,26 +156,26 @@
 
     pub(crate) async fn connect_to(&self, router: RouterId) -> Option<Connection> {
         let address = self.addresses[router];
-        let life = self.record.life(router);
+        let generation = self.record.generation(router);
         let stream = timeout(Duration::from_secs(1), TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        Some(Connection { stream, incoming: Incoming::default(), answers: 0, router, life })
+        Some(Connection { stream, incoming: ReadBuffer::default(), answers: 0, router, generation })
     }
 
-    fn deadline_ms(&self, class: &Class) -> f64 {
+    fn deadline_ms(&self, class: &RequestClass) -> f64 {
         class.deadline_share * self.longest_deadline_s * 1e3
     }
 
     pub(crate) fn intent(&self, rng: &mut fastrand::Rng) -> Intent {
-        let manners = self.manners.get();
+        let behavior = self.behavior.get();
         let class = CLASSES[rng.usize(..CLASSES.len())];
-        let hurried = rng.f64() < manners.hurried;
-        let leaves = rng.f64() < manners.leaves;
+        let hurried = rng.f64() < behavior.hurried_share;
+        let leaves = rng.f64() < behavior.leave_share;
         Intent {
             class,
             leaves_after_ms: leaves.then(|| rng.f64() * 120.0),
-            half: rng.f64() < manners.halves,
-            pieces: rng.f64() < manners.pieces,
+            half: rng.f64() < behavior.half_share,
+            pieces: rng.f64() < behavior.piece_share,
             pause_ms: None,
             deadline_ms: if hurried { 20.0 + 200.0 * rng.f64() } else { self.deadline_ms(&class) },
             tokens: if rng.bool() { 100 } else { 20_000 },
@@ -183,8 +184,8 @@
     }
 
     /// The process that a router runs now.
-    pub(crate) fn life(&self, router: RouterId) -> usize {
-        self.record.life(router)
+    pub(crate) fn generation(&self, router: RouterId) -> usize {
+        self.record.generation(router)
     }
 
     fn id(&self) -> String {
@@ -203,8 +204,8 @@
 
     fn end(&self, id: &str, ending: Ending) {
         let now_ms = self.record.now_ms();
-        self.record.with(|seen| {
-            if let Some(request) = seen.requests.get_mut(id) {
+        self.record.with(|observed| {
+            if let Some(request) = observed.requests.get_mut(id) {
                 request.ended.get_or_insert((now_ms, ending));
             }
         });
@@ -224,25 +225,26 @@
         );
         let request = Request {
             router: connection.router,
-            life: connection.life,
-            repeats: class.repeats,
-            kept_connection: connection.answers > 0,
-            begun_ms: self.record.now_ms(),
+            generation: connection.generation,
+            idempotency: class.idempotency,
+            reused_connection: connection.answers > 0,
+            started_ms: self.record.now_ms(),
             sent_ms: None,
             deadline_ms,
-            began_ms: None,
+            response_started_ms: None,
             events_ms: Vec::new(),
             ended: None,
             half: intent.half,
         };
-        self.record.with(|seen| seen.requests.insert(id.to_owned(), request));
+        self.record.with(|observed| observed.requests.insert(id.to_owned(), request));
         if self.send(&mut connection.stream, text.as_bytes(), &intent).await.is_err() {
             self.end(id, Ending::Closed);
             return None;
         }
         let now_ms = self.record.now_ms();
         if !intent.half {
-            self.record.with(|seen| seen.requests.get_mut(id).map(|request| request.sent_ms = Some(now_ms)));
+            self.record
+                .with(|observed| observed.requests.get_mut(id).map(|request| request.sent_ms = Some(now_ms)));
         }
         let answer = self.answer(&mut connection, id, deadline_ms);
         let answered = match intent.leaves_after_ms {
@@ -318,9 +320,9 @@
                 }
                 Ok(Some(_)) => {
                     let now_ms = self.record.now_ms();
-                    self.record.with(|seen| {
-                        if let Some(request) = seen.requests.get_mut(id) {
-                            request.began_ms.get_or_insert(now_ms);
+                    self.record.with(|observed| {
+                        if let Some(request) = observed.requests.get_mut(id) {
+                            request.response_started_ms.get_or_insert(now_ms);
                             request.events_ms.push(now_ms);
                         }
                     });
@@ -337,7 +339,7 @@
 
 async fn more(
     stream: &mut TcpStream,
-    incoming: &mut Incoming,
+    incoming: &mut ReadBuffer,
     until: Instant,
     late: Ending,
     broken: Ending,
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -4,15 +4,15 @@
 
 use serde_json::{json, Value};
 
-use crate::record::Repeats;
+use crate::record::Idempotency;
 
 /// A class of requests.
 #[derive(Clone, Copy, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// Its name on the wire.
     pub name: &'static str,
     /// What may happen when it runs again.
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     /// How long its clients wait for the first byte, as a part of the longest deadline of the play.
     pub deadline_share: f64,
     /// In which its servers drop repeats by key, in s.
@@ -20,10 +20,10 @@
 }
 
 /// One of each kind.
-pub const CLASSES: [Class; 3] = [
-    Class { name: "chat", repeats: Repeats::Harmless, deadline_share: 1.0, window_s: 0.0 },
-    Class { name: "notice", repeats: Repeats::ByKey, deadline_share: 0.8, window_s: 0.5 },
-    Class { name: "ledger", repeats: Repeats::Never, deadline_share: 1.0, window_s: 0.0 },
+pub const CLASSES: [RequestClass; 3] = [
+    RequestClass { name: "chat", idempotency: Idempotency::Repeatable, deadline_share: 1.0, window_s: 0.0 },
+    RequestClass { name: "notice", idempotency: Idempotency::ByKey, deadline_share: 0.8, window_s: 0.5 },
+    RequestClass { name: "ledger", idempotency: Idempotency::Once, deadline_share: 1.0, window_s: 0.0 },
 ];
 
 /// The longest deadline of plays that name none, in s.
@@ -34,12 +34,12 @@
 
 /// What comes later than this after SIGTERM, in s, has to be answered before SIGKILL, which comes no earlier than this and the
 /// longest deadline, counted as the second at most.
-pub const OWED_AFTER_S: f64 = 0.7;
+pub const REFUSED_AFTER_S: f64 = 0.7;
 const KILL_LONGEST_S: f64 = 3.0;
 
 /// When the platform kills a router at the earliest, in s after SIGTERM.
 pub fn kill_after_s(longest_deadline_s: f64) -> f64 {
-    OWED_AFTER_S + longest_deadline_s.min(KILL_LONGEST_S)
+    REFUSED_AFTER_S + longest_deadline_s.min(KILL_LONGEST_S)
 }
 
 /// The limit on what is held, in ms.
@@ -48,28 +48,28 @@
 pub const DRAIN_GRACE_MS: f64 = 250.0;
 /// In which a server that just started can be pushed over, in ms; how warm it begins; when it is warm, in ms; how many
 /// times what it can do then topples it.
-pub const FALL_MS: f64 = 2000.0;
+pub const OVERLOAD_WINDOW_MS: f64 = 2000.0;
 /// See [`FALL_MS`].
-pub const COLD_SHARE: f64 = 0.3;
+pub const SLOW_START_SHARE: f64 = 0.3;
 /// See [`FALL_MS`].
-pub const COLD_MS: f64 = 12_000.0;
+pub const SLOW_START_MS: f64 = 12_000.0;
 /// See [`FALL_MS`].
-pub const FALL_MULTIPLE: f64 = 2.5;
+pub const OVERLOAD_MULTIPLE: f64 = 2.5;
 /// Servers close what rests for so long, in s.
 pub const IDLE_S: f64 = 4.0;
 
 /// Zones by name.
 pub const ZONES: [&str; 2] = ["a", "b"];
 /// Kinds of the servers of each zone at the beginning.
-pub const KINDS: [&str; 5] = ["prefill", "decode", "combined", "combined", "combined"];
+pub const SERVER_KINDS: [&str; 5] = ["prefill", "decode", "combined", "combined", "combined"];
 /// Servers at the beginning; those that join later follow.
-pub const FIRST_SERVERS: usize = KINDS.len() * ZONES.len();
+pub const INITIAL_SERVERS: usize = SERVER_KINDS.len() * ZONES.len();
 
 /// The kind of a server by its row.
 pub fn kind_of(server: usize) -> &'static str {
-    let row = server % KINDS.len();
-    if server < FIRST_SERVERS {
-        KINDS[row]
+    let row = server % SERVER_KINDS.len();
+    if server < INITIAL_SERVERS {
+        SERVER_KINDS[row]
     } else {
         "combined"
     }
@@ -88,7 +88,7 @@
 
 /// What a configuration differs in.
 #[derive(Clone, Debug)]
-pub struct Wanted<'a> {
+pub struct RouterParameters<'a> {
     /// The router's row.
     pub router: usize,
     /// Routers in all.
@@ -110,14 +110,14 @@
 }
 
 /// The whole object.
-pub fn configuration(wanted: &Wanted) -> Value {
+pub fn configuration(wanted: &RouterParameters) -> Value {
     let services: Vec<_> = CLASSES
         .iter()
         .map(|class| {
-            let idempotency = match class.repeats {
-                Repeats::Harmless => "repeatable",
-                Repeats::ByKey => "by_key",
-                Repeats::Never => "once",
+            let idempotency = match class.idempotency {
+                Idempotency::Repeatable => "repeatable",
+                Idempotency::ByKey => "by_key",
+                Idempotency::Once => "once",
             };
             let deadline_s = class.deadline_share * wanted.longest_deadline_s;
             let target_s = TARGET_S.min(TARGET_SHARE * deadline_s);
@@ -143,8 +143,9 @@
             "family_info": { "aim_us_per_1000_prompt_tokens": [0.0, 0.0, 0.0], "holds_allowed": true,
                              "kv_tokens": [400000.0, 400000.0, 400000.0], "pin_limit_s": HELD_LIMIT_MS / 1e3,
                              "role_by_kind": ["read", "write", "both"], "self_prefill": true },
-            "invariants": { "answer_slack_s": 0.008, "cold_s": COLD_MS / 1e3, "cold_share": COLD_SHARE,
-                            "fall_multiple": FALL_MULTIPLE, "fall_s": FALL_MS / 1e3, "must_ask_in_s": 10.0 },
+            "invariants": { "answer_slack_s": 0.008, "cold_s": SLOW_START_MS / 1e3,
+                            "cold_share": SLOW_START_SHARE, "fall_multiple": OVERLOAD_MULTIPLE,
+                            "fall_s": OVERLOAD_WINDOW_MS / 1e3, "must_ask_in_s": 10.0 },
             "resolution_s": 0.002
         }
     })
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -13,13 +13,13 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::http::{plain, Incoming};
+use crate::http::{response, ReadBuffer};
 use crate::link::{reset, Link};
-use crate::record::{HealthChange, Record, RouterId, ServerId, Telling, Told};
+use crate::record::{Availability, HealthChange, Notification, Record, RouterId, ServerId};
 
 /// A server as discovery knows it.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ServerEntry {
     /// Its name.
     pub name: String,
     /// Where it is reached.
@@ -35,13 +35,13 @@
     /// Its last start on the record's clock, in ms; none for long ago.
     pub started_ms: Option<f64>,
     /// What the wall clock showed at that start, in ms since 1970.
-    pub born_ms: f64,
+    pub start_wall_ms: f64,
 }
 
 struct Change {
     version: u64,
     server: ServerId,
-    entry: Entry,
+    entry: ServerEntry,
 }
 
 /// What discovery knows, shared by all agents.
@@ -82,23 +82,23 @@
     }
 
     /// The newest of a server.
-    pub fn entry(&self, server: ServerId) -> Option<Entry> {
+    pub fn entry(&self, server: ServerId) -> Option<ServerEntry> {
         let changes = self.changes.borrow();
         changes.iter().rev().find(|change| change.server == server).map(|change| change.entry.clone())
     }
 
     /// A server is new, or has changed.
-    pub fn change(&self, server: ServerId, entry: Entry) {
+    pub fn change(&self, server: ServerId, entry: ServerEntry) {
         let version = *self.version.borrow() + 1;
-        let told = told(&entry);
+        let availability = availability(&entry);
         let at_ms = self.record.now_ms();
-        self.record.with(|seen| seen.health.push(HealthChange { server, at_ms, told }));
+        self.record.with(|observed| observed.health.push(HealthChange { server, at_ms, availability }));
         self.changes.borrow_mut().push(Change { version, server, entry });
         self.version.send_replace(version);
     }
 
     /// The list after a version, and the version that it is; the whole list where none is named.
-    fn list(&self, from: Option<u64>, until: u64) -> (Value, Vec<(ServerId, Told)>) {
+    fn list(&self, from: Option<u64>, until: u64) -> (Value, Vec<(ServerId, Availability)>) {
         let changes = self.changes.borrow();
         let newer =
             |change: &&Change| change.version <= until && from.is_none_or(|from| change.version > from);
@@ -110,8 +110,8 @@
             rows.retain(|_, entry| entry.health != "gone");
         }
         let hosts: Vec<_> = rows.values().map(|entry| host(entry)).collect();
-        let told = rows.iter().map(|(server, entry)| (*server, told(entry))).collect();
-        (json!({ "seq": until, "whole": from.is_none(), "hosts": hosts }), told)
+        let availability = rows.iter().map(|(server, entry)| (*server, availability(entry))).collect();
+        (json!({ "seq": until, "whole": from.is_none(), "hosts": hosts }), availability)
     }
 
     /// The whole list as it is now.
@@ -120,17 +120,17 @@
     }
 }
 
-fn told(entry: &Entry) -> Told {
+fn availability(entry: &ServerEntry) -> Availability {
     match entry.health {
-        "ready" => Told::Ready,
-        _ => Told::Leaving,
+        "ready" => Availability::Ready,
+        _ => Availability::Leaving,
     }
 }
 
-fn host(entry: &Entry) -> Value {
+fn host(entry: &ServerEntry) -> Value {
     json!({ "host": entry.name, "dial": entry.address.to_string(), "site": entry.zone, "class": entry.kind,
             "block": entry.cell, "health": entry.health, "share": 1.0,
-            "born_ms": entry.started_ms.map_or(0.0, |_| entry.born_ms.round()) })
+            "born_ms": entry.started_ms.map_or(0.0, |_| entry.start_wall_ms.round()) })
 }
 
 /// The agent on one router's machine.
@@ -207,7 +207,7 @@
         let _ = stream.set_nodelay(true);
         // An aborted connection breaks rather than ends.
         reset(&stream);
-        let mut incoming = Incoming::default();
+        let mut incoming = ReadBuffer::default();
         loop {
             let head = loop {
                 if let Some(head) = incoming.take_head() {
@@ -217,7 +217,7 @@
                     return Ok(());
                 }
             };
-            let target = head.asked().1.to_owned();
+            let target = head.method_and_target().1.to_owned();
             let number = |name: &str| {
                 let (_, rest) = target.split_once(&format!("{name}="))?;
                 rest.split('&').next()?.parse::<u64>().ok()
@@ -228,7 +228,7 @@
             let mut broken = false;
             let nothing_new = |agent: &Agent| from.is_some_and(|from| agent.has.get() <= from);
             while broken || self.catalog.down.get() || nothing_new(self) && Instant::now() < until {
-                broken |= self.link.weather().silent;
+                broken |= self.link.condition().silent;
                 let mut end = [0; 1];
                 // A router that gave the call up is gone; nothing is owed to it.
                 if let Ok(Ok(0) | Err(_)) = timeout(Duration::from_millis(4), stream.peek(&mut end)).await {
@@ -236,20 +236,20 @@
                 }
             }
             sleep(Duration::from_secs_f64(self.catalog.slow_ms.get() / 1e3)).await;
-            let (list, told) = self.catalog.list(from, self.has.get());
-            let answer = plain("200 OK", "Content-Type: application/json\r\n", &list.to_string());
+            let (list, availability) = self.catalog.list(from, self.has.get());
+            let answer = response("200 OK", "Content-Type: application/json\r\n", &list.to_string());
             self.link.write(&mut stream, answer.as_bytes()).await?;
-            self.told(&told);
+            self.availability(&availability);
         }
     }
 
-    fn told(&self, told: &[(ServerId, Told)]) {
+    fn availability(&self, availability: &[(ServerId, Availability)]) {
         let record = &self.catalog.record;
-        let (at_ms, life) = (record.now_ms(), record.life(self.router));
-        record.with(|seen| {
-            for (server, told) in told {
-                let (router, server, told) = (self.router, *server, *told);
-                seen.tellings.push(Telling { router, life, server, at_ms, told });
+        let (at_ms, generation) = (record.now_ms(), record.generation(self.router));
+        record.with(|observed| {
+            for (server, availability) in availability {
+                let (router, server, availability) = (self.router, *server, *availability);
+                observed.notifications.push(Notification { router, generation, server, at_ms, availability });
             }
         });
     }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -24,7 +24,7 @@
     }
 
     /// Method and target of a request.
-    pub fn asked(&self) -> (&str, &str) {
+    pub fn method_and_target(&self) -> (&str, &str) {
         let mut words = self.line.split(' ');
         (words.next().unwrap_or(""), words.next().unwrap_or(""))
     }
@@ -47,11 +47,11 @@
 
 /// Bytes read and not yet used.
 #[derive(Default)]
-pub struct Incoming {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
 }
 
-impl Incoming {
+impl ReadBuffer {
     /// Whether nothing is left unused.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
@@ -115,6 +115,6 @@
 }
 
 /// An answer whose body has a known length.
-pub fn plain(status: &str, fields: &str, body: &str) -> String {
+pub fn response(status: &str, fields: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/soak/src/late.rs
+++ b/crates/soak/src/late.rs
@@ -27,12 +27,12 @@
     pub async fn stay(self: Rc<Self>, router: RouterId, first: First, first_ms: f64, seed: u64) {
         let mut rng = fastrand::Rng::with_seed(self.seed ^ seed);
         let Some(mut open) = self.connect_to(router).await else { return };
-        let life = open.life;
+        let generation = open.generation;
         let mut pause_ms = Some(first_ms).filter(|_| first == First::SendsHalf);
         if first == First::Rests {
             sleep(Duration::from_secs_f64(first_ms / 1e3)).await;
         }
-        while life == self.life(router) && !open.closed() {
+        while generation == self.generation(router) && !open.closed() {
             let mut intent = self.intent(&mut rng);
             intent.pause_ms = pause_ms.take();
             let Some(kept) = self.ask(open, intent).await else { return };
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -15,7 +15,7 @@
 
 /// How a link treats what crosses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
+pub struct LinkCondition {
     /// Held back before it is passed on, in ms.
     pub delay_ms: f64,
     /// Nothing passes, and nothing is said of it.
@@ -30,17 +30,17 @@
 
 /// A link's weather, which changes under open connections.
 #[derive(Clone, Default)]
-pub struct Link(Rc<Cell<Weather>>);
+pub struct Link(Rc<Cell<LinkCondition>>);
 
 impl Link {
     /// How it is now.
-    pub fn weather(&self) -> Weather {
+    pub fn condition(&self) -> LinkCondition {
         self.0.get()
     }
 
     /// From now on.
-    pub fn set(&self, weather: Weather) {
-        self.0.set(weather);
+    pub fn set(&self, condition: LinkCondition) {
+        self.0.set(condition);
     }
 
     /// Waits while the link is silent or slow.
@@ -49,14 +49,14 @@
     /// The link resets.
     pub async fn cross(&self, stream: &TcpStream) -> Result<()> {
         loop {
-            let weather = self.weather();
-            if weather.resets {
+            let condition = self.condition();
+            if condition.resets {
                 reset(stream);
                 return Err(ErrorKind::ConnectionReset.into());
             }
-            if !weather.silent {
-                if weather.delay_ms > 0.0 {
-                    sleep(Duration::from_secs_f64(weather.delay_ms / 1e3)).await;
+            if !condition.silent {
+                if condition.delay_ms > 0.0 {
+                    sleep(Duration::from_secs_f64(condition.delay_ms / 1e3)).await;
                 }
                 return Ok(());
             }
@@ -70,8 +70,8 @@
     /// The connection broke, or the link resets.
     pub async fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> Result<()> {
         self.cross(stream).await?;
-        let weather = self.weather();
-        if weather.trickles {
+        let condition = self.condition();
+        if condition.trickles {
             for byte in bytes {
                 stream.write_all(std::slice::from_ref(byte)).await?;
                 tokio::task::yield_now().await;
@@ -79,9 +79,9 @@
             return Ok(());
         }
         match bytes.split_last() {
-            Some((last, rest)) if weather.last_byte_ms > 0.0 => {
+            Some((last, rest)) if condition.last_byte_ms > 0.0 => {
                 stream.write_all(rest).await?;
-                sleep(Duration::from_secs_f64(weather.last_byte_ms / 1e3)).await;
+                sleep(Duration::from_secs_f64(condition.last_byte_ms / 1e3)).await;
                 stream.write_all(std::slice::from_ref(last)).await
             }
             _ => stream.write_all(bytes).await,
--- a/crates/soak/src/oracle/answers.rs
+++ b/crates/soak/src/oracle/answers.rs
@@ -2,7 +2,7 @@
 
 use super::shutdowns::{crossed_the_end, ended_by_the_kill};
 use super::{violation, Case, Rule, Violation};
-use crate::record::{Attempt, Ending, Fate, Request};
+use crate::record::{Attempt, AttemptOutcome, Ending, Request};
 
 /// Up to so long after its time an answer only earns nothing, in ms.
 const LATE_MS: f64 = 500.0;
@@ -41,9 +41,9 @@
     "write-broken",
 ];
 
-pub(super) fn judge(case: &Case, found: &mut Vec<Violation>) {
+pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
     let (mut streams, mut held_back) = (0, 0);
-    for (id, request) in &case.seen.requests {
+    for (id, request) in &case.observed.requests {
         if request.half {
             half(case, id, request, found);
             continue;
@@ -86,11 +86,11 @@
 
 fn half(case: &Case, id: &str, request: &Request, found: &mut Vec<Violation>) {
     let Some((ended_ms, ending)) = request.ended else { return };
-    let took_ms = ended_ms - request.begun_ms;
-    let frozen = case.was_on(&FROZEN, request.begun_ms, ended_ms);
+    let took_ms = ended_ms - request.started_ms;
+    let frozen = case.was_on(&FROZEN, request.started_ms, ended_ms);
     if !frozen && ending != Ending::Left && took_ms > HALF_MS + case.slack_ms(ended_ms) {
         let what = format!("half a request stood for {took_ms:.0} ms");
-        found.push(violation(Rule::HalfRequest, request.begun_ms, (id, request), what));
+        found.push(violation(Rule::HalfRequest, request.started_ms, (id, request), what));
     }
 }
 
@@ -102,7 +102,7 @@
     ended_ms: f64,
     found: &mut Vec<Violation>,
 ) {
-    let first_ms = request.began_ms.unwrap_or(ended_ms);
+    let first_ms = request.response_started_ms.unwrap_or(ended_ms);
     let late_ms = first_ms - sent_ms - request.deadline_ms;
     let frozen = case.was_on(&FROZEN, sent_ms, first_ms);
     if !frozen && late_ms > LATE_MS + case.slack_ms(first_ms) {
@@ -113,19 +113,19 @@
 
 /// Whether the process was killed, or crashed, with this request in it.
 fn died_with_it(case: &Case, request: &Request, ended_ms: f64) -> bool {
-    let Some(life) = case.life(request) else { return false };
+    let Some(process) = case.process(request) else { return false };
     // Killed because it had not ended in time after SIGTERM: what is unanswered then is lost.
-    let outright = life.killed_ms.filter(|_| life.terminated_ms.is_none());
-    let crashed = life.ended.filter(|(_, code)| *code != Ok(0)).map(|(at_ms, _)| at_ms);
-    let crashed = crashed.filter(|_| life.killed_ms.is_none());
+    let outright = process.killed_ms.filter(|_| process.terminated_ms.is_none());
+    let crashed = process.ended.filter(|(_, code)| *code != Ok(0)).map(|(at_ms, _)| at_ms);
+    let crashed = crashed.filter(|_| process.killed_ms.is_none());
     outright.or(crashed).is_some_and(|at_ms| at_ms <= ended_ms + AWAKE_MS)
 }
 
 fn closed(case: &Case, id: &str, request: &Request, sent_ms: f64, ended_ms: f64, found: &mut Vec<Violation>) {
     let attempted = !case.attempts(id).is_empty();
     // Closed as the request came, and not read: the client sends it once more.
-    let crossed =
-        !attempted && request.kept_connection || crossed_the_end(case, request, ended_ms, case.attempts(id));
+    let crossed = !attempted && request.reused_connection
+        || crossed_the_end(case, request, ended_ms, case.attempts(id));
     let crowded = case.was_on(&CROWDED, sent_ms - 1000.0, ended_ms) && !attempted;
     if !crossed && !crowded && !case.was_on(&BROKEN, sent_ms, ended_ms) {
         let what =
@@ -135,15 +135,19 @@
 }
 
 fn cut(case: &Case, id: &str, request: &Request, ended_ms: f64, found: &mut Vec<Violation>) {
-    let from_ms = request.sent_ms.unwrap_or(request.begun_ms);
+    let from_ms = request.sent_ms.unwrap_or(request.started_ms);
     if case.was_on(&BROKEN, from_ms, ended_ms) {
         return;
     }
-    let whole = case.attempts(id).iter().any(|attempt| attempt.fate == Fate::Finished && !attempt.reads);
+    let whole = case
+        .attempts(id)
+        .iter()
+        .any(|attempt| attempt.outcome == AttemptOutcome::Finished && !attempt.prefill_only);
     let troubled = case.was_on(&STREAMS_BREAK, from_ms - 1000.0, ended_ms);
     let writes = |attempt: &&&Attempt| {
         let last_ms = attempt.events_ms.last().copied().unwrap_or(f64::NEG_INFINITY);
-        attempt.fate == Fate::Unknown && attempt.over_ms.is_some_and(|over_ms| over_ms - last_ms < WRITING_MS)
+        attempt.outcome == AttemptOutcome::Unknown
+            && attempt.ended_ms.is_some_and(|ended_ms| ended_ms - last_ms < WRITING_MS)
     };
     let writing = !troubled && case.attempts(id).iter().any(|attempt| writes(&attempt));
     if whole || writing {
--- a/crates/soak/src/oracle/attempts.rs
+++ b/crates/soak/src/oracle/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::{violation, Case, Rule, Violation};
 use crate::configuration::{CLASSES, DRAIN_GRACE_MS};
-use crate::record::{Attempt, Ending, Fate, Repeats, Request, Told};
+use crate::record::{Attempt, AttemptOutcome, Availability, Ending, Idempotency, Request};
 
 /// Every time limit of the platform is longer by this, in ms.
 const LIMITS_MS: f64 = 50.0;
@@ -21,9 +21,9 @@
 /// How long after standing still a router may act on what it had decided before, in ms.
 const AWAKE_MS: f64 = 200.0;
 
-pub(super) fn judge(case: &Case, found: &mut Vec<Violation>) {
-    for attempt in &case.seen.attempts {
-        let Some(request) = case.seen.requests.get(&attempt.request) else { continue };
+pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
+    for attempt in &case.observed.attempts {
+        let Some(request) = case.observed.requests.get(&attempt.request) else { continue };
         let at = (attempt.request.as_str(), request);
         let slack_ms = case.slack_ms(attempt.first_byte_ms);
         let frozen = case.was_on(&FROZEN, attempt.first_byte_ms - AWAKE_MS, attempt.first_byte_ms);
@@ -36,7 +36,7 @@
                 found.push(violation(Rule::ClientGone, attempt.first_byte_ms, at, what));
             }
         }
-        if let Some((told_ms, sent_ms)) = attempt.told_ms.zip(request.sent_ms) {
+        if let Some((told_ms, sent_ms)) = attempt.deadline_header_ms.zip(request.sent_ms) {
             let left_ms = sent_ms + request.deadline_ms - attempt.first_byte_ms;
             // What came while the router stood still has its time counted from when it could be read.
             let unread_ms = case.goes_on_ms(&FROZEN, sent_ms);
@@ -50,7 +50,7 @@
         }
     }
     for (id, attempts) in &case.attempts {
-        if let Some(request) = case.seen.requests.get(*id) {
+        if let Some(request) = case.observed.requests.get(*id) {
             repeats(case, id, request, attempts, found);
         }
     }
@@ -59,15 +59,15 @@
 /// When the router was last told that this server leaves, if that was its last word before the attempt.
 fn told_leaving_ms(case: &Case, attempt: &Attempt, request: &Request) -> Option<f64> {
     let before = |at_ms: f64| at_ms <= attempt.first_byte_ms;
-    let to_it = case.seen.tellings.iter().filter(|telling| {
-        let to = (telling.router, telling.life, telling.server);
-        to == (request.router, request.life, attempt.server) && before(telling.at_ms)
+    let to_it = case.observed.notifications.iter().filter(|notification| {
+        let to = (notification.router, notification.generation, notification.server);
+        to == (request.router, request.generation, attempt.server) && before(notification.at_ms)
     });
     let mut leaving_ms = None;
-    for telling in to_it {
-        leaving_ms = match telling.told {
-            Told::Ready => None,
-            Told::Leaving => leaving_ms.or(Some(telling.at_ms)),
+    for notification in to_it {
+        leaving_ms = match notification.availability {
+            Availability::Ready => None,
+            Availability::Leaving => leaving_ms.or(Some(notification.at_ms)),
         };
     }
     leaving_ms.or_else(|| told_at_latest_ms(case, attempt))
@@ -75,9 +75,9 @@
 
 /// When a drain that discovery knows counts as told, arrived or not.
 fn told_at_latest_ms(case: &Case, attempt: &Attempt) -> Option<f64> {
-    let of_it = case.seen.health.iter().filter(|change| change.server == attempt.server);
+    let of_it = case.observed.health.iter().filter(|change| change.server == attempt.server);
     let last = of_it.rev().find(|change| change.at_ms <= attempt.first_byte_ms)?;
-    if last.told == Told::Ready {
+    if last.availability == Availability::Ready {
         return None;
     }
     let told_ms = last.at_ms + TOLD_AT_LATEST_MS;
@@ -96,19 +96,21 @@
 
 /// What may have run is not run again but where that is harmless.
 fn repeats(case: &Case, id: &str, request: &Request, attempts: &[&Attempt], found: &mut Vec<Violation>) {
-    let window_ms = CLASSES.iter().find(|class| class.repeats == request.repeats);
+    let window_ms = CLASSES.iter().find(|class| class.idempotency == request.idempotency);
     let window_ms = window_ms.map_or(0.0, |class| class.window_s * 1e3);
     for (row, later) in attempts.iter().enumerate() {
         let slack_ms = case.slack_ms(later.first_byte_ms);
-        let ran = attempts[..row].iter().filter(|earlier| !earlier.reads && earlier.fate != Fate::Declined);
+        let ran = attempts[..row]
+            .iter()
+            .filter(|earlier| !earlier.prefill_only && earlier.outcome != AttemptOutcome::Declined);
         for earlier in ran {
-            let apart_ms = later.whole_ms - earlier.whole_ms;
-            let twice = match request.repeats {
-                Repeats::Harmless => false,
-                Repeats::Never => true,
-                Repeats::ByKey => apart_ms > window_ms + LIMITS_MS + STALL_MS + slack_ms,
+            let apart_ms = later.received_ms - earlier.received_ms;
+            let twice = match request.idempotency {
+                Idempotency::Repeatable => false,
+                Idempotency::Once => true,
+                Idempotency::ByKey => apart_ms > window_ms + LIMITS_MS + STALL_MS + slack_ms,
             };
-            if twice && later.fate != Fate::Declined {
+            if twice && later.outcome != AttemptOutcome::Declined {
                 let what = format!(
                     "ran at server {} and, {apart_ms:.0} ms later, at {}",
                     earlier.server, later.server
@@ -117,7 +119,7 @@
             }
         }
         let open = |earlier: &&&Attempt| {
-            earlier.over_ms.is_none_or(|over_ms| over_ms > later.first_byte_ms + slack_ms)
+            earlier.ended_ms.is_none_or(|ended_ms| ended_ms > later.first_byte_ms + slack_ms)
         };
         let second = !case.terms.second_copies && attempts[..row].iter().any(|earlier| open(&earlier));
         if second && !case.was_on(&SILENT, later.first_byte_ms - 5000.0, later.first_byte_ms) {
--- a/crates/soak/src/oracle/held.rs
+++ b/crates/soak/src/oracle/held.rs
@@ -2,7 +2,7 @@
 
 use super::{Case, Rule, Violation};
 use crate::configuration::HELD_LIMIT_MS;
-use crate::record::{Attempt, Held};
+use crate::record::{Attempt, HeldState};
 
 /// Beyond the settings' limit, with few routers and with more than [`FEW`], in ms.
 const EXTRA_MS: f64 = 300.0;
@@ -10,14 +10,15 @@
 const FEW: usize = 12;
 const FROZEN: [&str; 1] = ["router-freeze"];
 
-pub(super) fn judge(case: &Case, found: &mut Vec<Violation>) {
+pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
     let extra_ms = if case.terms.routers > FEW { EXTRA_MANY_MS } else { EXTRA_MS };
-    let end_ms = case.seen.held.iter().filter_map(|held| held.until_ms).fold(0.0, f64::max);
-    for held in &case.seen.held {
-        let Some(request) = case.seen.requests.get(&held.request) else { continue };
+    let end_ms = case.observed.held.iter().filter_map(|held| held.until_ms).fold(0.0, f64::max);
+    for held in &case.observed.held {
+        let Some(request) = case.observed.requests.get(&held.request) else { continue };
         let until_ms = held.until_ms.unwrap_or(end_ms);
-        let killed = case.life(request).is_some_and(|life| life.killed_ms.is_some());
-        let crashed = case.life(request).and_then(|life| life.ended).is_some_and(|(_, code)| code != Ok(0));
+        let killed = case.process(request).is_some_and(|process| process.killed_ms.is_some());
+        let crashed =
+            case.process(request).and_then(|process| process.ended).is_some_and(|(_, code)| code != Ok(0));
         if killed || crashed || case.was_on(&FROZEN, held.from_ms, until_ms) {
             continue;
         }
@@ -32,9 +33,9 @@
 }
 
 /// Since when no attempt of its request was out while it was held.
-fn alone_since_ms(case: &Case, held: &Held, until_ms: f64) -> f64 {
+fn alone_since_ms(case: &Case, held: &HeldState, until_ms: f64) -> f64 {
     let out = |attempt: &&&Attempt| attempt.first_byte_ms <= until_ms;
     let attempts = case.attempts(&held.request).iter().filter(out);
-    let ends = attempts.map(|attempt| attempt.over_ms.unwrap_or(until_ms).min(until_ms));
+    let ends = attempts.map(|attempt| attempt.ended_ms.unwrap_or(until_ms).min(until_ms));
     ends.fold(held.from_ms, f64::max)
 }
--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/soak/src/oracle/mod.rs
@@ -3,18 +3,18 @@
 
 mod answers;
 mod attempts;
-mod cold;
 mod held;
 mod processes;
 mod shutdowns;
+mod slow_start;
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Attempt, Life, Request, Seen};
+use crate::record::{Attempt, Observations, Request, RouterProcess};
 
-pub use shutdowns::Shutdowns;
+pub use shutdowns::ShutdownCounts;
 
 /// What was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -70,7 +70,7 @@
 
 /// What the judge knows beside the record.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct CheckParameters {
     /// Routers in the play.
     pub routers: usize,
     /// Whether second copies are allowed.
@@ -78,15 +78,15 @@
 }
 
 /// All that was broken, by time.
-pub fn judge(seen: &Seen, terms: &Terms) -> Vec<Violation> {
-    let case = Case::of(seen, terms);
+pub fn check(observed: &Observations, terms: &CheckParameters) -> Vec<Violation> {
+    let case = Case::of(observed, terms);
     let mut found = Vec::new();
-    answers::judge(&case, &mut found);
-    attempts::judge(&case, &mut found);
-    held::judge(&case, &mut found);
-    cold::judge(&case, &mut found);
-    processes::judge(&case, &mut found);
-    shutdowns::judge(&case, &mut found);
+    answers::check(&case, &mut found);
+    attempts::check(&case, &mut found);
+    held::check(&case, &mut found);
+    slow_start::check(&case, &mut found);
+    processes::check(&case, &mut found);
+    shutdowns::check(&case, &mut found);
     found.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     found
 }
@@ -99,31 +99,31 @@
 
 /// The record, by request.
 struct Case<'a> {
-    seen: &'a Seen,
-    terms: &'a Terms,
+    observed: &'a Observations,
+    terms: &'a CheckParameters,
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
 }
 
 impl<'a> Case<'a> {
-    fn of(seen: &'a Seen, terms: &'a Terms) -> Case<'a> {
+    fn of(observed: &'a Observations, terms: &'a CheckParameters) -> Case<'a> {
         let mut attempts = BTreeMap::<&str, Vec<&Attempt>>::new();
-        for attempt in &seen.attempts {
+        for attempt in &observed.attempts {
             attempts.entry(&attempt.request).or_default().push(attempt);
         }
-        Case { seen, terms, attempts }
+        Case { observed, terms, attempts }
     }
 
     fn attempts(&self, request: &str) -> &[&'a Attempt] {
         self.attempts.get(request).map_or(&[], Vec::as_slice)
     }
 
-    fn life(&self, request: &Request) -> Option<&'a Life> {
-        self.seen.lives.get(request.router)?.get(request.life)
+    fn process(&self, request: &Request) -> Option<&'a RouterProcess> {
+        self.observed.processes.get(request.router)?.get(request.generation)
     }
 
     /// When the last request ended.
     fn end_ms(&self) -> f64 {
-        let ends = self.seen.requests.values().filter_map(|request| request.ended);
+        let ends = self.observed.requests.values().filter_map(|request| request.ended);
         ends.map(|(at_ms, _)| at_ms).fold(0.0, f64::max)
     }
 
@@ -131,7 +131,7 @@
     fn slack_ms(&self, at_ms: f64) -> f64 {
         let near =
             |(lag_ms, _): &&(f64, f64)| (at_ms - LAG_BEFORE_MS..=at_ms + LAG_AFTER_MS).contains(lag_ms);
-        let lags = self.seen.lags.iter().filter(near);
+        let lags = self.observed.lags.iter().filter(near);
         STAMP_MS + lags.map(|(_, late_ms)| late_ms).sum::<f64>()
     }
 
@@ -140,7 +140,7 @@
         let on = |window: &&crate::record::Window| {
             troubles.contains(&window.trouble.as_str()) && window.from_ms <= at_ms && window.to_ms >= at_ms
         };
-        self.seen.windows.iter().filter(on).map(|window| window.to_ms - at_ms).fold(0.0, f64::max)
+        self.observed.windows.iter().filter(on).map(|window| window.to_ms - at_ms).fold(0.0, f64::max)
     }
 
     /// Whether a trouble was on at some moment between two times.
@@ -148,7 +148,7 @@
         let on = |window: &&crate::record::Window| {
             troubles.contains(&window.trouble.as_str()) && window.from_ms <= to_ms && window.to_ms >= from_ms
         };
-        self.seen.windows.iter().any(|window| on(&window))
+        self.observed.windows.iter().any(|window| on(&window))
     }
 }
 
--- a/crates/soak/src/oracle/processes.rs
+++ b/crates/soak/src/oracle/processes.rs
@@ -1,7 +1,7 @@
 //! Processes: exits, readiness, and what they hold once all has healed.
 
 use super::{Case, Rule, Violation};
-use crate::record::Life;
+use crate::record::RouterProcess;
 
 /// Nine in ten restarted processes are ready within this, in ms.
 const READY_MS: f64 = 10_000.0;
@@ -10,23 +10,23 @@
 const DESCRIPTORS: usize = 16;
 const MEMORY_MIB: f64 = 32.0;
 
-pub(super) fn judge(case: &Case, found: &mut Vec<Violation>) {
+pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
     let (mut started, mut in_time) = (0, 0);
-    for (router, lives) in case.seen.lives.iter().enumerate() {
+    for (router, processes) in case.observed.processes.iter().enumerate() {
         let mut say = |rule, at_ms, what| {
             found.push(Violation { rule, at_ms, router: Some(router), request: None, what });
         };
-        for life in lives {
-            if let Some((at_ms, code)) = life.ended.filter(|_| life.killed_ms.is_none()) {
-                if code != Ok(0) || life.terminated_ms.is_none() {
+        for process in processes {
+            if let Some((at_ms, code)) = process.ended.filter(|_| process.killed_ms.is_none()) {
+                if code != Ok(0) || process.terminated_ms.is_none() {
                     say(Rule::Crash, at_ms, format!("a process ended by itself: {}", exit(code)));
                 }
             }
-            if let Some(ready) = readiness(life) {
+            if let Some(ready) = readiness(process) {
                 started += 1;
                 in_time += usize::from(ready);
             }
-            if let Some(((files, mib), (files_before, mib_before))) = life.after.zip(life.before) {
+            if let Some(((files, mib), (files_before, mib_before))) = process.after.zip(process.before) {
                 if files > files_before + DESCRIPTORS || mib > mib_before + MEMORY_MIB {
                     let what = format!(
                         "{files} descriptors and {mib:.1} MiB after healing, {files_before} and {mib_before:.1} before"
@@ -40,7 +40,7 @@
         let what = format!("{in_time} of {started} processes were ready within {READY_MS:.0} ms");
         found.push(Violation { rule: Rule::Readiness, at_ms: 0.0, router: None, request: None, what });
     }
-    for note in &case.seen.notes {
+    for note in &case.observed.notes {
         let what = note.clone();
         found.push(Violation {
             rule: Rule::NotHealed,
@@ -60,12 +60,12 @@
 }
 
 /// Whether a process was ready in time; none where it had not that time.
-fn readiness(life: &Life) -> Option<bool> {
-    match life.ready_ms {
-        Some(ready_ms) => Some(ready_ms - life.started_ms <= READY_MS),
+fn readiness(process: &RouterProcess) -> Option<bool> {
+    match process.ready_ms {
+        Some(ready_ms) => Some(ready_ms - process.started_ms <= READY_MS),
         None => {
-            let until_ms = life.killed_ms.or(life.terminated_ms).unwrap_or(f64::INFINITY);
-            (until_ms - life.started_ms > READY_MS).then_some(false)
+            let until_ms = process.killed_ms.or(process.terminated_ms).unwrap_or(f64::INFINITY);
+            (until_ms - process.started_ms > READY_MS).then_some(false)
         }
     }
 }
--- a/crates/soak/src/oracle/shutdowns.rs
+++ b/crates/soak/src/oracle/shutdowns.rs
@@ -3,8 +3,8 @@
 use serde::Serialize;
 
 use super::{violation, Case, Rule, Violation};
-use crate::configuration::OWED_AFTER_S;
-use crate::record::{Attempt, Ending, Request, Seen};
+use crate::configuration::REFUSED_AFTER_S;
+use crate::record::{Attempt, Ending, Observations, Request};
 
 /// Every limit of the platform is longer by this, in ms.
 const LIMITS_MS: f64 = 50.0;
@@ -17,24 +17,24 @@
 const MAY_MISS: [&str; 5] = ["router-freeze", "router-stall", "write-stall", "read-broken", "write-broken"];
 
 /// How long after SIGTERM its router's process got a request, in ms; none before SIGTERM.
-pub(super) fn after_sigterm_ms(seen: &Seen, request: &Request) -> Option<f64> {
-    let life = seen.lives.get(request.router)?.get(request.life)?;
-    let after_ms = request.sent_ms? - life.terminated_ms?;
+pub(super) fn after_sigterm_ms(observed: &Observations, request: &Request) -> Option<f64> {
+    let process = observed.processes.get(request.router)?.get(request.generation)?;
+    let after_ms = request.sent_ms? - process.terminated_ms?;
     (after_ms >= 0.0).then_some(after_ms)
 }
 
 /// Whether a request that came so long after SIGTERM has to be answered before the kill. A process that the system held for longer
 /// than the platform's stalls may have heard of its end too late for that.
 fn is_owed(case: &Case, request: &Request, after_ms: f64) -> bool {
-    let sent_ms = request.sent_ms.unwrap_or(request.begun_ms);
+    let sent_ms = request.sent_ms.unwrap_or(request.started_ms);
     let heard_late = case.was_on(&FROZEN, sent_ms - after_ms, sent_ms);
-    !heard_late && after_ms > OWED_AFTER_S * 1e3 + LIMITS_MS + case.slack_ms(sent_ms)
+    !heard_late && after_ms > REFUSED_AFTER_S * 1e3 + LIMITS_MS + case.slack_ms(sent_ms)
 }
 
 /// What is owed at the kill is sent to no server.
-pub(super) fn judge(case: &Case, found: &mut Vec<Violation>) {
-    for (id, request) in &case.seen.requests {
-        let Some(after_ms) = after_sigterm_ms(case.seen, request) else { continue };
+pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
+    for (id, request) in &case.observed.requests {
+        let Some(after_ms) = after_sigterm_ms(case.observed, request) else { continue };
         let owed = is_owed(case, request, after_ms);
         if let Some(attempt) = case.attempts(id).first().filter(|_| owed) {
             let what =
@@ -53,12 +53,12 @@
     found: &mut Vec<Violation>,
 ) -> bool {
     let (ended_ms, ending) = ended;
-    let Some(life) = case.life(request) else { return false };
-    let killed_ms = life.killed_ms.filter(|_| life.terminated_ms.is_some());
+    let Some(process) = case.process(request) else { return false };
+    let killed_ms = process.killed_ms.filter(|_| process.terminated_ms.is_some());
     let Some(killed_ms) = killed_ms.filter(|killed_ms| ended_ms >= killed_ms - BY_THE_KILL_MS) else {
         return false;
     };
-    let (Some(sent_ms), Some(terminated_ms)) = (request.sent_ms, life.terminated_ms) else { return false };
+    let (Some(sent_ms), Some(terminated_ms)) = (request.sent_ms, process.terminated_ms) else { return false };
     if sent_ms >= killed_ms {
         // The process was gone, and with it the connection.
         return true;
@@ -79,14 +79,14 @@
 
 /// Whether a request came as its router closed the connection at the end of its life, and was not read.
 pub(super) fn crossed_the_end(case: &Case, request: &Request, ended_ms: f64, attempts: &[&Attempt]) -> bool {
-    let late = after_sigterm_ms(case.seen, request).is_some();
+    let late = after_sigterm_ms(case.observed, request).is_some();
     let apart_ms = ended_ms - request.sent_ms.unwrap_or(f64::NEG_INFINITY);
     late && attempts.is_empty() && apart_ms < CROSSING_MS + case.slack_ms(ended_ms)
 }
 
 /// What a play has crossed at the ends of processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Shutdowns {
+pub struct ShutdownCounts {
     /// Processes that were told to end.
     pub told: usize,
     /// Those of them that the kill ended.
@@ -108,18 +108,18 @@
     pub late_unanswered: usize,
 }
 
-impl Shutdowns {
+impl ShutdownCounts {
     /// Counted from a record.
-    pub fn of(seen: &Seen) -> Shutdowns {
-        let mut counts = Shutdowns::default();
-        for life in seen.lives.iter().flatten().filter(|life| life.terminated_ms.is_some()) {
+    pub fn of(observed: &Observations) -> ShutdownCounts {
+        let mut counts = ShutdownCounts::default();
+        for process in observed.processes.iter().flatten().filter(|process| process.terminated_ms.is_some()) {
             counts.told += 1;
-            counts.killed += usize::from(life.killed_ms.is_some());
+            counts.killed += usize::from(process.killed_ms.is_some());
         }
-        for request in seen.requests.values() {
-            let Some(after_ms) = after_sigterm_ms(seen, request) else { continue };
+        for request in observed.requests.values() {
+            let Some(after_ms) = after_sigterm_ms(observed, request) else { continue };
             counts.requests += 1;
-            if after_ms > OWED_AFTER_S * 1e3 {
+            if after_ms > REFUSED_AFTER_S * 1e3 {
                 counts.count_late(request);
             }
         }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -274,8 +274,8 @@
         if !(plan.length_s.is_finite() && (1.0..=3600.0).contains(&plan.length_s)) {
             bail!("length_s is {}, not between 1 and 3600", plan.length_s);
         }
-        if !(1..=MOST_ROUTERS).contains(&plan.routers) {
-            bail!("routers is {}, not between 1 and {MOST_ROUTERS}", plan.routers);
+        if !(1..=MAX_ROUTERS).contains(&plan.routers) {
+            bail!("routers is {}, not between 1 and {MAX_ROUTERS}", plan.routers);
         }
         if !(0.1..=60.0).contains(&plan.longest_deadline_s) {
             bail!("longest_deadline_s is {}, not between 0.1 and 60", plan.longest_deadline_s);
@@ -310,4 +310,4 @@
 }
 
 /// Router processes of a play at most.
-pub const MOST_ROUTERS: usize = 40;
+pub const MAX_ROUTERS: usize = 40;
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -12,11 +12,13 @@
 use tokio::time::{sleep, Instant};
 
 use crate::client::Clients;
-use crate::configuration::{configuration, kind_of, Wanted, FIRST_SERVERS, IDLE_S, KINDS, ZONES};
-use crate::discovery::{Agent, Catalog, Entry};
+use crate::configuration::{
+    configuration, kind_of, RouterParameters, IDLE_S, INITIAL_SERVERS, SERVER_KINDS, ZONES,
+};
+use crate::discovery::{Agent, Catalog, ServerEntry};
 use crate::plan::Plan;
 use crate::process::Router;
-use crate::record::{Record, Seen};
+use crate::record::{Observations, Record};
 use crate::server::Server;
 use crate::troubles;
 
@@ -34,7 +36,7 @@
 const LAG_MS: f64 = 10.0;
 
 /// Everything in a play.
-pub struct Stage {
+pub struct RunningPlay {
     /// What is seen.
     pub record: Record,
     /// What is played.
@@ -66,21 +68,21 @@
 }
 
 fn zone_of(server: usize) -> usize {
-    if server < FIRST_SERVERS {
-        server / KINDS.len()
+    if server < INITIAL_SERVERS {
+        server / SERVER_KINDS.len()
     } else {
         server % ZONES.len()
     }
 }
 
-impl Stage {
-    async fn start(plan: &Plan, program: &Path, dir: &Path) -> Result<Rc<Stage>> {
+impl RunningPlay {
+    async fn start(plan: &Plan, program: &Path, dir: &Path) -> Result<Rc<RunningPlay>> {
         std::fs::create_dir_all(dir).with_context(|| format!("making {}", dir.display()))?;
         let record = Record::default();
-        record.with(|seen| seen.lives = vec![Vec::new(); plan.routers]);
+        record.with(|observed| observed.processes = vec![Vec::new(); plan.routers]);
         let catalog = Catalog::new(record.clone());
         let mut servers = Vec::new();
-        for id in 0..FIRST_SERVERS + JOINING {
+        for id in 0..INITIAL_SERVERS + JOINING {
             servers.push(Server::start(record.clone(), id, kind_of(id))?);
         }
         let play = PLAYS.fetch_add(1, Ordering::Relaxed);
@@ -91,7 +93,7 @@
             routers.push(Router::new(record.clone(), id, *listen, program, dir, plan.seed)?);
         }
         let clients = Clients::new(record.clone(), addresses, plan.seed, plan.longest_deadline_s);
-        let stage = Rc::new(Stage {
+        let running = Rc::new(RunningPlay {
             record,
             plan: plan.clone(),
             catalog,
@@ -102,10 +104,10 @@
             clients,
             ending: Cell::new(false),
         });
-        for _ in 0..FIRST_SERVERS {
-            stage.list_next(false);
+        for _ in 0..INITIAL_SERVERS {
+            running.list_next(false);
         }
-        Ok(stage)
+        Ok(running)
     }
 
     /// The next server that is not on the list is on it from now on, just started or long there.
@@ -114,7 +116,7 @@
         let Some(server) = self.servers.get(id) else { return false };
         self.listed.set(id + 1);
         let zone = zone_of(id);
-        let entry = Entry {
+        let entry = ServerEntry {
             name: format!("s-{id}"),
             address: server.address,
             zone: ZONES[zone].to_owned(),
@@ -122,28 +124,28 @@
             cell: zone as u32,
             health: "ready",
             started_ms: None,
-            born_ms: 0.0,
+            start_wall_ms: 0.0,
         };
         self.catalog.change(id, entry);
         if fresh {
             let at_ms = self.record.now_ms();
-            self.record.with(|seen| seen.starts.push(crate::record::Start { server: id, at_ms }));
-            self.restarted(id);
+            self.record.with(|observed| observed.starts.push(crate::record::Start { server: id, at_ms }));
+            self.list_as_restarted(id);
         }
         true
     }
 
     /// The list says of a server that it has just started and is ready.
-    pub fn restarted(&self, id: usize) {
+    pub fn list_as_restarted(&self, id: usize) {
         let Some(mut entry) = self.catalog.entry(id) else { return };
         (entry.health, entry.started_ms) = ("ready", Some(self.record.now_ms()));
-        entry.born_ms = self.catalog.wall_ms();
+        entry.start_wall_ms = self.catalog.wall_ms();
         self.catalog.change(id, entry);
     }
 
     /// The configuration of a router as things stand.
     pub fn configuration(&self, router: usize) -> Value {
-        configuration(&Wanted {
+        configuration(&RouterParameters {
             router,
             routers: self.plan.routers,
             listen: self.routers[router].listen,
@@ -162,9 +164,9 @@
         let started = place.configure(&self.configuration(router)).and_then(|()| place.start());
         if let Err(cause) = started {
             let note = format!("router {router}: {cause:#}");
-            return self.record.with(|seen| seen.notes.push(note));
+            return self.record.with(|observed| observed.notes.push(note));
         }
-        if place.until_ready(READY).await {
+        if place.wait_until_ready(READY).await {
             self.clients.admitted.borrow_mut()[router] = true;
         }
     }
@@ -175,29 +177,29 @@
     }
 
     /// Waits until the record's clock shows so many s.
-    pub async fn until_s(&self, at_s: f64) {
+    pub async fn sleep_until_s(&self, at_s: f64) {
         tokio::time::sleep_until(self.record.at(at_s * 1e3)).await;
     }
 }
 
-async fn watch_lag(stage: Rc<Stage>) {
-    while !stage.ending.get() {
+async fn watch_lag(running: Rc<RunningPlay>) {
+    while !running.ending.get() {
         let asked = Instant::now();
         sleep(Duration::from_millis(TICK_MS)).await;
         let late_ms = asked.elapsed().as_secs_f64() * 1e3 - TICK_MS as f64;
         if late_ms > LAG_MS {
-            let now_ms = stage.record.now_ms();
-            stage.record.with(|seen| seen.lags.push((now_ms, late_ms)));
+            let now_ms = running.record.now_ms();
+            running.record.with(|observed| observed.lags.push((now_ms, late_ms)));
         }
     }
 }
 
 /// Notes processes that end without having been told to, and starts them again as the platform would.
-async fn watch_ends(stage: Rc<Stage>) {
-    while !stage.ending.get() {
-        for router in &stage.routers {
-            if router.look_for_end() {
-                stage.withdraw(router.id);
+async fn watch_ends(running: Rc<RunningPlay>) {
+    while !running.ending.get() {
+        for router in &running.routers {
+            if router.record_exit() {
+                running.withdraw(router.id);
             }
         }
         sleep(Duration::from_millis(100)).await;
@@ -209,7 +211,7 @@
     /// What was played.
     pub plan: Plan,
     /// What was seen.
-    pub seen: Seen,
+    pub observed: Observations,
     /// How often each fault of system calls was injected.
     pub injected: Vec<(paddleproxy_faults::Fault, u64)>,
     /// Where the routers' logs are.
@@ -221,83 +223,85 @@
 /// # Errors
 /// What could not be started.
 pub async fn play(plan: &Plan, program: &Path, dir: &Path) -> Result<Played> {
-    let stage = Stage::start(plan, program, dir).await?;
+    let running = RunningPlay::start(plan, program, dir).await?;
     let starting: Vec<_> = (0..plan.routers)
         .map(|router| {
-            let stage = stage.clone();
-            tokio::task::spawn_local(async move { stage.start_router(router).await })
+            let running = running.clone();
+            tokio::task::spawn_local(async move { running.start_router(router).await })
         })
         .collect();
     for task in starting {
         task.await?;
     }
     // Times of troubles count from here.
-    let began_s = stage.record.now_ms() / 1e3;
-    tokio::task::spawn_local(watch_lag(stage.clone()));
-    tokio::task::spawn_local(watch_ends(stage.clone()));
-    for router in &stage.routers {
-        let holds = router.holds();
-        stage.record.with(|seen| seen.lives[router.id].iter_mut().for_each(|life| life.before = holds));
+    let began_s = running.record.now_ms() / 1e3;
+    tokio::task::spawn_local(watch_lag(running.clone()));
+    tokio::task::spawn_local(watch_ends(running.clone()));
+    for router in &running.routers {
+        let resources = router.resources();
+        running.record.with(|observed| {
+            observed.processes[router.id].iter_mut().for_each(|process| process.before = resources)
+        });
     }
     let mut clients = Vec::new();
     for number in 0..CLIENTS * plan.routers {
-        clients.push(tokio::task::spawn_local(stage.clients.clone().run(number, PAUSE_MS)));
+        clients.push(tokio::task::spawn_local(running.clients.clone().run(number, PAUSE_MS)));
     }
-    let befall = |trouble| tokio::task::spawn_local(troubles::befall(stage.clone(), trouble, began_s));
+    let befall = |trouble| tokio::task::spawn_local(troubles::befall(running.clone(), trouble, began_s));
     let troubles: Vec<_> = plan.troubles.iter().cloned().map(befall).collect();
-    stage.until_s(began_s + plan.length_s).await;
+    running.sleep_until_s(began_s + plan.length_s).await;
     for task in troubles {
         task.await?;
     }
-    stage.clients.stopped.set(true);
+    running.clients.stopped.set(true);
     for task in clients {
         task.await?;
     }
     // What rests closes meanwhile.
     sleep(Duration::from_secs_f64(IDLE_S + 1.0)).await;
-    after_healing(&stage).await;
+    after_healing(&running).await;
     let mut injected = Vec::new();
     for fault in paddleproxy_faults::Fault::ALL {
-        let counts = stage.routers.iter().filter_map(|router| router.control.injected(fault).ok());
+        let counts = running.routers.iter().filter_map(|router| router.control.injected(fault).ok());
         injected.push((fault, counts.sum()));
     }
     let ends: Vec<_> = (0..plan.routers)
         .map(|router| {
-            let stage = stage.clone();
-            tokio::task::spawn_local(
-                async move { stage.routers[router].terminate(stage.plan.kill_after()).await },
-            )
+            let running = running.clone();
+            tokio::task::spawn_local(async move {
+                running.routers[router].terminate(running.plan.kill_after()).await
+            })
         })
         .collect();
     for task in ends {
         task.await?;
     }
-    stage.ending.set(true);
-    stage.agents.iter().for_each(|agent| agent.close());
-    stage.servers.iter().for_each(|server| server.die());
-    let seen = stage.record.with(std::mem::take);
-    Ok(Played { plan: plan.clone(), seen, injected, dir: dir.to_owned() })
+    running.ending.set(true);
+    running.agents.iter().for_each(|agent| agent.close());
+    running.servers.iter().for_each(|server| server.crash());
+    let observed = running.record.with(std::mem::take);
+    Ok(Played { plan: plan.clone(), observed, injected, dir: dir.to_owned() })
 }
 
 /// Probes of each router once all has healed.
 const PROBES: usize = 3;
 
 /// Each router holds no more than before, and serves.
-async fn after_healing(stage: &Rc<Stage>) {
-    for router in &stage.routers {
-        let holds = router.holds();
-        let life = stage.record.life(router.id);
-        stage.record.with(|seen| {
-            if let Some(life) = seen.lives[router.id].get_mut(life) {
-                life.after = holds;
+async fn after_healing(running: &Rc<RunningPlay>) {
+    for router in &running.routers {
+        let resources = router.resources();
+        let generation = running.record.generation(router.id);
+        running.record.with(|observed| {
+            if let Some(process) = observed.processes[router.id].get_mut(generation) {
+                process.after = resources;
             }
         });
     }
-    for router in 0..stage.plan.routers {
+    for router in 0..running.plan.routers {
         for _ in 0..PROBES {
-            if !stage.clients.ask_once(router).await {
+            if !running.clients.request_once(router).await {
                 let note = format!("router {router} does not serve after all has healed");
-                stage.record.with(|seen| seen.notes.push(note));
+                running.record.with(|observed| observed.notes.push(note));
                 break;
             }
         }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -17,7 +17,7 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
 
-use crate::record::{Life, Record, RouterId};
+use crate::record::{Record, RouterId, RouterProcess};
 
 /// One router's place: its address and files stay, its processes come and go.
 pub struct Router {
@@ -98,17 +98,17 @@
             .context("starting a router")?;
         self.pid.set(child.id());
         *self.child.borrow_mut() = Some(child);
-        let life = Life { started_ms: self.record.now_ms(), ..Life::default() };
-        self.record.with(|seen| seen.lives[self.id].push(life));
+        let process = RouterProcess { started_ms: self.record.now_ms(), ..RouterProcess::default() };
+        self.record.with(|observed| observed.processes[self.id].push(process));
         Ok(())
     }
 
-    fn change_life(&self, life: usize, change: impl FnOnce(&mut Life)) {
-        self.record.with(|seen| seen.lives[self.id].get_mut(life).map(change));
+    fn change_process(&self, generation: usize, change: impl FnOnce(&mut RouterProcess)) {
+        self.record.with(|observed| observed.processes[self.id].get_mut(generation).map(change));
     }
 
     /// Whether it says that it is ready, now.
-    pub async fn says_ready(&self) -> bool {
+    pub async fn is_ready(&self) -> bool {
         let asked = async {
             let mut stream = TcpStream::connect(self.listen).await.ok()?;
             stream.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await.ok()?;
@@ -120,84 +120,84 @@
     }
 
     /// Waits until the process says that it is ready, at most so long; whether it did.
-    pub async fn until_ready(&self, within: Duration) -> bool {
-        let life = self.record.life(self.id);
+    pub async fn wait_until_ready(&self, within: Duration) -> bool {
+        let generation = self.record.generation(self.id);
         let asked = async {
-            while !self.says_ready().await {
+            while !self.is_ready().await {
                 sleep(Duration::from_millis(15)).await;
             }
         };
         let ready = timeout(within, asked).await.is_ok();
         if ready {
             let now_ms = self.record.now_ms();
-            self.change_life(life, |life| life.ready_ms = Some(now_ms));
+            self.change_process(generation, |process| process.ready_ms = Some(now_ms));
         }
         ready
     }
 
     /// The id of its process.
-    pub fn process(&self) -> Option<u32> {
+    pub fn pid(&self) -> Option<u32> {
         self.pid.get()
     }
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.process().and_then(|id| Pid::from_raw(id as i32)) {
+        if let Some(pid) = self.pid().and_then(|id| Pid::from_raw(id as i32)) {
             let _ = kill_process(pid, signal);
         }
     }
 
     /// Tells it to end, and kills it after so long; waits until it is gone.
     pub async fn terminate(&self, kill_after: Duration) {
-        let life = self.record.life(self.id);
+        let generation = self.record.generation(self.id);
         let now_ms = self.record.now_ms();
-        self.change_life(life, |life| life.terminated_ms = Some(now_ms));
+        self.change_process(generation, |process| process.terminated_ms = Some(now_ms));
         self.signal(Signal::TERM);
         let child = self.child.borrow_mut().take();
         let Some(mut child) = child else { return };
         if timeout(kill_after, child.wait()).await.is_err() {
             let now_ms = self.record.now_ms();
-            self.change_life(life, |life| life.killed_ms = Some(now_ms));
+            self.change_process(generation, |process| process.killed_ms = Some(now_ms));
             let _ = child.start_kill();
         }
-        self.gone(life, &mut child).await;
+        self.gone(generation, &mut child).await;
     }
 
     /// Kills it outright.
     pub async fn kill(&self) {
-        let life = self.record.life(self.id);
+        let generation = self.record.generation(self.id);
         let child = self.child.borrow_mut().take();
         let Some(mut child) = child else { return };
         let now_ms = self.record.now_ms();
-        self.change_life(life, |life| life.killed_ms = Some(now_ms));
+        self.change_process(generation, |process| process.killed_ms = Some(now_ms));
         let _ = child.start_kill();
-        self.gone(life, &mut child).await;
+        self.gone(generation, &mut child).await;
     }
 
-    async fn gone(&self, life: usize, child: &mut Child) {
+    async fn gone(&self, generation: usize, child: &mut Child) {
         let Ok(status) = child.wait().await else { return };
         self.pid.set(None);
         let code = status.code().ok_or(status.signal().unwrap_or(0));
         let now_ms = self.record.now_ms();
-        self.change_life(life, |life| life.ended = Some((now_ms, code)));
+        self.change_process(generation, |process| process.ended = Some((now_ms, code)));
     }
 
     /// Notes a process that has ended by itself; whether it has.
-    pub fn look_for_end(&self) -> bool {
+    pub fn record_exit(&self) -> bool {
         let ended = self.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
         let Some(status) = ended else { return false };
         self.pid.set(None);
-        let (life, now_ms) = (self.record.life(self.id), self.record.now_ms());
+        let (generation, now_ms) = (self.record.generation(self.id), self.record.now_ms());
         let code = status.code().ok_or(status.signal().unwrap_or(0));
-        self.change_life(life, |life| {
-            life.ended.get_or_insert((now_ms, code));
+        self.change_process(generation, |process| {
+            process.ended.get_or_insert((now_ms, code));
         });
         true
     }
 
     /// Descriptors and resident memory in MiB of its process.
-    pub fn holds(&self) -> Option<(usize, f64)> {
-        let process = self.process()?.to_string();
+    pub fn resources(&self) -> Option<(usize, f64)> {
+        let process = self.pid()?.to_string();
         let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).ok()?.count();
         Some((descriptors, paddleproxy_day::resident_mib(&process)?))
     }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -13,13 +13,13 @@
 
 /// What a class's work may do when it runs again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeats {
+pub enum Idempotency {
     /// Runs again without harm.
-    Harmless,
+    Repeatable,
     /// Servers drop repeats by key within the window.
     ByKey,
     /// Must run once at most.
-    Never,
+    Once,
 }
 
 /// How a request ended for its client.
@@ -46,19 +46,19 @@
     /// The router that it was sent to.
     pub router: RouterId,
     /// The start of that router's process, counted from 0.
-    pub life: usize,
+    pub generation: usize,
     /// What may happen when it runs again.
-    pub repeats: Repeats,
+    pub idempotency: Idempotency,
     /// Whether an answer had come on its connection before.
-    pub kept_connection: bool,
+    pub reused_connection: bool,
     /// When its first byte was written.
-    pub begun_ms: f64,
+    pub started_ms: f64,
     /// When its last byte was written; none while it was not.
     pub sent_ms: Option<f64>,
     /// The time in which the client wants the first byte of an answer, from `sent_ms`.
     pub deadline_ms: f64,
     /// When the first byte of the answer's body came, for a stream.
-    pub began_ms: Option<f64>,
+    pub response_started_ms: Option<f64>,
     /// When each event came.
     pub events_ms: Vec<f64>,
     /// How it ended, and when.
@@ -69,7 +69,7 @@
 
 /// What a model server did about an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// Still open, or broken before anything was answered.
     Unknown,
     /// Turned away in so many words: it never ran.
@@ -94,26 +94,26 @@
     /// When its first byte came.
     pub first_byte_ms: f64,
     /// When its last byte came.
-    pub whole_ms: f64,
+    pub received_ms: f64,
     /// The time that it told the server, in ms.
-    pub told_ms: Option<f64>,
+    pub deadline_header_ms: Option<f64>,
     /// Whether it only reads.
-    pub reads: bool,
+    pub prefill_only: bool,
     /// What became of it.
-    pub fate: Fate,
+    pub outcome: AttemptOutcome,
     /// When the server wrote each event.
     pub events_ms: Vec<f64>,
     /// When the exchange was over: answered, broken or closed by the router.
-    pub over_ms: Option<f64>,
+    pub ended_ms: Option<f64>,
 }
 
 impl Attempt {
     /// In a line: where it came and when, how it ended, and the events that were written.
     pub fn text(&self) -> String {
-        let over_ms = self.over_ms.unwrap_or(f64::INFINITY);
-        let (server, fate, events) = (self.server, self.fate, self.events_ms.len());
+        let ended_ms = self.ended_ms.unwrap_or(f64::INFINITY);
+        let (server, outcome, events) = (self.server, self.outcome, self.events_ms.len());
         format!(
-            "server {server} from {:.0} to {over_ms:.0} ms: {fate:?}, {events} events",
+            "server {server} from {:.0} to {ended_ms:.0} ms: {outcome:?}, {events} events",
             self.first_byte_ms
         )
     }
@@ -121,7 +121,7 @@
 
 /// A state or a place that a server holds for a request.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct HeldState {
     /// The request's id.
     pub request: String,
     /// Where it is held.
@@ -134,7 +134,7 @@
 
 /// What discovery told one router of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Availability {
     /// Takes new work.
     Ready,
     /// Drains or is gone.
@@ -143,17 +143,17 @@
 
 /// A change that a router was told.
 #[derive(Clone, Copy, Debug)]
-pub struct Telling {
+pub struct Notification {
     /// Whom.
     pub router: RouterId,
     /// The start of its process.
-    pub life: usize,
+    pub generation: usize,
     /// Of which server.
     pub server: ServerId,
     /// When it was written or counts as told.
     pub at_ms: f64,
     /// What.
-    pub told: Told,
+    pub availability: Availability,
 }
 
 /// A change of a server's health, as discovery learnt it.
@@ -164,7 +164,7 @@
     /// When.
     pub at_ms: f64,
     /// What it is from then on.
-    pub told: Told,
+    pub availability: Availability,
 }
 
 /// One start of a server's process.
@@ -178,7 +178,7 @@
 
 /// One router process.
 #[derive(Clone, Debug, Default)]
-pub struct Life {
+pub struct RouterProcess {
     /// When it was started.
     pub started_ms: f64,
     /// When it first said that it is ready.
@@ -208,21 +208,21 @@
 
 /// All that was seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     /// Requests by id.
     pub requests: BTreeMap<String, Request>,
     /// Attempts in the order in which they came.
     pub attempts: Vec<Attempt>,
     /// What was held.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldState>,
     /// What routers were told.
-    pub tellings: Vec<Telling>,
+    pub notifications: Vec<Notification>,
     /// Changes of servers' health, in order.
     pub health: Vec<HealthChange>,
     /// Starts of servers.
     pub starts: Vec<Start>,
     /// Lives of routers, by router.
-    pub lives: Vec<Vec<Life>>,
+    pub processes: Vec<Vec<RouterProcess>>,
     /// Times in which this process itself was held up: when it was noticed, and for how long, in ms.
     pub lags: Vec<(f64, f64)>,
     /// When troubles were on.
@@ -235,12 +235,12 @@
 #[derive(Clone)]
 pub struct Record {
     origin: Instant,
-    seen: Rc<RefCell<Seen>>,
+    observed: Rc<RefCell<Observations>>,
 }
 
 impl Default for Record {
     fn default() -> Self {
-        Record { origin: Instant::now(), seen: Rc::default() }
+        Record { origin: Instant::now(), observed: Rc::default() }
     }
 }
 
@@ -256,29 +256,30 @@
     }
 
     /// Changes what was seen.
-    pub fn with<T>(&self, change: impl FnOnce(&mut Seen) -> T) -> T {
-        change(&mut self.seen.borrow_mut())
+    pub fn with<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
+        change(&mut self.observed.borrow_mut())
     }
 
     /// Notes an attempt; its row.
-    pub fn attempt(&self, attempt: Attempt) -> usize {
-        self.with(|seen| {
-            seen.attempts.push(attempt);
-            seen.attempts.len() - 1
+    pub fn add_attempt(&self, attempt: Attempt) -> usize {
+        self.with(|observed| {
+            observed.attempts.push(attempt);
+            observed.attempts.len() - 1
         })
     }
 
     /// Lets go of what is held for a request; whether anything was.
-    pub fn let_go(&self, request: &str) -> bool {
+    pub fn release(&self, request: &str) -> bool {
         let now_ms = self.now_ms();
-        self.with(|seen| {
-            let held = seen.held.iter_mut().filter(|held| held.until_ms.is_none() && held.request == request);
+        self.with(|observed| {
+            let held =
+                observed.held.iter_mut().filter(|held| held.until_ms.is_none() && held.request == request);
             held.map(|held| held.until_ms = Some(now_ms)).count() > 0
         })
     }
 
     /// The process that a router runs now.
-    pub fn life(&self, router: RouterId) -> usize {
-        self.with(|seen| seen.lives[router].len().saturating_sub(1))
+    pub fn generation(&self, router: RouterId) -> usize {
+        self.with(|observed| observed.processes[router].len().saturating_sub(1))
     }
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::oracle::{judge, Rule, Shutdowns, Terms, Violation};
+use crate::oracle::{check, CheckParameters, Rule, ShutdownCounts, Violation};
 use crate::play::Played;
 use crate::record::Ending;
 
@@ -30,7 +30,7 @@
     /// Longest time for which the judge's own process was held up, in ms.
     pub longest_lag_ms: f64,
     /// What was crossed at the ends of processes.
-    pub shutdowns: Shutdowns,
+    pub shutdowns: ShutdownCounts,
     /// What was broken.
     pub violations: Vec<Violation>,
 }
@@ -38,11 +38,14 @@
 impl Report {
     /// Judges a play and counts what was in it.
     pub fn of(played: &Played) -> Report {
-        let terms = Terms { routers: played.plan.routers, second_copies: played.plan.allowed.second_copies };
-        let seen = &played.seen;
+        let terms = CheckParameters {
+            routers: played.plan.routers,
+            second_copies: played.plan.allowed.second_copies,
+        };
+        let observed = &played.observed;
         let whole = |ending: &Ending| *ending == Ending::Whole { status: 200 };
         let served =
-            seen.requests.values().filter(|request| request.ended.is_some_and(|(_, end)| whole(&end)));
+            observed.requests.values().filter(|request| request.ended.is_some_and(|(_, end)| whole(&end)));
         let mut troubles = BTreeMap::new();
         for trouble in &played.plan.troubles {
             *troubles.entry(trouble.kind.name().to_owned()).or_default() += 1;
@@ -51,16 +54,16 @@
         let pairs = played.plan.pairs().into_iter();
         Report {
             seed: played.plan.seed,
-            requests: seen.requests.values().filter(|request| request.sent_ms.is_some()).count(),
+            requests: observed.requests.values().filter(|request| request.sent_ms.is_some()).count(),
             served: served.count(),
-            attempts: seen.attempts.len(),
-            processes: seen.lives.iter().map(Vec::len).sum(),
+            attempts: observed.attempts.len(),
+            processes: observed.processes.iter().map(Vec::len).sum(),
             injected: injected.map(|(fault, count)| (fault.name().to_owned(), *count)).collect(),
             troubles,
             pairs: pairs.map(|(one, other)| (one.name().to_owned(), other.name().to_owned())).collect(),
-            longest_lag_ms: seen.lags.iter().map(|(_, late_ms)| *late_ms).fold(0.0, f64::max),
-            shutdowns: Shutdowns::of(seen),
-            violations: judge(seen, &terms),
+            longest_lag_ms: observed.lags.iter().map(|(_, late_ms)| *late_ms).fold(0.0, f64::max),
+            shutdowns: ShutdownCounts::of(observed),
+            violations: check(observed, &terms),
         }
     }
 
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -13,9 +13,9 @@
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::configuration::IDLE_S;
-use crate::http::{chunk, plain, Head, Incoming};
+use crate::http::{chunk, response, Head, ReadBuffer};
 use crate::link::{reset, Link};
-use crate::record::{Attempt, Fate, Held, Record, ServerId, Start};
+use crate::record::{Attempt, AttemptOutcome, HeldState, Record, ServerId, Start};
 
 /// How many requests a server has in hand before it turns more away.
 const MOST_IN_HAND: usize = 64;
@@ -34,13 +34,13 @@
 
 /// What the server does about the requests that come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Mood {
+pub struct ServerCondition {
     /// Takes requests and never answers.
     pub hangs: bool,
     /// Stops within its streams and says nothing more.
     pub hangs_midway: bool,
     /// Goes on with its streams.
-    pub long: bool,
+    pub streams_on: bool,
     /// Turns everything away.
     pub declines: bool,
     /// Answers 500.
@@ -50,29 +50,29 @@
     /// Breaks the connection within its streams.
     pub breaks_midway: bool,
     /// Says what is no answer.
-    pub babbles: bool,
+    pub sends_garbage: bool,
     /// Closes connections that rest for so long, in ms.
     pub idle_ms: f64,
     /// Takes no connections: they come up when this ends.
-    pub deaf: bool,
+    pub not_accepting: bool,
     /// Takes so many times its usual time.
-    pub slowness: f64,
+    pub slowdown: f64,
 }
 
-impl Default for Mood {
+impl Default for ServerCondition {
     fn default() -> Self {
-        Mood {
+        ServerCondition {
             hangs: false,
             hangs_midway: false,
-            long: false,
+            streams_on: false,
             declines: false,
             fails: false,
             breaks: false,
             breaks_midway: false,
-            babbles: false,
+            sends_garbage: false,
             idle_ms: IDLE_S * 1e3,
-            deaf: false,
-            slowness: 1.0,
+            not_accepting: false,
+            slowdown: 1.0,
         }
     }
 }
@@ -89,7 +89,7 @@
     /// Faults of its link.
     pub link: Link,
     /// What it does about requests.
-    pub mood: Cell<Mood>,
+    pub condition: Cell<ServerCondition>,
     in_hand: Cell<usize>,
     connections: RefCell<JoinSet<()>>,
     listening: RefCell<Option<JoinHandle<()>>>,
@@ -133,7 +133,7 @@
             kind,
             address: listener.local_addr()?,
             link: Link::default(),
-            mood: Cell::default(),
+            condition: Cell::default(),
             in_hand: Cell::new(0),
             connections: RefCell::default(),
             listening: RefCell::default(),
@@ -146,7 +146,7 @@
         let shared = self.clone();
         let listening = tokio::task::spawn_local(async move {
             loop {
-                if shared.mood.get().deaf {
+                if shared.condition.get().not_accepting {
                     shared.be_deaf(&listener).await;
                 }
                 let accepted = timeout(Duration::from_millis(DEAF_LOOK_MS), listener.accept()).await;
@@ -167,7 +167,7 @@
     async fn be_deaf(&self, listener: &TcpListener) {
         let _ = SockRef::from(listener).listen(0);
         let filler = timeout(Duration::from_millis(DEAF_LOOK_MS), TcpStream::connect(self.address)).await;
-        while self.mood.get().deaf {
+        while self.condition.get().not_accepting {
             sleep(Duration::from_millis(DEAF_LOOK_MS)).await;
         }
         drop(filler);
@@ -175,16 +175,17 @@
     }
 
     /// Dies: connections are reset, new ones refused, and what it held is gone.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.listening.borrow_mut().take().iter().for_each(JoinHandle::abort);
         self.connections.borrow_mut().abort_all();
         self.in_hand.set(0);
         let now_ms = self.record.now_ms();
-        self.record.with(|seen| {
-            let held = seen.held.iter_mut().filter(|held| held.server == self.id && held.until_ms.is_none());
+        self.record.with(|observed| {
+            let held =
+                observed.held.iter_mut().filter(|held| held.server == self.id && held.until_ms.is_none());
             held.for_each(|held| held.until_ms = Some(now_ms));
-            let open = |attempt: &&mut Attempt| attempt.server == self.id && attempt.over_ms.is_none();
-            seen.attempts.iter_mut().filter(open).for_each(|attempt| attempt.over_ms = Some(now_ms));
+            let open = |attempt: &&mut Attempt| attempt.server == self.id && attempt.ended_ms.is_none();
+            observed.attempts.iter_mut().filter(open).for_each(|attempt| attempt.ended_ms = Some(now_ms));
         });
     }
 
@@ -192,12 +193,12 @@
     ///
     /// # Errors
     /// It can't listen there.
-    pub async fn revive(self: &Rc<Self>) -> Result<()> {
+    pub async fn restart(self: &Rc<Self>) -> Result<()> {
         for _ in 0..200 {
             if let Ok(listener) = listener(self.address) {
                 self.listen(listener);
                 let at_ms = self.record.now_ms();
-                self.record.with(|seen| seen.starts.push(Start { server: self.id, at_ms }));
+                self.record.with(|observed| observed.starts.push(Start { server: self.id, at_ms }));
                 return Ok(());
             }
             sleep(Duration::from_millis(10)).await;
@@ -207,9 +208,9 @@
 
     async fn serve(&self, mut stream: TcpStream) -> Result<()> {
         let _ = stream.set_nodelay(true);
-        let mut incoming = Incoming::default();
+        let mut incoming = ReadBuffer::default();
         loop {
-            let idle = Duration::from_secs_f64(self.mood.get().idle_ms / 1e3);
+            let idle = Duration::from_secs_f64(self.condition.get().idle_ms / 1e3);
             let first = match incoming.is_empty() {
                 false => Ok(1),
                 true => match timeout(idle, incoming.more(&mut stream)).await {
@@ -244,10 +245,10 @@
     /// # Errors
     /// It did not arrive.
     async fn arrives(&self, stream: &TcpStream) -> Result<()> {
-        if !self.link.weather().silent {
+        if !self.link.condition().silent {
             return Ok(());
         }
-        while self.link.weather().silent {
+        while self.link.condition().silent {
             sleep(Duration::from_millis(10)).await;
         }
         reset(stream);
@@ -257,25 +258,25 @@
     async fn answer(
         &self,
         stream: &mut TcpStream,
-        incoming: &mut Incoming,
+        incoming: &mut ReadBuffer,
         head: &Head,
         first_byte_ms: f64,
     ) -> Result<()> {
-        let (method, target) = head.asked();
+        let (method, target) = head.method_and_target();
         match (method, target.split('?').next().unwrap_or("")) {
             ("POST", "/v1/chat/completions") => {
                 let id = head.field("req-id").unwrap_or("").to_owned();
                 let told_ms = head.field("req-deadline").and_then(|told| told.parse::<f64>().ok());
-                let row = self.record.attempt(Attempt {
+                let row = self.record.add_attempt(Attempt {
                     request: id.clone(),
                     server: self.id,
                     first_byte_ms,
-                    whole_ms: self.record.now_ms(),
-                    told_ms: told_ms.map(|told| told * 1e3),
-                    reads: self.kind == "prefill",
-                    fate: Fate::Unknown,
+                    received_ms: self.record.now_ms(),
+                    deadline_header_ms: told_ms.map(|told| told * 1e3),
+                    prefill_only: self.kind == "prefill",
+                    outcome: AttemptOutcome::Unknown,
                     events_ms: Vec::new(),
-                    over_ms: None,
+                    ended_ms: None,
                 });
                 self.in_hand.set(self.in_hand.get() + 1);
                 let in_hand = InHand(&self.in_hand);
@@ -283,25 +284,25 @@
                 let done = self.attempt(&mut other, &id, row).await;
                 drop(in_hand);
                 let now_ms = self.record.now_ms();
-                self.record.with(|seen| {
-                    seen.attempts[row].over_ms.get_or_insert(now_ms);
+                self.record.with(|observed| {
+                    observed.attempts[row].ended_ms.get_or_insert(now_ms);
                 });
                 done
             }
             ("DELETE", _) => {
                 self.link.cross(stream).await?;
                 // It counts as it arrives, answered or not.
-                self.record.let_go(target.rsplit('/').next().unwrap_or(""));
+                self.record.release(target.rsplit('/').next().unwrap_or(""));
                 self.hang_if_so(stream, incoming).await?;
-                self.link.write(stream, plain("204 No Content", "", "").as_bytes()).await
+                self.link.write(stream, response("204 No Content", "", "").as_bytes()).await
             }
-            ("POST", _) => self.link.write(stream, plain("204 No Content", "", "").as_bytes()).await,
+            ("POST", _) => self.link.write(stream, response("204 No Content", "", "").as_bytes()).await,
             ("GET", "/ping" | "/_load") => {
                 self.hang_if_so(stream, incoming).await?;
-                let status = if self.mood.get().declines { "503 Busy" } else { "200 OK" };
-                self.link.write(stream, plain(status, "", &self.load()).as_bytes()).await
+                let status = if self.condition.get().declines { "503 Busy" } else { "200 OK" };
+                self.link.write(stream, response(status, "", &self.load()).as_bytes()).await
             }
-            _ => self.link.write(stream, plain("404 Not Found", "", "").as_bytes()).await,
+            _ => self.link.write(stream, response("404 Not Found", "", "").as_bytes()).await,
         }
     }
 
@@ -311,45 +312,45 @@
     }
 
     /// A hanging server answers nothing until it ends to hang, or the other side closes.
-    async fn hang_if_so(&self, stream: &mut TcpStream, incoming: &mut Incoming) -> Result<()> {
-        while self.mood.get().hangs {
+    async fn hang_if_so(&self, stream: &mut TcpStream, incoming: &mut ReadBuffer) -> Result<()> {
+        while self.condition.get().hangs {
             closed_within(stream, incoming, 20).await?;
         }
         Ok(())
     }
 
-    fn set_fate(&self, row: usize, fate: Fate) {
-        self.record.with(|seen| seen.attempts[row].fate = fate);
+    fn set_fate(&self, row: usize, outcome: AttemptOutcome) {
+        self.record.with(|observed| observed.attempts[row].outcome = outcome);
     }
 
     async fn attempt(&self, peer: &mut TcpPeer<'_>, id: &str, row: usize) -> Result<()> {
         self.link.cross(peer.stream).await?;
         self.hang_if_so(peer.stream, peer.incoming).await?;
-        let mood = self.mood.get();
-        if mood.breaks {
-            self.set_fate(row, Fate::Broken);
+        let condition = self.condition.get();
+        if condition.breaks {
+            self.set_fate(row, AttemptOutcome::Broken);
             reset(peer.stream);
             return Err(ErrorKind::ConnectionReset.into());
         }
-        if mood.fails {
-            self.set_fate(row, Fate::Failed);
-            return self.say(peer, plain("500 Wrong", "", "")).await;
+        if condition.fails {
+            self.set_fate(row, AttemptOutcome::Failed);
+            return self.say(peer, response("500 Wrong", "", "")).await;
         }
-        if mood.declines || self.in_hand.get() > MOST_IN_HAND {
-            self.set_fate(row, Fate::Declined);
-            return self.say(peer, plain("503 Busy", "Srv-Declined: 1\r\n", "")).await;
+        if condition.declines || self.in_hand.get() > MOST_IN_HAND {
+            self.set_fate(row, AttemptOutcome::Declined);
+            return self.say(peer, response("503 Busy", "Srv-Declined: 1\r\n", "")).await;
         }
-        if mood.babbles {
+        if condition.sends_garbage {
             self.say(peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".into()).await?;
-            self.set_fate(row, Fate::Broken);
+            self.set_fate(row, AttemptOutcome::Broken);
             return Err(ErrorKind::InvalidData.into());
         }
         match self.kind {
             "prefill" => self.read(peer, id, row).await,
             "decode" => {
                 if !self.take(id) {
-                    self.set_fate(row, Fate::Declined);
-                    return self.say(peer, plain("410 Gone", "Srv-Declined: 1\r\n", "")).await;
+                    self.set_fate(row, AttemptOutcome::Declined);
+                    return self.say(peer, response("410 Gone", "Srv-Declined: 1\r\n", "")).await;
                 }
                 self.pause(peer, FETCH_MS).await?;
                 self.stream(peer, row).await
@@ -364,55 +365,55 @@
 
     /// Takes a state that is held for a request, wherever it is.
     fn take(&self, id: &str) -> bool {
-        self.record.let_go(id)
+        self.record.release(id)
     }
 
     async fn read(&self, peer: &mut TcpPeer<'_>, id: &str, row: usize) -> Result<()> {
         let ended = self.pause(peer, READ_MS).await;
         // A read may have finished well just as its connection closed: what it left is held all the same.
         let (server, from_ms) = (self.id, self.record.now_ms());
-        self.record.with(|seen| {
-            seen.held.push(Held { request: id.to_owned(), server, from_ms, until_ms: None });
-            seen.attempts[row].fate = Fate::Read;
+        self.record.with(|observed| {
+            observed.held.push(HeldState { request: id.to_owned(), server, from_ms, until_ms: None });
+            observed.attempts[row].outcome = AttemptOutcome::Read;
         });
         ended?;
         let load = format!("Srv-Load: {}\r\n", self.load());
-        self.say(peer, plain("202 Accepted", &load, "{\"cached_tokens\":0}")).await
+        self.say(peer, response("202 Accepted", &load, "{\"cached_tokens\":0}")).await
     }
 
     async fn stream(&self, peer: &mut TcpPeer<'_>, row: usize) -> Result<()> {
-        let mood = self.mood.get();
+        let condition = self.condition.get();
         let load = self.load();
         let head = format!("{}Srv-Load: {load}\r\n\r\n", &STREAM[..STREAM.len() - 2]);
         self.say(peer, head).await?;
         for event in 0..EVENTS {
             self.event(peer, row, FIRST.to_owned()).await?;
             self.pause(peer, EVENT_MS).await?;
-            if event == EVENTS / 2 && mood.hangs_midway {
-                while self.mood.get().hangs_midway {
+            if event == EVENTS / 2 && condition.hangs_midway {
+                while self.condition.get().hangs_midway {
                     closed_within(peer.stream, peer.incoming, 20).await?;
                 }
             }
-            if event == EVENTS / 2 && mood.breaks_midway {
-                self.set_fate(row, Fate::Broken);
+            if event == EVENTS / 2 && condition.breaks_midway {
+                self.set_fate(row, AttemptOutcome::Broken);
                 reset(peer.stream);
                 return Err(ErrorKind::ConnectionReset.into());
             }
         }
-        while self.mood.get().long {
+        while self.condition.get().streams_on {
             self.event(peer, row, FIRST.to_owned()).await?;
             self.pause(peer, LONG_EVENT_MS).await?;
         }
         self.event(peer, row, LAST.to_owned()).await?;
         self.say(peer, "0\r\n\r\n".into()).await?;
-        self.set_fate(row, Fate::Finished);
+        self.set_fate(row, AttemptOutcome::Finished);
         Ok(())
     }
 
     async fn event(&self, peer: &mut TcpPeer<'_>, row: usize, data: String) -> Result<()> {
         self.say(peer, chunk(&data)).await?;
         let now_ms = self.record.now_ms();
-        self.record.with(|seen| seen.attempts[row].events_ms.push(now_ms));
+        self.record.with(|observed| observed.attempts[row].events_ms.push(now_ms));
         Ok(())
     }
 
@@ -422,7 +423,8 @@
 
     /// Works for a while; ends at once if the other side closes.
     async fn pause(&self, peer: &mut TcpPeer<'_>, ms: u64) -> Result<()> {
-        let worked = Instant::now() + Duration::from_secs_f64(ms as f64 * self.mood.get().slowness / 1e3);
+        let worked =
+            Instant::now() + Duration::from_secs_f64(ms as f64 * self.condition.get().slowdown / 1e3);
         while Instant::now() < worked {
             let left = worked.saturating_duration_since(Instant::now()).as_millis() as u64;
             closed_within(peer.stream, peer.incoming, left.max(1)).await?;
@@ -434,11 +436,11 @@
 /// The router's side of a connection.
 struct TcpPeer<'a> {
     stream: &'a mut TcpStream,
-    incoming: &'a mut Incoming,
+    incoming: &'a mut ReadBuffer,
 }
 
 /// Waits for a while; an error once the other side has closed.
-async fn closed_within(stream: &mut TcpStream, incoming: &mut Incoming, ms: u64) -> Result<()> {
+async fn closed_within(stream: &mut TcpStream, incoming: &mut ReadBuffer, ms: u64) -> Result<()> {
     match timeout(Duration::from_millis(ms), incoming.more(stream)).await {
         Err(_) => Ok(()),
         Ok(Ok(read)) if read > 0 => Ok(()),
--- a/crates/soak/src/shutdown.rs
+++ b/crates/soak/src/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use crate::late::First;
-use crate::play::Stage;
+use crate::play::RunningPlay;
 
 /// Signals around the first SIGTERM.
 #[derive(Clone, Copy, Debug)]
@@ -53,13 +53,13 @@
     [First::Rests, First::Rests, First::Rests, First::SendsHalf, First::SendsHalf, First::Sends];
 
 /// Tells a router to end, with a series of signals, and starts it again once it is gone.
-pub async fn restart(stage: Rc<Stage>, router: usize, series: Series, seed: u64) {
+pub async fn restart(running: Rc<RunningPlay>, router: usize, series: Series, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed ^ router as u64);
-    let kill_after = stage.plan.kill_after();
+    let kill_after = running.plan.kill_after();
     let mut late = Vec::new();
     let mut stay = |first, connect_ms: f64, rng: &mut fastrand::Rng| {
         let (clients, first_ms, seed) =
-            (stage.clients.clone(), kill_after.as_secs_f64() * 1e3 * rng.f64(), rng.u64(..));
+            (running.clients.clone(), kill_after.as_secs_f64() * 1e3 * rng.f64(), rng.u64(..));
         late.push(tokio::task::spawn_local(async move {
             sleep(Duration::from_secs_f64(connect_ms / 1e3)).await;
             clients.stay(router, first, first_ms, seed).await;
@@ -68,14 +68,14 @@
     FIRST_BEFORE.into_iter().for_each(|first| stay(first, 0.0, &mut rng));
     sleep(Duration::from_millis(BEFORE_MS)).await;
     for signal in series.before {
-        let _ = stage.routers[router].configure(&stage.configuration(router));
-        stage.routers[router].signal(*signal);
+        let _ = running.routers[router].configure(&running.configuration(router));
+        running.routers[router].signal(*signal);
     }
     FIRST_AFTER.into_iter().for_each(|first| {
         let connect_ms = CONNECTING_MS * rng.f64();
         stay(first, connect_ms, &mut rng);
     });
-    let (withdrawn, signalled) = (stage.clone(), stage.clone());
+    let (withdrawn, signalled) = (running.clone(), running.clone());
     tokio::task::spawn_local(async move {
         sleep(Duration::from_millis(FRONT_MS)).await;
         withdrawn.withdraw(router);
@@ -86,13 +86,13 @@
             signalled.routers[router].signal(*signal);
         }
     });
-    stage.routers[router].terminate(kill_after).await;
+    running.routers[router].terminate(kill_after).await;
     // None of them is for the process that comes next.
     after.abort();
-    stage.withdraw(router);
+    running.withdraw(router);
     for client in late {
         let _ = client.await;
     }
-    stage.start_router(router).await;
-    stage.routers[router].being_restarted.set(false);
+    running.start_router(router).await;
+    running.routers[router].being_restarted.set(false);
 }
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -8,11 +8,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use crate::link::Weather;
+use crate::link::LinkCondition;
 use crate::plan::{Kind, Trouble};
-use crate::play::Stage;
+use crate::play::RunningPlay;
 use crate::record::Window;
-use crate::server::Mood;
+use crate::server::ServerCondition;
 use crate::shutdown::{self, Series};
 
 /// Steps of the wall clock, in ms.
@@ -31,18 +31,18 @@
 }
 
 /// One trouble, from its beginning to its end.
-pub async fn befall(stage: Rc<Stage>, trouble: Trouble, began_s: f64) {
-    stage.until_s(began_s + trouble.at_s).await;
-    let from_ms = stage.record.now_ms();
+pub async fn befall(running: Rc<RunningPlay>, trouble: Trouble, began_s: f64) {
+    running.sleep_until_s(began_s + trouble.at_s).await;
+    let from_ms = running.record.now_ms();
     let window = Window { trouble: trouble.kind.name().to_owned(), from_ms, to_ms: f64::INFINITY };
-    let row = stage.record.with(|seen| {
-        seen.windows.push(window);
-        seen.windows.len() - 1
+    let row = running.record.with(|observed| {
+        observed.windows.push(window);
+        observed.windows.len() - 1
     });
     let ends = Instant::now() + seconds(trouble.for_s);
-    bring_about(&stage, &trouble, ends).await;
-    let now_ms = stage.record.now_ms();
-    stage.record.with(|seen| seen.windows[row].to_ms = now_ms);
+    bring_about(&running, &trouble, ends).await;
+    let now_ms = running.record.now_ms();
+    running.record.with(|observed| observed.windows[row].to_ms = now_ms);
 }
 
 /// Some of so many, drawn by the trouble's own seed; as many as may be for seed 0.
@@ -55,80 +55,82 @@
     all
 }
 
-async fn bring_about(stage: &Rc<Stage>, trouble: &Trouble, ends: Instant) {
-    let routers = stage.plan.routers;
+async fn bring_about(running: &Rc<RunningPlay>, trouble: &Trouble, ends: Instant) {
+    let routers = running.plan.routers;
     let mut rng = fastrand::Rng::with_seed(!trouble.pick);
     match trouble.kind {
-        Kind::RouterRestart => restart(stage, trouble, &some(trouble, routers, 2), Series::TERM).await,
-        Kind::RouterSeries => restart_in_turn(stage, trouble, &some(trouble, routers, routers / 2)).await,
+        Kind::RouterRestart => restart(running, trouble, &some(trouble, routers, 2), Series::TERM).await,
+        Kind::RouterSeries => restart_in_turn(running, trouble, &some(trouble, routers, routers / 2)).await,
         Kind::RouterBatch => {
-            restart(stage, trouble, &some(trouble, routers, routers / 2), Series::TERM).await
+            restart(running, trouble, &some(trouble, routers, routers / 2), Series::TERM).await
         }
         Kind::ReloadThenStop => {
-            restart(stage, trouble, &some(trouble, routers, 3), Series::RELOAD_FIRST).await
+            restart(running, trouble, &some(trouble, routers, 3), Series::RELOAD_FIRST).await
         }
-        Kind::RouterKill => kill(stage, &some(trouble, routers, 4)).await,
-        Kind::RouterReload => reload(stage, &some(trouble, routers, routers), ends).await,
-        Kind::RouterStall => stall(stage, &some(trouble, routers, 4), ends).await,
-        Kind::RouterFreeze => freeze(stage, &some(trouble, routers, 2), trouble.for_s.min(FROZEN_S)).await,
+        Kind::RouterKill => kill(running, &some(trouble, routers, 4)).await,
+        Kind::RouterReload => reload(running, &some(trouble, routers, routers), ends).await,
+        Kind::RouterStall => stall(running, &some(trouble, routers, 4), ends).await,
+        Kind::RouterFreeze => freeze(running, &some(trouble, routers, 2), trouble.for_s.min(FROZEN_S)).await,
         Kind::DiscoveryDown => {
-            stage.catalog.down.set(true);
+            running.catalog.down.set(true);
             tokio::time::sleep_until(ends).await;
-            stage.catalog.down.set(false);
+            running.catalog.down.set(false);
         }
         Kind::DiscoverySlow => {
-            stage.catalog.slow_ms.set(200.0 + 2300.0 * rng.f64());
+            running.catalog.slow_ms.set(200.0 + 2300.0 * rng.f64());
             tokio::time::sleep_until(ends).await;
-            stage.catalog.slow_ms.set(0.0);
+            running.catalog.slow_ms.set(0.0);
         }
-        Kind::WatchesReset => stage.agents.iter().for_each(|agent| agent.reset_watches()),
+        Kind::WatchesReset => running.agents.iter().for_each(|agent| agent.reset_watches()),
         Kind::WatchesSilent => {
-            stage
+            running
                 .agents
                 .iter()
-                .for_each(|agent| agent.link.set(Weather { silent: true, ..Weather::default() }));
+                .for_each(|agent| agent.link.set(LinkCondition { silent: true, ..LinkCondition::default() }));
             tokio::time::sleep_until(ends).await;
-            stage.agents.iter().for_each(|agent| agent.link.set(Weather::default()));
+            running.agents.iter().for_each(|agent| agent.link.set(LinkCondition::default()));
         }
-        Kind::Drains => drain(stage, &servers(stage, trouble, 3), ends).await,
+        Kind::Drains => drain(running, &servers(running, trouble, 3), ends).await,
         Kind::Join => {
             for _ in 0..rng.usize(1..=2) {
-                stage.list_next(true);
+                running.list_next(true);
             }
         }
-        Kind::WallBackAnHour => step_wall(stage, -HOUR_MS),
-        Kind::WallAheadAnHour => step_wall(stage, HOUR_MS),
-        Kind::WallStep => step_wall(stage, WALL_STEPS_MS[rng.usize(..WALL_STEPS_MS.len())]),
-        Kind::ServersRestart => restart_servers(stage, &servers(stage, trouble, 3), 0.2 + rng.f64()).await,
-        Kind::ClientsIdle => idle_clients(stage, &some(trouble, routers, 2), ends).await,
-        Kind::System(fault) => system(stage, fault, &some(trouble, routers, routers), ends).await,
-        kind => match mood(kind) {
-            Some(change) => moody(stage, &servers(stage, trouble, 4), ends, change).await,
-            None if manners(stage, kind, true) => {
+        Kind::WallBackAnHour => step_wall(running, -HOUR_MS),
+        Kind::WallAheadAnHour => step_wall(running, HOUR_MS),
+        Kind::WallStep => step_wall(running, WALL_STEPS_MS[rng.usize(..WALL_STEPS_MS.len())]),
+        Kind::ServersRestart => {
+            restart_servers(running, &servers(running, trouble, 3), 0.2 + rng.f64()).await
+        }
+        Kind::ClientsIdle => idle_clients(running, &some(trouble, routers, 2), ends).await,
+        Kind::System(fault) => system(running, fault, &some(trouble, routers, routers), ends).await,
+        kind => match condition(kind) {
+            Some(change) => moody(running, &servers(running, trouble, 4), ends, change).await,
+            None if behavior(running, kind, true) => {
                 tokio::time::sleep_until(ends).await;
-                manners(stage, kind, false);
+                behavior(running, kind, false);
             }
-            None => links(stage, trouble, &mut rng, ends).await,
+            None => links(running, trouble, &mut rng, ends).await,
         },
     }
 }
 
-fn servers(stage: &Stage, trouble: &Trouble, most: usize) -> Vec<usize> {
-    some(trouble, stage.listed.get(), most)
+fn servers(running: &RunningPlay, trouble: &Trouble, most: usize) -> Vec<usize> {
+    some(trouble, running.listed.get(), most)
 }
 
 /// Those that no other trouble is restarting; they are this one's from now on.
-fn taken(stage: &Stage, routers: &[usize]) -> Vec<usize> {
-    let free = |router: &&usize| !stage.routers[**router].being_restarted.replace(true);
+fn taken(running: &RunningPlay, routers: &[usize]) -> Vec<usize> {
+    let free = |router: &&usize| !running.routers[**router].being_restarted.replace(true);
     routers.iter().filter(free).copied().collect()
 }
 
 /// Tells routers to end, all at once, and starts them again.
-async fn restart(stage: &Rc<Stage>, trouble: &Trouble, routers: &[usize], series: Series) {
-    let each: Vec<_> = taken(stage, routers)
+async fn restart(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize], series: Series) {
+    let each: Vec<_> = taken(running, routers)
         .into_iter()
         .map(|router| {
-            tokio::task::spawn_local(shutdown::restart(stage.clone(), router, series, trouble.pick))
+            tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, trouble.pick))
         })
         .collect();
     for task in each {
@@ -137,14 +139,14 @@
 }
 
 /// Tells routers to end one after another, before the first is there again, each with a series of signals of its own.
-async fn restart_in_turn(stage: &Rc<Stage>, trouble: &Trouble, routers: &[usize]) {
+async fn restart_in_turn(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize]) {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
-    let routers = taken(stage, routers);
+    let routers = taken(running, routers);
     let apart = seconds(trouble.for_s / routers.len().max(1) as f64);
     let mut each = Vec::new();
     for router in routers {
         let (series, seed) = (Series::draw(&mut rng), rng.u64(..));
-        each.push(tokio::task::spawn_local(shutdown::restart(stage.clone(), router, series, seed)));
+        each.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
         sleep(apart).await;
     }
     for task in each {
@@ -152,26 +154,26 @@
     }
 }
 
-async fn kill(stage: &Rc<Stage>, routers: &[usize]) {
-    let routers = taken(stage, routers);
+async fn kill(running: &Rc<RunningPlay>, routers: &[usize]) {
+    let routers = taken(running, routers);
     for router in &routers {
-        stage.routers[*router].kill().await;
-        stage.withdraw(*router);
+        running.routers[*router].kill().await;
+        running.withdraw(*router);
     }
     sleep(Duration::from_millis(200)).await;
     for router in &routers {
-        stage.start_router(*router).await;
-        stage.routers[*router].being_restarted.set(false);
+        running.start_router(*router).await;
+        running.routers[*router].being_restarted.set(false);
     }
 }
 
 /// New configurations in a row, at times two without a pause.
-async fn reload(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+async fn reload(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     while Instant::now() < ends {
         for router in routers {
-            let place = &stage.routers[*router];
+            let place = &running.routers[*router];
             for _ in 0..2 {
-                let _ = place.configure(&stage.configuration(*router));
+                let _ = place.configure(&running.configuration(*router));
                 place.signal(Signal::HUP);
             }
         }
@@ -179,28 +181,28 @@
     }
 }
 
-async fn stall(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+async fn stall(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     while Instant::now() < ends {
-        routers.iter().for_each(|router| stage.routers[*router].signal(Signal::STOP));
+        routers.iter().for_each(|router| running.routers[*router].signal(Signal::STOP));
         sleep(Duration::from_millis(STALL_MS)).await;
-        routers.iter().for_each(|router| stage.routers[*router].signal(Signal::CONT));
+        routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
         sleep(Duration::from_millis(RUNS_MS)).await;
     }
 }
 
-async fn freeze(stage: &Rc<Stage>, routers: &[usize], for_s: f64) {
-    routers.iter().for_each(|router| stage.routers[*router].signal(Signal::STOP));
+async fn freeze(running: &Rc<RunningPlay>, routers: &[usize], for_s: f64) {
+    routers.iter().for_each(|router| running.routers[*router].signal(Signal::STOP));
     sleep(seconds(for_s)).await;
-    routers.iter().for_each(|router| stage.routers[*router].signal(Signal::CONT));
+    routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
 }
 
 /// Servers drain, go and come back as new.
-async fn drain(stage: &Rc<Stage>, servers: &[usize], ends: Instant) {
+async fn drain(running: &Rc<RunningPlay>, servers: &[usize], ends: Instant) {
     let set = |health: &'static str| {
         for server in servers {
-            if let Some(mut entry) = stage.catalog.entry(*server) {
+            if let Some(mut entry) = running.catalog.entry(*server) {
                 entry.health = health;
-                stage.catalog.change(*server, entry);
+                running.catalog.change(*server, entry);
             }
         }
     };
@@ -208,61 +210,63 @@
     tokio::time::sleep_until(ends).await;
     set("gone");
     sleep(Duration::from_millis(300)).await;
-    servers.iter().for_each(|server| stage.servers[*server].die());
+    servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(Duration::from_millis(300)).await;
-    revive(stage, servers).await;
+    revive(running, servers).await;
 }
 
-async fn revive(stage: &Rc<Stage>, servers: &[usize]) {
+async fn revive(running: &Rc<RunningPlay>, servers: &[usize]) {
     for server in servers {
-        if let Err(cause) = stage.servers[*server].revive().await {
-            stage.record.with(|seen| seen.notes.push(format!("server {server}: {cause}")));
+        if let Err(cause) = running.servers[*server].restart().await {
+            running.record.with(|observed| observed.notes.push(format!("server {server}: {cause}")));
         }
-        stage.restarted(*server);
+        running.list_as_restarted(*server);
     }
 }
 
-async fn restart_servers(stage: &Rc<Stage>, servers: &[usize], for_s: f64) {
-    servers.iter().for_each(|server| stage.servers[*server].die());
+async fn restart_servers(running: &Rc<RunningPlay>, servers: &[usize], for_s: f64) {
+    servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(seconds(for_s)).await;
-    revive(stage, servers).await;
+    revive(running, servers).await;
 }
 
 /// Every machine reads the same clock; it stays where it was stepped to.
-fn step_wall(stage: &Stage, step_ms: i64) {
-    let offset_ms = stage.catalog.wall_offset_ms.get() as i64 + step_ms;
-    stage.catalog.wall_offset_ms.set(offset_ms as f64);
-    for router in &stage.routers {
+fn step_wall(running: &RunningPlay, step_ms: i64) {
+    let offset_ms = running.catalog.wall_offset_ms.get() as i64 + step_ms;
+    running.catalog.wall_offset_ms.set(offset_ms as f64);
+    for router in &running.routers {
         let _ = router.control.set_wall_offset_ms(offset_ms);
     }
 }
 
-type Change = fn(&mut Mood, bool);
+type Change = fn(&mut ServerCondition, bool);
 
 /// How a trouble changes a server's mood.
-fn mood(kind: Kind) -> Option<Change> {
+fn condition(kind: Kind) -> Option<Change> {
     Some(match kind {
-        Kind::ServersHang => |mood, on| mood.hangs = on,
-        Kind::ServersHangMidway => |mood, on| mood.hangs_midway = on,
-        Kind::ServersLong => |mood, on| mood.long = on,
-        Kind::ServersDecline => |mood, on| mood.declines = on,
-        Kind::ServersFail => |mood, on| mood.fails = on,
-        Kind::ServersBreak => |mood, on| mood.breaks = on,
-        Kind::ServersBreakMidway => |mood, on| mood.breaks_midway = on,
-        Kind::ServersBabble => |mood, on| mood.babbles = on,
-        Kind::ServersDeaf => |mood, on| mood.deaf = on,
-        Kind::ServersCloseIdle => |mood, on| mood.idle_ms = if on { 30.0 } else { Mood::default().idle_ms },
-        Kind::ServersSlow => |mood, on| mood.slowness = if on { 12.0 } else { 1.0 },
+        Kind::ServersHang => |condition, on| condition.hangs = on,
+        Kind::ServersHangMidway => |condition, on| condition.hangs_midway = on,
+        Kind::ServersLong => |condition, on| condition.streams_on = on,
+        Kind::ServersDecline => |condition, on| condition.declines = on,
+        Kind::ServersFail => |condition, on| condition.fails = on,
+        Kind::ServersBreak => |condition, on| condition.breaks = on,
+        Kind::ServersBreakMidway => |condition, on| condition.breaks_midway = on,
+        Kind::ServersBabble => |condition, on| condition.sends_garbage = on,
+        Kind::ServersDeaf => |condition, on| condition.not_accepting = on,
+        Kind::ServersCloseIdle => {
+            |condition, on| condition.idle_ms = if on { 30.0 } else { ServerCondition::default().idle_ms }
+        }
+        Kind::ServersSlow => |condition, on| condition.slowdown = if on { 12.0 } else { 1.0 },
         _ => return None,
     })
 }
 
-async fn moody(stage: &Rc<Stage>, servers: &[usize], ends: Instant, change: Change) {
+async fn moody(running: &Rc<RunningPlay>, servers: &[usize], ends: Instant, change: Change) {
     let set = |on| {
         for server in servers {
-            let mut mood = stage.servers[*server].mood.get();
-            change(&mut mood, on);
-            stage.servers[*server].mood.set(mood);
+            let mut condition = running.servers[*server].condition.get();
+            change(&mut condition, on);
+            running.servers[*server].condition.set(condition);
         }
     };
     set(true);
@@ -271,26 +275,26 @@
 }
 
 /// Sets how clients behave; whether the trouble is one of clients.
-fn manners(stage: &Stage, kind: Kind, on: bool) -> bool {
-    let mut manners = stage.clients.manners.get();
+fn behavior(running: &RunningPlay, kind: Kind, on: bool) -> bool {
+    let mut behavior = running.clients.behavior.get();
     let part = |share: f64| if on { share } else { 0.0 };
     match kind {
-        Kind::ClientsLeave => manners.leaves = part(0.4),
-        Kind::ClientsHalf => manners.halves = part(0.2),
-        Kind::ClientsPieces => manners.pieces = part(0.5),
-        Kind::ClientsHurried => manners.hurried = part(0.4),
+        Kind::ClientsLeave => behavior.leave_share = part(0.4),
+        Kind::ClientsHalf => behavior.half_share = part(0.2),
+        Kind::ClientsPieces => behavior.piece_share = part(0.5),
+        Kind::ClientsHurried => behavior.hurried_share = part(0.4),
         _ => return false,
     }
-    stage.clients.manners.set(manners);
+    running.clients.behavior.set(behavior);
     true
 }
 
 /// Connections that say nothing.
-async fn idle_clients(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+async fn idle_clients(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     let mut open = Vec::new();
     for router in routers {
         for _ in 0..IDLE_CONNECTIONS {
-            if let Ok(stream) = TcpStream::connect(stage.routers[*router].listen).await {
+            if let Ok(stream) = TcpStream::connect(running.routers[*router].listen).await {
                 open.push(stream);
             }
         }
@@ -298,21 +302,21 @@
     tokio::time::sleep_until(ends).await;
 }
 
-async fn links(stage: &Rc<Stage>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
-    let change = |weather: &mut Weather, on: bool, rng: &mut fastrand::Rng| match trouble.kind {
-        Kind::LinkDelay => weather.delay_ms = if on { 20.0 + 120.0 * rng.f64() } else { 0.0 },
-        Kind::LinkSilent => weather.silent = on,
-        Kind::LinkReset => weather.resets = on,
-        Kind::LinkTrickle => weather.trickles = on,
-        _ => weather.last_byte_ms = if on { 20.0 + 100.0 * rng.f64() } else { 0.0 },
+async fn links(running: &Rc<RunningPlay>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
+    let change = |condition: &mut LinkCondition, on: bool, rng: &mut fastrand::Rng| match trouble.kind {
+        Kind::LinkDelay => condition.delay_ms = if on { 20.0 + 120.0 * rng.f64() } else { 0.0 },
+        Kind::LinkSilent => condition.silent = on,
+        Kind::LinkReset => condition.resets = on,
+        Kind::LinkTrickle => condition.trickles = on,
+        _ => condition.last_byte_ms = if on { 20.0 + 100.0 * rng.f64() } else { 0.0 },
     };
-    let servers = servers(stage, trouble, 5);
+    let servers = servers(running, trouble, 5);
     for on in [true, false] {
         for server in &servers {
-            let link = &stage.servers[*server].link;
-            let mut weather = link.weather();
-            change(&mut weather, on, rng);
-            link.set(weather);
+            let link = &running.servers[*server].link;
+            let mut condition = link.condition();
+            change(&mut condition, on, rng);
+            link.set(condition);
         }
         if on {
             tokio::time::sleep_until(ends).await;
@@ -335,14 +339,14 @@
 /// The longest stall before a write, in ms.
 const WRITE_STALL_MS: f64 = 140.0;
 
-async fn system(stage: &Rc<Stage>, fault: Fault, routers: &[usize], ends: Instant) {
+async fn system(running: &Rc<RunningPlay>, fault: Fault, routers: &[usize], ends: Instant) {
     for router in routers {
-        let control = &stage.routers[*router].control;
+        let control = &running.routers[*router].control;
         let _ = control.set_stall_ms(WRITE_STALL_MS);
         let _ = control.set_rate(fault, rate(fault));
     }
     tokio::time::sleep_until(ends).await;
     for router in routers {
-        let _ = stage.routers[*router].control.set_rate(fault, 0.0);
+        let _ = running.routers[*router].control.set_rate(fault, 0.0);
     }
 }
