--- a/crates/soak/src/oracle/mod.rs
+++ b/crates/soak/src/oracle/mod.rs
@@ -1,5 +1,5 @@
-//! Judges a play from the record of its sockets and the exits of its processes alone. Free of I/O: the same record gets
-//! the same verdict.
+//! Checks a play against the rules, from the record of its sockets and the exits of its processes alone. It
+//! does no I/O: the same record always gives the same violations.
 
 mod answers;
 mod attempts;
@@ -16,101 +16,101 @@
 
 pub use shutdowns::ShutdownCounts;
 
-/// What was broken.
+/// A rule of the platform that a play can break.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rule {
-    /// A request that was taken had no final answer.
+    /// An accepted request got no final response.
     Lost,
-    /// It had one, too late.
+    /// A final response came too late.
     Late,
-    /// Work took effect twice, or could have.
+    /// Work that must not be repeated ran twice, or may have.
     Duplicate,
-    /// A second copy ran beside the first where that is not allowed.
+    /// A second attempt ran beside the first although the settings do not allow that.
     SecondCopy,
-    /// Work went to a server long after its drain was told.
+    /// A request was sent to a server after the grace period of its drain.
     Drain,
-    /// A server that had just started was pushed over.
+    /// A server that had just started was overloaded.
     SlowStart,
-    /// A state was left held.
+    /// A server was left holding a state that no attempt used.
     Held,
-    /// A request that came late in the shutdown of its router was sent to a server: whether its answer would be whole at the
-    /// kill was left to luck.
+    /// A request that arrived late in the shutdown of its router was sent to a server, although the kill
+    /// might cut its response.
     TakenLate,
-    /// An attempt began after its client had gone.
+    /// An attempt began after its client had left.
     ClientGone,
-    /// A server was told more time than was left.
+    /// The deadline sent to a server exceeded the remaining time.
     DeadlineTold,
-    /// Half a request had neither error nor close in time.
+    /// An incomplete request got neither an error nor a close in time.
     HalfRequest,
-    /// Events of too many streams were held back.
+    /// Too many streams had delayed events.
     EventsHeld,
-    /// A process ended by itself.
+    /// A router process ended unexpectedly.
     Crash,
-    /// A process was not ready in time.
+    /// Too many router processes were not ready in time.
     Readiness,
-    /// Descriptors or memory did not come back, or a router does not serve after all has healed.
+    /// After all troubles had ended, a router held more descriptors or memory than before, or did not serve.
     NotHealed,
 }
 
-/// One broken rule.
+/// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which.
+    /// The broken rule.
     pub rule: Rule,
-    /// When, in ms of the play.
+    /// When, in ms since the start of the play.
     pub at_ms: f64,
-    /// The router.
+    /// The router, where one is concerned.
     pub router: Option<usize>,
-    /// The request, where there is one.
+    /// The request, where one is concerned.
     pub request: Option<String>,
-    /// What was seen.
+    /// A description of what was observed.
     pub what: String,
 }
 
-/// What the judge knows beside the record.
+/// Facts about the play that the record does not hold.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckParameters {
-    /// Routers in the play.
+    /// Number of routers.
     pub routers: usize,
-    /// Whether second copies are allowed.
+    /// Whether the settings allow a second attempt beside one in flight.
     pub second_copies: bool,
 }
 
-/// All that was broken, by time.
-pub fn check(observed: &Observations, terms: &CheckParameters) -> Vec<Violation> {
-    let case = Case::of(observed, terms);
+/// All violations, sorted by time.
+pub fn check(observed: &Observations, parameters: &CheckParameters) -> Vec<Violation> {
+    let context = CheckContext::of(observed, parameters);
     let mut found = Vec::new();
-    answers::check(&case, &mut found);
-    attempts::check(&case, &mut found);
-    held::check(&case, &mut found);
-    slow_start::check(&case, &mut found);
-    processes::check(&case, &mut found);
-    shutdowns::check(&case, &mut found);
+    answers::check(&context, &mut found);
+    attempts::check(&context, &mut found);
+    held::check(&context, &mut found);
+    slow_start::check(&context, &mut found);
+    processes::check(&context, &mut found);
+    shutdowns::check(&context, &mut found);
     found.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
     found
 }
 
-/// Always allowed for: what lies between a socket and the stamp of its time, in ms.
-const STAMP_MS: f64 = 40.0;
-/// Lags of the judge's own process matter for so long before and after, in ms.
-const LAG_BEFORE_MS: f64 = 3000.0;
-const LAG_AFTER_MS: f64 = 500.0;
+/// Tolerance for the time between an event on a socket and its timestamp, in ms.
+const TIMESTAMP_TOLERANCE_MS: f64 = 40.0;
+/// A lag of this process affects timestamps from so long before it to so long after it, in ms.
+const LAG_EFFECT_BEFORE_MS: f64 = 3000.0;
+const LAG_EFFECT_AFTER_MS: f64 = 500.0;
 
-/// The record, by request.
-struct Case<'a> {
+/// The record and its attempts by request.
+struct CheckContext<'a> {
     observed: &'a Observations,
-    terms: &'a CheckParameters,
+    parameters: &'a CheckParameters,
     attempts: BTreeMap<&'a str, Vec<&'a Attempt>>,
 }
 
-impl<'a> Case<'a> {
-    fn of(observed: &'a Observations, terms: &'a CheckParameters) -> Case<'a> {
+impl<'a> CheckContext<'a> {
+    fn of(observed: &'a Observations, parameters: &'a CheckParameters) -> CheckContext<'a> {
         let mut attempts = BTreeMap::<&str, Vec<&Attempt>>::new();
         for attempt in &observed.attempts {
             attempts.entry(&attempt.request).or_default().push(attempt);
         }
-        Case { observed, terms, attempts }
+        CheckContext { observed, parameters, attempts }
     }
 
     fn attempts(&self, request: &str) -> &[&'a Attempt] {
@@ -127,28 +127,29 @@
         ends.map(|(at_ms, _)| at_ms).fold(0.0, f64::max)
     }
 
-    /// How much later than it should be something may be stamped around this time.
+    /// By how much a timestamp around this time may be late.
     fn slack_ms(&self, at_ms: f64) -> f64 {
-        let near =
-            |(lag_ms, _): &&(f64, f64)| (at_ms - LAG_BEFORE_MS..=at_ms + LAG_AFTER_MS).contains(lag_ms);
+        let near = |(lag_ms, _): &&(f64, f64)| {
+            (at_ms - LAG_EFFECT_BEFORE_MS..=at_ms + LAG_EFFECT_AFTER_MS).contains(lag_ms)
+        };
         let lags = self.observed.lags.iter().filter(near);
-        STAMP_MS + lags.map(|(_, late_ms)| late_ms).sum::<f64>()
+        TIMESTAMP_TOLERANCE_MS + lags.map(|(_, late_ms)| late_ms).sum::<f64>()
     }
 
-    /// How long, from a moment on, a trouble went on that was on then, in ms.
-    fn goes_on_ms(&self, troubles: &[&str], at_ms: f64) -> f64 {
-        let on = |window: &&crate::record::Window| {
+    /// How much longer the troubles that were active at a time lasted, in ms; 0 if none was.
+    fn trouble_remaining_ms(&self, troubles: &[&str], at_ms: f64) -> f64 {
+        let active = |window: &&crate::record::Window| {
             troubles.contains(&window.trouble.as_str()) && window.from_ms <= at_ms && window.to_ms >= at_ms
         };
-        self.observed.windows.iter().filter(on).map(|window| window.to_ms - at_ms).fold(0.0, f64::max)
+        self.observed.windows.iter().filter(active).map(|window| window.to_ms - at_ms).fold(0.0, f64::max)
     }
 
-    /// Whether a trouble was on at some moment between two times.
-    fn was_on(&self, troubles: &[&str], from_ms: f64, to_ms: f64) -> bool {
-        let on = |window: &&crate::record::Window| {
+    /// Whether one of the troubles was active at any moment between two times.
+    fn trouble_active(&self, troubles: &[&str], from_ms: f64, to_ms: f64) -> bool {
+        let active = |window: &&crate::record::Window| {
             troubles.contains(&window.trouble.as_str()) && window.from_ms <= to_ms && window.to_ms >= from_ms
         };
-        self.observed.windows.iter().any(|window| on(&window))
+        self.observed.windows.iter().any(|window| active(&window))
     }
 }
 
--- a/crates/soak/src/oracle/shutdowns.rs
+++ b/crates/soak/src/oracle/shutdowns.rs
@@ -1,75 +1,81 @@
-//! What came while a router was told to end: its answer at the kill, and counts of what the play has crossed.
+//! Checks the requests that arrived while a router shut down, and counts them for the report.
 
 use serde::Serialize;
 
-use super::{violation, Case, Rule, Violation};
+use super::{violation, CheckContext, Rule, Violation};
 use crate::configuration::REFUSED_AFTER_S;
 use crate::record::{Attempt, Ending, Observations, Request};
 
-/// Every limit of the platform is longer by this, in ms.
-const LIMITS_MS: f64 = 50.0;
-/// A connection that ends within this of the kill ended by it, in ms.
-const BY_THE_KILL_MS: f64 = 5.0;
-/// A close and a request that cross are this far apart at most, in ms.
-const CROSSING_MS: f64 = 30.0;
-const FROZEN: [&str; 1] = ["router-freeze"];
-/// Troubles in which a router may miss the time of its last answers.
-const MAY_MISS: [&str; 5] = ["router-freeze", "router-stall", "write-stall", "read-broken", "write-broken"];
+/// Tolerance on every time limit of the platform, in ms.
+const LIMIT_TOLERANCE_MS: f64 = 50.0;
+/// A connection that ends at most this long before the kill counts as ended by it, in ms.
+const KILL_TOLERANCE_MS: f64 = 5.0;
+/// A request and the close that it crosses are at most this far apart, in ms.
+const CROSSING_TOLERANCE_MS: f64 = 30.0;
+const ROUTER_FROZEN: [&str; 1] = ["router-freeze"];
+/// Troubles under which a router may be too late with its final responses.
+const FINAL_RESPONSES_LATE: [&str; 5] =
+    ["router-freeze", "router-stall", "write-stall", "read-broken", "write-broken"];
 
-/// How long after SIGTERM its router's process got a request, in ms; none before SIGTERM.
+/// How long after SIGTERM the router process was sent a request, in ms; none for one that came before
+/// SIGTERM.
 pub(super) fn after_sigterm_ms(observed: &Observations, request: &Request) -> Option<f64> {
     let process = observed.processes.get(request.router)?.get(request.generation)?;
     let after_ms = request.sent_ms? - process.terminated_ms?;
     (after_ms >= 0.0).then_some(after_ms)
 }
 
-/// Whether a request that came so long after SIGTERM has to be answered before the kill. A process that the system held for longer
-/// than the platform's stalls may have heard of its end too late for that.
-fn is_owed(case: &Case, request: &Request, after_ms: f64) -> bool {
+/// Whether a request that arrived this long after SIGTERM must be answered before the kill. That does not
+/// hold for a process that was frozen for longer than a stall of the platform: it may have received SIGTERM
+/// too late.
+fn must_be_answered(context: &CheckContext, request: &Request, after_ms: f64) -> bool {
     let sent_ms = request.sent_ms.unwrap_or(request.started_ms);
-    let heard_late = case.was_on(&FROZEN, sent_ms - after_ms, sent_ms);
-    !heard_late && after_ms > REFUSED_AFTER_S * 1e3 + LIMITS_MS + case.slack_ms(sent_ms)
+    let sigterm_late = context.trouble_active(&ROUTER_FROZEN, sent_ms - after_ms, sent_ms);
+    !sigterm_late && after_ms > REFUSED_AFTER_S * 1e3 + LIMIT_TOLERANCE_MS + context.slack_ms(sent_ms)
 }
 
-/// What is owed at the kill is sent to no server.
-pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
-    for (id, request) in &case.observed.requests {
-        let Some(after_ms) = after_sigterm_ms(case.observed, request) else { continue };
-        let owed = is_owed(case, request, after_ms);
-        if let Some(attempt) = case.attempts(id).first().filter(|_| owed) {
+/// A request that must be answered before the kill must not be sent to a server.
+pub(super) fn check(context: &CheckContext, found: &mut Vec<Violation>) {
+    for (id, request) in &context.observed.requests {
+        let Some(after_ms) = after_sigterm_ms(context.observed, request) else { continue };
+        let answer_required = must_be_answered(context, request, after_ms);
+        if let Some(attempt) = context.attempts(id).first().filter(|_| answer_required) {
             let what =
-                format!("came {after_ms:.0} ms after SIGTERM and was sent to server {}", attempt.server);
+                format!("arrived {after_ms:.0} ms after SIGTERM and was sent to server {}", attempt.server);
             found.push(violation(Rule::TakenLate, attempt.first_byte_ms, (id, request), what));
         }
     }
 }
 
-/// Judges a request that ended with its process: killed because it had not ended in its time. Whether it was one.
-pub(super) fn ended_by_the_kill(
-    case: &Case,
+/// Checks a request that was still open when its process was killed for not ending in time after SIGTERM.
+/// Returns whether the request was of that kind.
+pub(super) fn ended_by_kill(
+    context: &CheckContext,
     id: &str,
     request: &Request,
     ended: (f64, Ending),
     found: &mut Vec<Violation>,
 ) -> bool {
     let (ended_ms, ending) = ended;
-    let Some(process) = case.process(request) else { return false };
+    let Some(process) = context.process(request) else { return false };
     let killed_ms = process.killed_ms.filter(|_| process.terminated_ms.is_some());
-    let Some(killed_ms) = killed_ms.filter(|killed_ms| ended_ms >= killed_ms - BY_THE_KILL_MS) else {
+    let Some(killed_ms) = killed_ms.filter(|killed_ms| ended_ms >= killed_ms - KILL_TOLERANCE_MS) else {
         return false;
     };
     let (Some(sent_ms), Some(terminated_ms)) = (request.sent_ms, process.terminated_ms) else { return false };
     if sent_ms >= killed_ms {
-        // The process was gone, and with it the connection.
+        // The process had ended, and with it the connection.
         return true;
     }
     let after_ms = sent_ms - terminated_ms;
-    let owed = is_owed(case, request, after_ms);
-    // Its stream had begun and it had come in time: the platform lets it go.
-    let runs = ending == Ending::Cut;
-    if owed || !runs && !case.was_on(&MAY_MISS, killed_ms - 1000.0, killed_ms) {
+    let answer_required = must_be_answered(context, request, after_ms);
+    // The platform accepts that the kill cuts a stream of a request that arrived early enough.
+    let cut_stream = ending == Ending::Cut;
+    if answer_required
+        || !cut_stream && !context.trouble_active(&FINAL_RESPONSES_LATE, killed_ms - 1000.0, killed_ms)
+    {
         let what = format!(
-            "sent {after_ms:.0} ms after SIGTERM, {ending:?} by the kill, which came {:.0} ms after it",
+            "sent {after_ms:.0} ms after SIGTERM, {ending:?} by the kill {:.0} ms after SIGTERM",
             killed_ms - terminated_ms
         );
         found.push(violation(Rule::Lost, sent_ms, (id, request), what));
@@ -77,39 +83,44 @@
     true
 }
 
-/// Whether a request came as its router closed the connection at the end of its life, and was not read.
-pub(super) fn crossed_the_end(case: &Case, request: &Request, ended_ms: f64, attempts: &[&Attempt]) -> bool {
-    let late = after_sigterm_ms(case.observed, request).is_some();
-    let apart_ms = ended_ms - request.sent_ms.unwrap_or(f64::NEG_INFINITY);
-    late && attempts.is_empty() && apart_ms < CROSSING_MS + case.slack_ms(ended_ms)
+/// Whether a request crossed the close of its connection by a router that was shutting down, and was not
+/// read.
+pub(super) fn crossed_shutdown_close(
+    context: &CheckContext,
+    request: &Request,
+    ended_ms: f64,
+    attempts: &[&Attempt],
+) -> bool {
+    let late = after_sigterm_ms(context.observed, request).is_some();
+    let interval_ms = ended_ms - request.sent_ms.unwrap_or(f64::NEG_INFINITY);
+    late && attempts.is_empty() && interval_ms < CROSSING_TOLERANCE_MS + context.slack_ms(ended_ms)
 }
 
-/// What a play has crossed at the ends of processes.
+/// How many shutdowns of routers, and of requests during them, a play had.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ShutdownCounts {
-    /// Processes that were told to end.
+    /// Processes that were sent SIGTERM.
     pub told: usize,
-    /// Those of them that the kill ended.
+    /// Those of them that ended by SIGKILL.
     pub killed: usize,
-    /// Requests that came after SIGTERM.
+    /// Requests sent after SIGTERM.
     pub requests: usize,
-    /// Those over 0.7 s after it: in all, served, refused (429, 503), with another whole answer, closed upon unread, and
-    /// with part of an answer or none.
+    /// Requests sent more than 0.7 s after SIGTERM ([`REFUSED_AFTER_S`]).
     pub late: usize,
-    /// As above.
+    /// Late requests answered with status 200.
     pub late_served: usize,
-    /// As above.
+    /// Late requests answered with status 429 or 503.
     pub late_refused: usize,
-    /// As above.
+    /// Late requests with any other complete response.
     pub late_failed: usize,
-    /// As above.
+    /// Late requests whose connection was closed without a response.
     pub late_closed: usize,
-    /// As above.
+    /// Late requests with part of a response or none.
     pub late_unanswered: usize,
 }
 
 impl ShutdownCounts {
-    /// Counted from a record.
+    /// Counts them in a record.
     pub fn of(observed: &Observations) -> ShutdownCounts {
         let mut counts = ShutdownCounts::default();
         for process in observed.processes.iter().flatten().filter(|process| process.terminated_ms.is_some()) {
--- a/crates/soak/src/oracle/slow_start.rs
+++ b/crates/soak/src/oracle/slow_start.rs
@@ -1,29 +1,30 @@
-//! A server that has just started is not pushed over, by all routers together.
+//! Checks that all routers together do not overload a server that has just started.
 
 use std::collections::BTreeMap;
 
-use super::{Case, Rule, Violation};
+use super::{CheckContext, Rule, Violation};
 use crate::configuration::{kind_of, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS, SLOW_START_MS, SLOW_START_SHARE};
 use crate::record::{ServerId, Start};
 
-/// The part of the usual load's distribution that stands for what a warm server can do.
-const USUAL: f64 = 0.9;
-/// Below this a bound is that of small numbers.
-const SMALL: f64 = 30.0;
+/// Quantile of the load of warm servers that stands for the capacity of one.
+const BUSY_QUANTILE: f64 = 0.9;
+/// Below this many allowed requests, the limit is that for small numbers.
+const SMALL_COUNT: f64 = 30.0;
 
-pub(super) fn check(case: &Case, found: &mut Vec<Violation>) {
+pub(super) fn check(context: &CheckContext, found: &mut Vec<Violation>) {
     let mut arrivals = BTreeMap::<ServerId, Vec<f64>>::new();
-    for attempt in &case.observed.attempts {
+    for attempt in &context.observed.attempts {
         arrivals.entry(attempt.server).or_default().push(attempt.received_ms);
     }
     arrivals.values_mut().for_each(|times| times.sort_by(f64::total_cmp));
-    for start in &case.observed.starts {
-        let usual = usual(case, &arrivals, kind_of(start.server));
+    for start in &context.observed.starts {
+        let warm_load = warm_load(context, &arrivals, kind_of(start.server));
         let times = arrivals.get(&start.server).map_or(&[][..], Vec::as_slice);
-        let most = worst(start, times, usual);
-        if let Some((at_ms, came, bound)) = most.filter(|(_, came, bound)| came > bound) {
+        let worst_window = worst_window(start, times, warm_load);
+        if let Some((at_ms, received, limit)) = worst_window.filter(|(_, received, limit)| received > limit) {
             let what = format!(
-                "server {} started at {:.0} ms and got {came:.0} in {OVERLOAD_WINDOW_MS:.0} ms, of {bound:.0} at most",
+                "server {} started at {:.0} ms and got {received:.0} requests in \
+                 {OVERLOAD_WINDOW_MS:.0} ms, limit {limit:.0}",
                 start.server, start.at_ms
             );
             found.push(Violation { rule: Rule::SlowStart, at_ms, router: None, request: None, what });
@@ -31,43 +32,45 @@
     }
 }
 
-/// What a warm server of a kind gets in the time in which a cold one falls, at a busy moment.
-fn usual(case: &Case, arrivals: &BTreeMap<ServerId, Vec<f64>>, kind: &str) -> f64 {
-    let cold = |server: ServerId, at_ms: f64| {
-        let fresh =
+/// Requests that a warm server of a kind gets within [`OVERLOAD_WINDOW_MS`] at a busy moment.
+fn warm_load(context: &CheckContext, arrivals: &BTreeMap<ServerId, Vec<f64>>, kind: &str) -> f64 {
+    let in_slow_start = |server: ServerId, at_ms: f64| {
+        let recent =
             |start: &&Start| start.server == server && (0.0..SLOW_START_MS).contains(&(at_ms - start.at_ms));
-        case.observed.starts.iter().any(|start| fresh(&start))
+        context.observed.starts.iter().any(|start| recent(&start))
     };
     let mut counts = Vec::new();
     for (server, times) in arrivals.iter().filter(|(server, _)| kind_of(**server) == kind) {
         let mut buckets = BTreeMap::<u64, f64>::new();
-        times.iter().filter(|at_ms| !cold(*server, **at_ms)).for_each(|at_ms| {
+        times.iter().filter(|at_ms| !in_slow_start(*server, **at_ms)).for_each(|at_ms| {
             *buckets.entry((at_ms / OVERLOAD_WINDOW_MS) as u64).or_default() += 1.0;
         });
         counts.extend(buckets.into_values());
     }
     counts.sort_by(f64::total_cmp);
-    let row = (counts.len() as f64 * USUAL) as usize;
-    counts.get(row).copied().unwrap_or(0.0)
+    let index = (counts.len() as f64 * BUSY_QUANTILE) as usize;
+    counts.get(index).copied().unwrap_or(0.0)
 }
 
-/// What so many requests may come to before a server falls, chance allowed for.
-fn bound(allowed: f64) -> f64 {
-    match allowed < SMALL {
+/// The limit for an allowed number of requests: two or three standard deviations of a Poisson count are
+/// added, so that chance alone does not break the rule.
+fn limit(allowed: f64) -> f64 {
+    match allowed < SMALL_COUNT {
         true => allowed + 3.0 * allowed.sqrt() + 3.0,
         false => allowed + 2.0 * allowed.sqrt() + 2.0,
     }
 }
 
-/// The time at which it got most beyond its bound: when, how much, and the bound.
-fn worst(start: &Start, times: &[f64], usual: f64) -> Option<(f64, f64, f64)> {
+/// The window in which the server exceeded its limit most: its start, its requests and the limit.
+fn worst_window(start: &Start, times: &[f64], warm_load: f64) -> Option<(f64, f64, f64)> {
     let within = |at_ms: &&f64| (start.at_ms..start.at_ms + SLOW_START_MS).contains(*at_ms);
-    let rows = times.iter().enumerate().filter(|(_, at_ms)| within(at_ms));
-    let windows = rows.map(|(row, at_ms)| {
-        let came =
-            times[row..].iter().take_while(|later_ms| **later_ms < at_ms + OVERLOAD_WINDOW_MS).count() as f64;
-        let share = SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * (at_ms - start.at_ms) / SLOW_START_MS;
-        (*at_ms, came, bound(OVERLOAD_MULTIPLE * share * usual))
+    let arrivals_within = times.iter().enumerate().filter(|(_, at_ms)| within(at_ms));
+    let windows = arrivals_within.map(|(index, at_ms)| {
+        let received =
+            times[index..].iter().take_while(|later_ms| **later_ms < at_ms + OVERLOAD_WINDOW_MS).count()
+                as f64;
+        let capacity = SLOW_START_SHARE + (1.0 - SLOW_START_SHARE) * (at_ms - start.at_ms) / SLOW_START_MS;
+        (*at_ms, received, limit(OVERLOAD_MULTIPLE * capacity * warm_load))
     });
     windows.max_by(|a, b| (a.1 - a.2).total_cmp(&(b.1 - b.2)))
 }
