--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a play, and when: drawn from a seed, or read from a script.
+//! The plan of a play: which troubles occur and when, drawn from a seed or read from a script.
 
 use std::time::Duration;
 
@@ -8,37 +8,37 @@
 
 use crate::configuration::{kill_after_s, Allowed, LONGEST_DEADLINE_S};
 
-/// A kind of trouble.
+/// A kind of trouble. Scripts and reports use the names of `NAMES`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Kind {
-    /// One router is told to end and started again.
+    /// Up to two routers get SIGTERM and are started again.
     RouterRestart,
-    /// Routers are told to end one after another, with further signals around that, while clients go on.
+    /// Routers get SIGTERM one after another, with further signals around it, while clients continue.
     RouterSeries,
-    /// A third of the routers is told to end at once and started again.
+    /// Up to half of the routers get SIGTERM at once and are started again.
     RouterBatch,
-    /// Routers are killed and started again.
+    /// Routers get SIGKILL and are started again.
     RouterKill,
-    /// New configurations in a row, with SIGHUP.
+    /// Routers reload new configurations (SIGHUP) in quick succession.
     RouterReload,
-    /// A new configuration, and the word to end right after it.
+    /// Routers get a new configuration with SIGHUP and SIGTERM right after it.
     ReloadThenStop,
-    /// Routers are stopped for up to 0.15 s, again and again.
+    /// Routers are stopped (SIGSTOP) for up to 0.15 s, repeatedly.
     RouterStall,
-    /// Routers are stopped for more than a second.
+    /// Routers are stopped (SIGSTOP) for more than a second.
     RouterFreeze,
-    /// Discovery is silent and learns nothing.
+    /// Discovery neither answers nor receives changes.
     DiscoveryDown,
-    /// Discovery takes long to answer.
+    /// Discovery answers slowly.
     DiscoverySlow,
-    /// Open watches are reset.
+    /// Open watches of discovery are reset.
     WatchesReset,
-    /// Agents fall silent towards their routers.
+    /// Discovery agents stop answering their routers.
     WatchesSilent,
-    /// Servers begin to drain, go, and come back as new.
+    /// Servers drain, leave and come back as newly started.
     Drains,
-    /// New servers join cold.
+    /// New servers join, just started.
     Join,
     /// The wall clock of all machines is stepped by some seconds, back or ahead.
     WallStep,
@@ -46,51 +46,51 @@
     WallBackAnHour,
     /// The wall clock of all machines is stepped ahead by an hour.
     WallAheadAnHour,
-    /// Servers take requests and never answer.
+    /// Servers accept requests and never answer.
     ServersHang,
-    /// Servers stop within their streams.
+    /// Servers stop writing in the middle of their streams.
     ServersHangMidway,
-    /// Servers go on with their streams for as long as this lasts.
+    /// Servers continue their streams for as long as this lasts.
     ServersLong,
-    /// Servers turn everything away.
+    /// Servers decline every request.
     ServersDecline,
     /// Servers answer 500.
     ServersFail,
-    /// Servers break connections under requests.
+    /// Servers reset connections that carry a request.
     ServersBreak,
-    /// Servers break connections within streams.
+    /// Servers reset connections in the middle of streams.
     ServersBreakMidway,
-    /// Servers say what is no answer.
+    /// Servers send invalid HTTP responses.
     ServersBabble,
     /// Servers close idle connections after a few ms.
     ServersCloseIdle,
-    /// Servers die and start again under their addresses.
+    /// Servers crash and start again at the same addresses.
     ServersRestart,
-    /// Servers take no connections; they come up late.
+    /// Servers do not accept connections until this ends.
     ServersDeaf,
-    /// Servers take many times their time.
+    /// Servers take many times as long as usual.
     ServersSlow,
-    /// Links to servers are slow.
+    /// Links to servers delay what they carry.
     LinkDelay,
-    /// Links to servers fall silent without an error.
+    /// Links to servers carry nothing, without an error.
     LinkSilent,
-    /// Links to servers reset.
+    /// Links to servers reset connections.
     LinkReset,
-    /// Answers come byte by byte.
+    /// Responses arrive byte by byte.
     LinkTrickle,
-    /// The last byte of what servers say is held back.
+    /// The last byte of each write of a server is delayed.
     LinkLastByte,
-    /// Clients leave early.
+    /// Clients close their connections before the response is complete.
     ClientsLeave,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients stop in the middle of a request and keep the connection open.
     ClientsHalf,
-    /// Requests come in pieces.
+    /// Requests arrive in pieces.
     ClientsPieces,
-    /// Requests have very little time.
+    /// Requests have very short deadlines.
     ClientsHurried,
-    /// Idle connections of clients fill the descriptors.
+    /// Idle client connections use up the descriptors of routers.
     ClientsIdle,
-    /// A system call of routers fails now and then.
+    /// A share of some system call of routers fails.
     System(Fault),
 }
 
@@ -136,14 +136,15 @@
     (Kind::ClientsIdle, "clients-idle"),
 ];
 
-/// Faults that concern files: routers of the platform keep none but their configuration.
-const OF_FILES: [Fault; 5] =
+/// Faults of files other than reads: routers of the platform write no files, they only read their
+/// configuration.
+const FILE_FAULTS: [Fault; 5] =
     [Fault::FileWriteFails, Fault::FileWriteShort, Fault::SyncFails, Fault::SyncSlow, Fault::RenameFails];
 
 impl Kind {
-    /// All kinds that are drawn.
+    /// All kinds that a random plan draws from.
     pub fn all() -> Vec<Kind> {
-        let faults = Fault::ALL.into_iter().filter(|fault| !OF_FILES.contains(fault)).map(Kind::System);
+        let faults = Fault::ALL.into_iter().filter(|fault| !FILE_FAULTS.contains(fault)).map(Kind::System);
         NAMES.iter().map(|(kind, _)| *kind).chain(faults).collect()
     }
 
@@ -157,8 +158,8 @@
 
     /// The kind of that name.
     pub fn named(name: &str) -> Option<Kind> {
-        let own = NAMES.iter().find(|(_, known)| *known == name).map(|(kind, _)| *kind);
-        own.or_else(|| Fault::named(name).map(Kind::System))
+        let listed = NAMES.iter().find(|(_, known)| *known == name).map(|(kind, _)| *kind);
+        listed.or_else(|| Fault::named(name).map(Kind::System))
     }
 }
 
@@ -172,87 +173,89 @@
     type Error = String;
 
     fn try_from(name: String) -> Result<Kind, String> {
-        Kind::named(&name).ok_or_else(|| format!("no trouble is called '{name}'"))
+        Kind::named(&name).ok_or_else(|| format!("unknown trouble '{name}'"))
     }
 }
 
-/// One trouble.
+/// One trouble of a plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trouble {
-    /// What.
+    /// Its kind.
     pub kind: Kind,
-    /// When it begins, in s.
+    /// When it begins, in s since clients began.
     pub at_s: f64,
     /// How long it lasts, in s.
     pub for_s: f64,
-    /// Seed of whom it meets and how hard; 0 is as many as may be.
+    /// Seed for which routers or servers it affects and how severely; 0 affects the maximum number.
     pub pick: u64,
 }
 
-/// A play: the same every time as far as the machine allows.
+/// A plan of a play. It repeats the same play every time, as far as timing on the machine allows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Seed of clients, routers and system calls.
+    /// Seed for clients, routers and failing system calls.
     pub seed: u64,
-    /// How long clients come, in s.
+    /// How long clients send requests, in s.
     pub length_s: f64,
-    /// Router processes.
+    /// Number of routers.
     pub routers: usize,
-    /// What the settings allow.
+    /// What the settings of the routers allow.
     pub allowed: Allowed,
-    /// The longest deadline of requests, in s: a router is killed that long and 0.7 s after SIGTERM.
+    /// The longest deadline of requests, in s: a router is killed that long (at most 3 s) and 0.7 s after
+    /// SIGTERM.
     #[serde(default = "longest_deadline_s")]
     pub longest_deadline_s: f64,
-    /// What goes wrong.
+    /// The troubles.
     pub troubles: Vec<Trouble>,
 }
 
-/// Quiet at the beginning and, so that all can heal, at the end of the time in which clients come, in s.
-const FIRST_S: f64 = 3.0;
-const LAST_S: f64 = 4.0;
-/// Between two groups of troubles, in s.
-const GROUPS_S: f64 = 5.5;
-/// Troubles of one group: on at once.
-const TOGETHER: std::ops::RangeInclusive<usize> = 2..=3;
-/// Router processes of a play.
-const ROUTERS: std::ops::RangeInclusive<usize> = 10..=14;
+/// No troubles occur so long after clients begin and, to let everything recover, before they end, in s.
+const QUIET_START_S: f64 = 3.0;
+const QUIET_END_S: f64 = 4.0;
+/// Time from one group of troubles to the next, in s.
+const GROUP_INTERVAL_S: f64 = 5.5;
+/// Number of troubles in a group; they overlap.
+const GROUP_SIZE: std::ops::RangeInclusive<usize> = 2..=3;
+/// Number of routers in a random plan.
+const ROUTER_COUNT: std::ops::RangeInclusive<usize> = 10..=14;
 
 fn longest_deadline_s() -> f64 {
     LONGEST_DEADLINE_S
 }
 
-/// Longest deadlines that are drawn, in s.
-const DEADLINES_S: [f64; 5] = [0.4, 0.8, 1.5, 2.5, 5.0];
-/// What servers do while routers end, in plays where all may come; and how often a crowd is there as well.
-const WHILE_ROUTERS_END: [Kind; 5] =
+/// Values of `longest_deadline_s` that a random plan draws from.
+const LONGEST_DEADLINES_S: [f64; 5] = [0.4, 0.8, 1.5, 2.5, 5.0];
+/// What servers do while routers shut down, and how often idle clients use up the descriptors as well.
+const SERVER_TROUBLES_AT_SHUTDOWN: [Kind; 5] =
     [Kind::ServersLong, Kind::ServersLong, Kind::ServersHangMidway, Kind::ServersSlow, Kind::ServersHang];
-const CROWDED: f64 = 0.35;
-/// How long routers are ended one after another, in s.
-const SERIES_S: f64 = 4.0;
+const IDLE_CLIENTS_PROBABILITY: f64 = 0.35;
+/// Duration of a series of shutdowns, in s.
+const SHUTDOWN_SERIES_S: f64 = 4.0;
 
-/// Routers that end one after another, and what goes on meanwhile.
+/// A series of shutdowns and the troubles that accompany it.
 fn shutdowns(rng: &mut fastrand::Rng) -> Vec<Trouble> {
-    let mut kinds = vec![Kind::RouterSeries, WHILE_ROUTERS_END[rng.usize(..WHILE_ROUTERS_END.len())]];
-    if rng.f64() < CROWDED {
+    let mut kinds =
+        vec![Kind::RouterSeries, SERVER_TROUBLES_AT_SHUTDOWN[rng.usize(..SERVER_TROUBLES_AT_SHUTDOWN.len())]];
+    if rng.f64() < IDLE_CLIENTS_PROBABILITY {
         kinds.push(Kind::ClientsIdle);
     }
-    let at_s = FIRST_S + rng.f64();
-    let trouble = |kind| Trouble { kind, at_s, for_s: SERIES_S, pick: rng.u64(1..1 << 32) };
+    let at_s = QUIET_START_S + rng.f64();
+    let trouble = |kind| Trouble { kind, at_s, for_s: SHUTDOWN_SERIES_S, pick: rng.u64(1..1 << 32) };
     kinds.into_iter().map(trouble).collect()
 }
 
 impl Plan {
-    /// The play of a seed.
+    /// Draws the plan of a seed from these kinds of trouble.
     pub fn draw(seed: u64, length_s: f64, routers: Option<usize>, kinds: &[Kind]) -> Plan {
         let mut rng = fastrand::Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ 0x51ab);
-        let routers = routers.unwrap_or_else(|| rng.usize(ROUTERS));
+        let routers = routers.unwrap_or_else(|| rng.usize(ROUTER_COUNT));
         let allowed = Allowed { probes: rng.bool(), cancel: rng.f64() < 0.8, second_copies: rng.bool() };
-        let longest_deadline_s = DEADLINES_S[rng.usize(..DEADLINES_S.len())];
-        let ends = kinds.contains(&Kind::RouterSeries);
-        let mut troubles = if ends { shutdowns(&mut rng) } else { Vec::new() };
-        let mut at_s = FIRST_S;
-        while !kinds.is_empty() && at_s + GROUPS_S + LAST_S <= length_s + 2.0 {
-            for _ in 0..rng.usize(TOGETHER) {
+        let longest_deadline_s = LONGEST_DEADLINES_S[rng.usize(..LONGEST_DEADLINES_S.len())];
+        let has_series = kinds.contains(&Kind::RouterSeries);
+        let mut troubles = if has_series { shutdowns(&mut rng) } else { Vec::new() };
+        let mut at_s = QUIET_START_S;
+        while !kinds.is_empty() && at_s + GROUP_INTERVAL_S + QUIET_END_S <= length_s + 2.0 {
+            for _ in 0..rng.usize(GROUP_SIZE) {
                 troubles.push(Trouble {
                     kind: kinds[rng.usize(..kinds.len())],
                     at_s: at_s + rng.f64(),
@@ -260,7 +263,7 @@
                     pick: rng.u64(1..1 << 32),
                 });
             }
-            at_s += GROUPS_S;
+            at_s += GROUP_INTERVAL_S;
         }
         Plan { seed, length_s, routers, allowed, longest_deadline_s, troubles }
     }
@@ -268,7 +271,7 @@
     /// Reads a script.
     ///
     /// # Errors
-    /// What is no plan, or one that can't be played.
+    /// The text is not a plan, or a value is out of range.
     pub fn parse(text: &str) -> Result<Plan> {
         let plan: Plan = serde_json::from_str(text)?;
         if !(plan.length_s.is_finite() && (1.0..=3600.0).contains(&plan.length_s)) {
@@ -281,24 +284,24 @@
             bail!("longest_deadline_s is {}, not between 0.1 and 60", plan.longest_deadline_s);
         }
         for trouble in &plan.troubles {
-            let timed = |time_s: f64| time_s.is_finite() && (0.0..=3600.0).contains(&time_s);
-            if !timed(trouble.at_s) || !timed(trouble.for_s) {
-                bail!("'{}' has a time that is none", trouble.kind.name());
+            let valid_time = |time_s: f64| time_s.is_finite() && (0.0..=3600.0).contains(&time_s);
+            if !valid_time(trouble.at_s) || !valid_time(trouble.for_s) {
+                bail!("'{}' has at_s or for_s outside 0 to 3600", trouble.kind.name());
             }
         }
         Ok(plan)
     }
 
-    /// How long after SIGTERM a router is killed: as early as the platform may.
+    /// How long after SIGTERM a router is killed: the earliest time that the platform allows.
     pub fn kill_after(&self) -> Duration {
         Duration::from_secs_f64(kill_after_s(self.longest_deadline_s))
     }
 
-    /// Pairs of kinds that were on at once.
+    /// Pairs of kinds that overlap.
     pub fn pairs(&self) -> Vec<(Kind, Kind)> {
         let mut pairs = Vec::new();
-        for (row, one) in self.troubles.iter().enumerate() {
-            for other in &self.troubles[row + 1..] {
+        for (index, one) in self.troubles.iter().enumerate() {
+            for other in &self.troubles[index + 1..] {
                 let apart = one.at_s + one.for_s < other.at_s || other.at_s + other.for_s < one.at_s;
                 if !apart {
                     pairs.push((one.kind.min(other.kind), one.kind.max(other.kind)));
@@ -309,5 +312,5 @@
     }
 }
 
-/// Router processes of a play at most.
+/// Maximum number of routers in a plan.
 pub const MAX_ROUTERS: usize = 40;
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/play.rs
@@ -1,4 +1,5 @@
-//! Carries out a plan: starts stand-ins and routers, lets clients and troubles loose, lets all heal, and keeps the record.
+//! Carries out a plan: starts the simulated parties and the routers, runs clients and troubles, waits for
+//! recovery, and returns the record.
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,32 +23,32 @@
 use crate::server::Server;
 use crate::troubles;
 
-/// Servers that may join.
-const JOINING: usize = 4;
-/// Clients for each router, and their mean pause between two requests, in ms.
-const CLIENTS: usize = 4;
-const PAUSE_MS: f64 = 120.0;
-/// A router may take so long to be ready.
-const READY: Duration = Duration::from_secs(30);
-/// Where routers listen, each on an address of its own.
-const PORT: u16 = 9000;
-/// How often this process looks whether it was held up, in ms, and what counts as that.
-const TICK_MS: u64 = 5;
-const LAG_MS: f64 = 10.0;
+/// Servers that may join during a play.
+const JOINING_SERVERS: usize = 4;
+/// Clients per router, and their mean pause between two requests, in ms.
+const CLIENTS_PER_ROUTER: usize = 4;
+const MEAN_PAUSE_MS: f64 = 120.0;
+/// How long a router may take to be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The port of all routers; each listens on a loopback address of its own.
+const ROUTER_PORT: u16 = 9000;
+/// How often this process measures its own scheduling lag, in ms, and the smallest lag that is recorded.
+const LAG_TICK_MS: u64 = 5;
+const MIN_LAG_MS: f64 = 10.0;
 
-/// Everything in a play.
+/// The parties and the state of a play in progress.
 pub struct RunningPlay {
-    /// What is seen.
+    /// The record.
     pub record: Record,
-    /// What is played.
+    /// The plan.
     pub plan: Plan,
-    /// What discovery knows.
+    /// The server list of discovery.
     pub catalog: Rc<Catalog>,
-    /// One agent a router.
+    /// One discovery agent for each router.
     pub agents: Vec<Rc<Agent>>,
-    /// Servers, those that have not joined yet last.
+    /// Servers; those that may join later come last.
     pub servers: Vec<Rc<Server>>,
-    /// Servers on the list so far.
+    /// Number of servers listed so far.
     pub listed: Cell<usize>,
     /// Routers.
     pub routers: Vec<Rc<Router>>,
@@ -56,15 +57,15 @@
     ending: Cell<bool>,
 }
 
-/// Plays that this process has begun: each has addresses of its own.
-static PLAYS: AtomicU8 = AtomicU8::new(0);
+/// Number of plays that this process has started; it keeps their addresses apart.
+static PLAYS_STARTED: AtomicU8 = AtomicU8::new(0);
 
-/// An address of the loopback range that this process and play have to themselves.
-fn own_address(play: u8, row: usize) -> SocketAddr {
+/// A loopback address that this process and play use alone.
+fn own_address(play: u8, index: usize) -> SocketAddr {
     let process = std::process::id();
     let second = 64 + (process % 128) as u8;
     let third = (process / 128 % 8) as u8 * 32 + play % 32;
-    SocketAddr::from((Ipv4Addr::new(127, second, third, row as u8 + 1), PORT))
+    SocketAddr::from((Ipv4Addr::new(127, second, third, index as u8 + 1), ROUTER_PORT))
 }
 
 fn zone_of(server: usize) -> usize {
@@ -77,16 +78,16 @@
 
 impl RunningPlay {
     async fn start(plan: &Plan, program: &Path, dir: &Path) -> Result<Rc<RunningPlay>> {
-        std::fs::create_dir_all(dir).with_context(|| format!("making {}", dir.display()))?;
+        std::fs::create_dir_all(dir).with_context(|| format!("creating {}", dir.display()))?;
         let record = Record::default();
         record.with(|observed| observed.processes = vec![Vec::new(); plan.routers]);
         let catalog = Catalog::new(record.clone());
         let mut servers = Vec::new();
-        for id in 0..INITIAL_SERVERS + JOINING {
+        for id in 0..INITIAL_SERVERS + JOINING_SERVERS {
             servers.push(Server::start(record.clone(), id, kind_of(id))?);
         }
-        let play = PLAYS.fetch_add(1, Ordering::Relaxed);
-        let addresses: Vec<_> = (0..plan.routers).map(|row| own_address(play, row)).collect();
+        let play = PLAYS_STARTED.fetch_add(1, Ordering::Relaxed);
+        let addresses: Vec<_> = (0..plan.routers).map(|index| own_address(play, index)).collect();
         let (mut agents, mut routers) = (Vec::new(), Vec::new());
         for (id, listen) in addresses.iter().enumerate() {
             agents.push(Agent::start(catalog.clone(), id).await?);
@@ -110,8 +111,9 @@
         Ok(running)
     }
 
-    /// The next server that is not on the list is on it from now on, just started or long there.
-    pub fn list_next(&self, fresh: bool) -> bool {
+    /// Adds the next unlisted server to the list, as just started or as running for long. Returns false if
+    /// all are listed.
+    pub fn list_next(&self, just_started: bool) -> bool {
         let id = self.listed.get();
         let Some(server) = self.servers.get(id) else { return false };
         self.listed.set(id + 1);
@@ -127,7 +129,7 @@
             start_wall_ms: 0.0,
         };
         self.catalog.change(id, entry);
-        if fresh {
+        if just_started {
             let at_ms = self.record.now_ms();
             self.record.with(|observed| observed.starts.push(crate::record::Start { server: id, at_ms }));
             self.list_as_restarted(id);
@@ -135,7 +137,7 @@
         true
     }
 
-    /// The list says of a server that it has just started and is ready.
+    /// Lists a server as ready and just started.
     pub fn list_as_restarted(&self, id: usize) {
         let Some(mut entry) = self.catalog.entry(id) else { return };
         (entry.health, entry.started_ms) = ("ready", Some(self.record.now_ms()));
@@ -143,7 +145,7 @@
         self.catalog.change(id, entry);
     }
 
-    /// The configuration of a router as things stand.
+    /// The configuration of a router with the current server list.
     pub fn configuration(&self, router: usize) -> Value {
         configuration(&RouterParameters {
             router,
@@ -158,25 +160,25 @@
         })
     }
 
-    /// Starts a router's process and lets clients come once it is ready.
+    /// Starts the process of a router and admits clients once it is ready.
     pub async fn start_router(&self, router: usize) {
-        let place = &self.routers[router];
-        let started = place.configure(&self.configuration(router)).and_then(|()| place.start());
+        let handle = &self.routers[router];
+        let started = handle.configure(&self.configuration(router)).and_then(|()| handle.start());
         if let Err(cause) = started {
             let note = format!("router {router}: {cause:#}");
             return self.record.with(|observed| observed.notes.push(note));
         }
-        if place.wait_until_ready(READY).await {
+        if handle.wait_until_ready(READY_TIMEOUT).await {
             self.clients.admitted.borrow_mut()[router] = true;
         }
     }
 
-    /// The front notices that a router goes.
+    /// Stops new clients from connecting to a router, as the front of the platform does when it shuts down.
     pub fn withdraw(&self, router: usize) {
         self.clients.admitted.borrow_mut()[router] = false;
     }
 
-    /// Waits until the record's clock shows so many s.
+    /// Sleeps until `at_s` seconds after the start of the play.
     pub async fn sleep_until_s(&self, at_s: f64) {
         tokio::time::sleep_until(self.record.at(at_s * 1e3)).await;
     }
@@ -184,18 +186,18 @@
 
 async fn watch_lag(running: Rc<RunningPlay>) {
     while !running.ending.get() {
-        let asked = Instant::now();
-        sleep(Duration::from_millis(TICK_MS)).await;
-        let late_ms = asked.elapsed().as_secs_f64() * 1e3 - TICK_MS as f64;
-        if late_ms > LAG_MS {
+        let before_sleep = Instant::now();
+        sleep(Duration::from_millis(LAG_TICK_MS)).await;
+        let late_ms = before_sleep.elapsed().as_secs_f64() * 1e3 - LAG_TICK_MS as f64;
+        if late_ms > MIN_LAG_MS {
             let now_ms = running.record.now_ms();
             running.record.with(|observed| observed.lags.push((now_ms, late_ms)));
         }
     }
 }
 
-/// Notes processes that end without having been told to, and starts them again as the platform would.
-async fn watch_ends(running: Rc<RunningPlay>) {
+/// Records processes that exit unexpectedly, and withdraws their routers from clients.
+async fn watch_exits(running: Rc<RunningPlay>) {
     while !running.ending.get() {
         for router in &running.routers {
             if router.record_exit() {
@@ -206,22 +208,22 @@
     }
 }
 
-/// What a play brought.
+/// The result of a play.
 pub struct Played {
-    /// What was played.
+    /// The plan.
     pub plan: Plan,
-    /// What was seen.
+    /// Everything that was observed.
     pub observed: Observations,
-    /// How often each fault of system calls was injected.
+    /// How often each system call fault was injected.
     pub injected: Vec<(paddleproxy_faults::Fault, u64)>,
-    /// Where the routers' logs are.
+    /// Directory of the logs of the routers.
     pub dir: PathBuf,
 }
 
-/// Plays a plan with `program` as the router; logs go to `dir`. Must run on a `LocalSet`.
+/// Plays a plan with `program` as the router and `dir` for its logs. Must run on a `LocalSet`.
 ///
 /// # Errors
-/// What could not be started.
+/// A simulated party or the control file of a router can't be created.
 pub async fn play(plan: &Plan, program: &Path, dir: &Path) -> Result<Played> {
     let running = RunningPlay::start(plan, program, dir).await?;
     let starting: Vec<_> = (0..plan.routers)
@@ -233,10 +235,10 @@
     for task in starting {
         task.await?;
     }
-    // Times of troubles count from here.
+    // The times of troubles count from here.
     let began_s = running.record.now_ms() / 1e3;
     tokio::task::spawn_local(watch_lag(running.clone()));
-    tokio::task::spawn_local(watch_ends(running.clone()));
+    tokio::task::spawn_local(watch_exits(running.clone()));
     for router in &running.routers {
         let resources = router.resources();
         running.record.with(|observed| {
@@ -244,11 +246,12 @@
         });
     }
     let mut clients = Vec::new();
-    for number in 0..CLIENTS * plan.routers {
-        clients.push(tokio::task::spawn_local(running.clients.clone().run(number, PAUSE_MS)));
+    for number in 0..CLIENTS_PER_ROUTER * plan.routers {
+        clients.push(tokio::task::spawn_local(running.clients.clone().run(number, MEAN_PAUSE_MS)));
     }
-    let befall = |trouble| tokio::task::spawn_local(troubles::befall(running.clone(), trouble, began_s));
-    let troubles: Vec<_> = plan.troubles.iter().cloned().map(befall).collect();
+    let spawn_trouble =
+        |trouble| tokio::task::spawn_local(troubles::run_trouble(running.clone(), trouble, began_s));
+    let troubles: Vec<_> = plan.troubles.iter().cloned().map(spawn_trouble).collect();
     running.sleep_until_s(began_s + plan.length_s).await;
     for task in troubles {
         task.await?;
@@ -257,15 +260,15 @@
     for task in clients {
         task.await?;
     }
-    // What rests closes meanwhile.
+    // Idle connections are closed in the meantime.
     sleep(Duration::from_secs_f64(IDLE_S + 1.0)).await;
-    after_healing(&running).await;
+    check_recovery(&running).await;
     let mut injected = Vec::new();
     for fault in paddleproxy_faults::Fault::ALL {
         let counts = running.routers.iter().filter_map(|router| router.control.injected(fault).ok());
         injected.push((fault, counts.sum()));
     }
-    let ends: Vec<_> = (0..plan.routers)
+    let shutdowns: Vec<_> = (0..plan.routers)
         .map(|router| {
             let running = running.clone();
             tokio::task::spawn_local(async move {
@@ -273,7 +276,7 @@
             })
         })
         .collect();
-    for task in ends {
+    for task in shutdowns {
         task.await?;
     }
     running.ending.set(true);
@@ -283,11 +286,11 @@
     Ok(Played { plan: plan.clone(), observed, injected, dir: dir.to_owned() })
 }
 
-/// Probes of each router once all has healed.
-const PROBES: usize = 3;
+/// Requests sent to each router after recovery.
+const PROBES_PER_ROUTER: usize = 3;
 
-/// Each router holds no more than before, and serves.
-async fn after_healing(running: &Rc<RunningPlay>) {
+/// Records the resources of each router after recovery, and checks that it serves requests.
+async fn check_recovery(running: &Rc<RunningPlay>) {
     for router in &running.routers {
         let resources = router.resources();
         let generation = running.record.generation(router.id);
@@ -298,9 +301,9 @@
         });
     }
     for router in 0..running.plan.routers {
-        for _ in 0..PROBES {
+        for _ in 0..PROBES_PER_ROUTER {
             if !running.clients.request_once(router).await {
-                let note = format!("router {router} does not serve after all has healed");
+                let note = format!("router {router} does not serve after recovery");
                 running.record.with(|observed| observed.notes.push(note));
                 break;
             }
--- a/crates/soak/src/process.rs
+++ b/crates/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Router processes: started with the fault-injecting library, signalled, waited for.
+//! Router processes: started with the fault-injecting library, signalled and awaited.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,30 +19,30 @@
 
 use crate::record::{Record, RouterId, RouterProcess};
 
-/// One router's place: its address and files stay, its processes come and go.
+/// One router: its address and files are fixed, its process may be ended and started again.
 pub struct Router {
     record: Record,
-    /// Its row.
+    /// Its index.
     pub id: RouterId,
     /// Where it listens.
     pub listen: SocketAddr,
     program: PathBuf,
     configuration: PathBuf,
     log: PathBuf,
-    /// What fails in its processes.
+    /// Controls which system calls fail in its processes.
     pub control: Control,
     child: RefCell<Option<Child>>,
-    /// The id of its process from its start until it is gone: one that is being ended is still to be let go on.
+    /// Id of its process from its start until its exit: a process that is being ended may still need SIGCONT.
     pid: Cell<Option<u32>>,
-    /// One trouble at a time ends this router's process and starts the next.
+    /// Set while a trouble ends the process and starts the next, so that only one trouble does at a time.
     pub being_restarted: Cell<bool>,
 }
 
 impl Router {
-    /// A place for a router whose files stand in a folder.
+    /// A router without a process, with its files in `dir`.
     ///
     /// # Errors
-    /// The control file can't be made.
+    /// The control file can't be created.
     pub fn new(
         record: Record,
         id: RouterId,
@@ -66,10 +66,10 @@
         }))
     }
 
-    /// Puts a configuration in place of the one that is there.
+    /// Replaces the configuration file atomically.
     ///
     /// # Errors
-    /// A file that can't be written.
+    /// The file can't be written.
     pub fn configure(&self, configuration: &Value) -> Result<()> {
         let new = self.configuration.with_extension("new");
         std::fs::write(&new, configuration.to_string())?;
@@ -80,7 +80,7 @@
     /// Starts a process.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The library is not built, or the process can't be started.
     pub fn start(&self) -> Result<()> {
         let library = library()
             .context("the fault-injecting library is not built: cargo build -p paddleproxy-interpose")?;
@@ -107,27 +107,27 @@
         self.record.with(|observed| observed.processes[self.id].get_mut(generation).map(change));
     }
 
-    /// Whether it says that it is ready, now.
+    /// Whether its health endpoint reports that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let asked = async {
+        let probe = async {
             let mut stream = TcpStream::connect(self.listen).await.ok()?;
             stream.write_all(b"GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await.ok()?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await.ok()?;
             Some(answer.starts_with("HTTP/1.1 200 "))
         };
-        matches!(timeout(Duration::from_millis(500), asked).await, Ok(Some(true)))
+        matches!(timeout(Duration::from_millis(500), probe).await, Ok(Some(true)))
     }
 
-    /// Waits until the process says that it is ready, at most so long; whether it did.
+    /// Waits until the process is ready, for at most `within`. Returns whether it is.
     pub async fn wait_until_ready(&self, within: Duration) -> bool {
         let generation = self.record.generation(self.id);
-        let asked = async {
+        let probe = async {
             while !self.is_ready().await {
                 sleep(Duration::from_millis(15)).await;
             }
         };
-        let ready = timeout(within, asked).await.is_ok();
+        let ready = timeout(within, probe).await.is_ok();
         if ready {
             let now_ms = self.record.now_ms();
             self.change_process(generation, |process| process.ready_ms = Some(now_ms));
@@ -135,7 +135,7 @@
         ready
     }
 
-    /// The id of its process.
+    /// Id of its process, if it has one.
     pub fn pid(&self) -> Option<u32> {
         self.pid.get()
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Tells it to end, and kills it after so long; waits until it is gone.
+    /// Sends SIGTERM, and SIGKILL after `kill_after`; waits for the exit.
     pub async fn terminate(&self, kill_after: Duration) {
         let generation = self.record.generation(self.id);
         let now_ms = self.record.now_ms();
@@ -160,10 +160,10 @@
             self.change_process(generation, |process| process.killed_ms = Some(now_ms));
             let _ = child.start_kill();
         }
-        self.gone(generation, &mut child).await;
+        self.record_end(generation, &mut child).await;
     }
 
-    /// Kills it outright.
+    /// Sends SIGKILL and waits for the exit.
     pub async fn kill(&self) {
         let generation = self.record.generation(self.id);
         let child = self.child.borrow_mut().take();
@@ -171,10 +171,10 @@
         let now_ms = self.record.now_ms();
         self.change_process(generation, |process| process.killed_ms = Some(now_ms));
         let _ = child.start_kill();
-        self.gone(generation, &mut child).await;
+        self.record_end(generation, &mut child).await;
     }
 
-    async fn gone(&self, generation: usize, child: &mut Child) {
+    async fn record_end(&self, generation: usize, child: &mut Child) {
         let Ok(status) = child.wait().await else { return };
         self.pid.set(None);
         let code = status.code().ok_or(status.signal().unwrap_or(0));
@@ -182,7 +182,7 @@
         self.change_process(generation, |process| process.ended = Some((now_ms, code)));
     }
 
-    /// Notes a process that has ended by itself; whether it has.
+    /// Records the exit of a process that has ended unexpectedly. Returns whether it has.
     pub fn record_exit(&self) -> bool {
         let ended = self.child.borrow_mut().as_mut().and_then(|child| child.try_wait().ok().flatten());
         let Some(status) = ended else { return false };
@@ -195,7 +195,7 @@
         true
     }
 
-    /// Descriptors and resident memory in MiB of its process.
+    /// Open descriptors and resident memory in MiB of its process.
     pub fn resources(&self) -> Option<(usize, f64)> {
         let process = self.pid()?.to_string();
         let descriptors = std::fs::read_dir(format!("/proc/{process}/fd")).ok()?.count();
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,4 +1,5 @@
-//! What the sockets carried, on one clock, and the signals that were sent: all that the judge knows.
+//! The record of a play: what the sockets carried, on one clock, and the signals and exits of processes. The
+//! oracle uses nothing else.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,37 +7,37 @@
 
 use tokio::time::Instant;
 
-/// Row of a router.
+/// Index of a router.
 pub type RouterId = usize;
-/// Row of a model server.
+/// Index of a model server.
 pub type ServerId = usize;
 
-/// What a class's work may do when it runs again.
+/// Whether the work of a class of requests may run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Runs again without harm.
+    /// May run any number of times.
     Repeatable,
-    /// Servers drop repeats by key within the window.
+    /// Servers drop repeats with the same key within the window of the class.
     ByKey,
-    /// Must run once at most.
+    /// Must run at most once.
     Once,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// A status and a whole answer.
+    /// A complete response.
     Whole {
         /// The HTTP status.
         status: u16,
     },
-    /// A stream that began and was cut before its last chunk.
+    /// A stream ended before its last chunk.
     Cut,
-    /// The connection ended with no answer.
+    /// The connection ended without a response.
     Closed,
-    /// The client closed first, by its own will.
+    /// The client closed the connection first, on purpose.
     Left,
-    /// The client waited far past its deadline and heard nothing.
+    /// No response, or no further event, came long after the deadline.
     Silent,
 }
 
@@ -45,70 +46,70 @@
 pub struct Request {
     /// The router that it was sent to.
     pub router: RouterId,
-    /// The start of that router's process, counted from 0.
+    /// Which process of that router, counted from 0.
     pub generation: usize,
-    /// What may happen when it runs again.
+    /// Whether it may run again.
     pub idempotency: Idempotency,
-    /// Whether an answer had come on its connection before.
+    /// Whether its connection had carried a response before.
     pub reused_connection: bool,
     /// When its first byte was written.
     pub started_ms: f64,
-    /// When its last byte was written; none while it was not.
+    /// When its last byte was written, if it was.
     pub sent_ms: Option<f64>,
-    /// The time in which the client wants the first byte of an answer, from `sent_ms`.
+    /// How long after `sent_ms` the client wants the first byte of a response.
     pub deadline_ms: f64,
-    /// When the first byte of the answer's body came, for a stream.
+    /// When the first bytes of the response body arrived, for a stream.
     pub response_started_ms: Option<f64>,
-    /// When each event came.
+    /// When each event arrived.
     pub events_ms: Vec<f64>,
-    /// How it ended, and when.
+    /// When and how it ended.
     pub ended: Option<(f64, Ending)>,
     /// The client sent the end of its request slowly or not at all, on purpose.
     pub half: bool,
 }
 
-/// What a model server did about an attempt.
+/// What a model server did with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Still open, or broken before anything was answered.
+    /// Still open, or ended by the router before a response was complete.
     Unknown,
-    /// Turned away in so many words: it never ran.
+    /// Explicitly declined: it never ran.
     Declined,
-    /// The prompt was read.
+    /// A prefill server processed the prompt.
     Read,
-    /// Answered to the last chunk.
+    /// The stream was written up to its last chunk.
     Finished,
     /// Answered 500: it may have run.
     Failed,
-    /// Broken by the server.
+    /// The server broke the connection or sent an invalid response.
     Broken,
 }
 
 /// One attempt as its server saw it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's id.
+    /// Id of the request.
     pub request: String,
-    /// Where it came.
+    /// The server that it was sent to.
     pub server: ServerId,
-    /// When its first byte came.
+    /// When its first byte arrived.
     pub first_byte_ms: f64,
-    /// When its last byte came.
+    /// When its last byte arrived.
     pub received_ms: f64,
-    /// The time that it told the server, in ms.
+    /// The deadline in its `Req-Deadline` header, in ms.
     pub deadline_header_ms: Option<f64>,
-    /// Whether it only reads.
+    /// Whether the server only does prefill.
     pub prefill_only: bool,
-    /// What became of it.
+    /// What the server did with it.
     pub outcome: AttemptOutcome,
     /// When the server wrote each event.
     pub events_ms: Vec<f64>,
-    /// When the exchange was over: answered, broken or closed by the router.
+    /// When it ended: answered, broken, or closed by the router.
     pub ended_ms: Option<f64>,
 }
 
 impl Attempt {
-    /// In a line: where it came and when, how it ended, and the events that were written.
+    /// A description in one line: server, times, outcome, and number of events written.
     pub fn text(&self) -> String {
         let ended_ms = self.ended_ms.unwrap_or(f64::INFINITY);
         let (server, outcome, events) = (self.server, self.outcome, self.events_ms.len());
@@ -119,58 +120,58 @@
     }
 }
 
-/// A state or a place that a server holds for a request.
+/// A prefill state that a server holds for a request.
 #[derive(Clone, Debug)]
 pub struct HeldState {
-    /// The request's id.
+    /// Id of the request.
     pub request: String,
-    /// Where it is held.
+    /// The server that holds it.
     pub server: ServerId,
-    /// From when its time runs.
+    /// Since when it is held.
     pub from_ms: f64,
-    /// When it was taken or let go; none while it is held.
+    /// When it was fetched or released; none while it is held.
     pub until_ms: Option<f64>,
 }
 
-/// What discovery told one router of one server.
+/// What discovery reports about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// Takes new work.
+    /// Accepts new work.
     Ready,
-    /// Drains or is gone.
+    /// Drains or has left.
     Leaving,
 }
 
-/// A change that a router was told.
+/// A change of a server that a router was notified of.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// Whom.
+    /// The router.
     pub router: RouterId,
-    /// The start of its process.
+    /// Which process of that router, counted from 0.
     pub generation: usize,
-    /// Of which server.
+    /// The server.
     pub server: ServerId,
-    /// When it was written or counts as told.
+    /// When the notification was written.
     pub at_ms: f64,
-    /// What.
+    /// What discovery reported.
     pub availability: Availability,
 }
 
-/// A change of a server's health, as discovery learnt it.
+/// A change of the health of a server, when it reached discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct HealthChange {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// When.
     pub at_ms: f64,
-    /// What it is from then on.
+    /// What discovery reports from then on.
     pub availability: Availability,
 }
 
-/// One start of a server's process.
+/// One start of a model server.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
     /// When.
     pub at_ms: f64,
@@ -181,57 +182,57 @@
 pub struct RouterProcess {
     /// When it was started.
     pub started_ms: f64,
-    /// When it first said that it is ready.
+    /// When its health endpoint first reported that it is ready.
     pub ready_ms: Option<f64>,
     /// When SIGTERM was sent.
     pub terminated_ms: Option<f64>,
     /// When SIGKILL was sent.
     pub killed_ms: Option<f64>,
-    /// When it was gone, and its exit code, or the signal that ended it.
+    /// When it had exited, and its exit code or the signal that ended it.
     pub ended: Option<(f64, Result<i32, i32>)>,
-    /// Descriptors and resident memory in MiB, when it began and when all had healed.
+    /// Open descriptors and resident memory in MiB before the troubles.
     pub before: Option<(usize, f64)>,
-    /// As above, at the end.
+    /// Open descriptors and resident memory in MiB after all troubles had ended.
     pub after: Option<(usize, f64)>,
 }
 
-/// A time in which a trouble of a kind was on.
+/// The period in which a trouble was active.
 #[derive(Clone, Debug)]
 pub struct Window {
     /// The trouble's name.
     pub trouble: String,
-    /// From when.
+    /// When it began.
     pub from_ms: f64,
-    /// Until when.
+    /// When it ended.
     pub to_ms: f64,
 }
 
-/// All that was seen.
+/// Everything that was observed in a play.
 #[derive(Debug, Default)]
 pub struct Observations {
     /// Requests by id.
     pub requests: BTreeMap<String, Request>,
-    /// Attempts in the order in which they came.
+    /// Attempts in the order of their arrival.
     pub attempts: Vec<Attempt>,
-    /// What was held.
+    /// States that servers held.
     pub held: Vec<HeldState>,
-    /// What routers were told.
+    /// Changes of servers that routers were notified of.
     pub notifications: Vec<Notification>,
     /// Changes of servers' health, in order.
     pub health: Vec<HealthChange>,
     /// Starts of servers.
     pub starts: Vec<Start>,
-    /// Lives of routers, by router.
+    /// Processes of each router, in the order of their starts.
     pub processes: Vec<Vec<RouterProcess>>,
-    /// Times in which this process itself was held up: when it was noticed, and for how long, in ms.
+    /// Scheduling lags of this process: when each was noticed and how long it was, in ms.
     pub lags: Vec<(f64, f64)>,
-    /// When troubles were on.
+    /// When troubles were active.
     pub windows: Vec<Window>,
-    /// What could not be done as planned.
+    /// Problems in carrying out the plan.
     pub notes: Vec<String>,
 }
 
-/// The record of one play, shared by all stand-ins.
+/// The record of one play, shared by all simulated parties.
 #[derive(Clone)]
 pub struct Record {
     origin: Instant,
@@ -245,22 +246,22 @@
 }
 
 impl Record {
-    /// Time since the play began.
+    /// Time since the start of the play, in ms.
     pub fn now_ms(&self) -> f64 {
         self.origin.elapsed().as_secs_f64() * 1e3
     }
 
-    /// The moment at which the clock shows `ms`.
+    /// The instant `ms` after the start of the play.
     pub fn at(&self, ms: f64) -> Instant {
         self.origin + std::time::Duration::from_secs_f64(ms.max(0.0) / 1e3)
     }
 
-    /// Changes what was seen.
+    /// Gives access to the observations.
     pub fn with<T>(&self, change: impl FnOnce(&mut Observations) -> T) -> T {
         change(&mut self.observed.borrow_mut())
     }
 
-    /// Notes an attempt; its row.
+    /// Adds an attempt and returns its index.
     pub fn add_attempt(&self, attempt: Attempt) -> usize {
         self.with(|observed| {
             observed.attempts.push(attempt);
@@ -268,7 +269,7 @@
         })
     }
 
-    /// Lets go of what is held for a request; whether anything was.
+    /// Ends the holding of states for a request. Returns whether any was held.
     pub fn release(&self, request: &str) -> bool {
         let now_ms = self.now_ms();
         self.with(|observed| {
@@ -278,7 +279,7 @@
         })
     }
 
-    /// The process that a router runs now.
+    /// Index of the newest process of a router.
     pub fn generation(&self, router: RouterId) -> usize {
         self.with(|observed| observed.processes[router].len().saturating_sub(1))
     }
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -1,4 +1,4 @@
-//! Brings troubles about and ends them.
+//! Starts and ends the troubles of a plan.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 /// Steps of the wall clock, in ms.
 const WALL_STEPS_MS: [i64; 4] = [-7_000, 7_000, -1_500, 1_500];
 const HOUR_MS: i64 = 3_600_000;
-/// How long a router is stopped, and how long it runs in between, in ms.
+/// How long a stall stops a router, and how long the router runs between two stalls, in ms.
 const STALL_MS: u64 = 130;
-const RUNS_MS: u64 = 220;
-/// A router stands still for so long at most, in s.
-const FROZEN_S: f64 = 2.5;
-/// Connections that idle clients open at one router.
-const IDLE_CONNECTIONS: usize = 400;
+const STALL_INTERVAL_MS: u64 = 220;
+/// Longest time for which a freeze stops a router, in s.
+const MAX_FREEZE_S: f64 = 2.5;
+/// Connections that idle clients open to one router.
+const IDLE_CONNECTIONS_PER_ROUTER: usize = 400;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-/// One trouble, from its beginning to its end.
-pub async fn befall(running: Rc<RunningPlay>, trouble: Trouble, began_s: f64) {
+/// Runs one trouble from its beginning to its end, and records the period.
+pub async fn run_trouble(running: Rc<RunningPlay>, trouble: Trouble, began_s: f64) {
     running.sleep_until_s(began_s + trouble.at_s).await;
     let from_ms = running.record.now_ms();
     let window = Window { trouble: trouble.kind.name().to_owned(), from_ms, to_ms: f64::INFINITY };
@@ -40,13 +40,14 @@
         observed.windows.len() - 1
     });
     let ends = Instant::now() + seconds(trouble.for_s);
-    bring_about(&running, &trouble, ends).await;
+    apply(&running, &trouble, ends).await;
     let now_ms = running.record.now_ms();
     running.record.with(|observed| observed.windows[row].to_ms = now_ms);
 }
 
-/// Some of so many, drawn by the trouble's own seed; as many as may be for seed 0.
-fn some(trouble: &Trouble, of: usize, most: usize) -> Vec<usize> {
+/// Draws at least one and at most `most` of the indices below `of` with the seed of the trouble; `most` of
+/// them for seed 0.
+fn pick(trouble: &Trouble, of: usize, most: usize) -> Vec<usize> {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
     let mut all: Vec<usize> = (0..of).collect();
     rng.shuffle(&mut all);
@@ -55,22 +56,24 @@
     all
 }
 
-async fn bring_about(running: &Rc<RunningPlay>, trouble: &Trouble, ends: Instant) {
+async fn apply(running: &Rc<RunningPlay>, trouble: &Trouble, ends: Instant) {
     let routers = running.plan.routers;
     let mut rng = fastrand::Rng::with_seed(!trouble.pick);
     match trouble.kind {
-        Kind::RouterRestart => restart(running, trouble, &some(trouble, routers, 2), Series::TERM).await,
-        Kind::RouterSeries => restart_in_turn(running, trouble, &some(trouble, routers, routers / 2)).await,
+        Kind::RouterRestart => restart(running, trouble, &pick(trouble, routers, 2), Series::TERM).await,
+        Kind::RouterSeries => restart_in_turn(running, trouble, &pick(trouble, routers, routers / 2)).await,
         Kind::RouterBatch => {
-            restart(running, trouble, &some(trouble, routers, routers / 2), Series::TERM).await
+            restart(running, trouble, &pick(trouble, routers, routers / 2), Series::TERM).await
         }
         Kind::ReloadThenStop => {
-            restart(running, trouble, &some(trouble, routers, 3), Series::RELOAD_FIRST).await
+            restart(running, trouble, &pick(trouble, routers, 3), Series::RELOAD_FIRST).await
+        }
+        Kind::RouterKill => kill(running, &pick(trouble, routers, 4)).await,
+        Kind::RouterReload => reload(running, &pick(trouble, routers, routers), ends).await,
+        Kind::RouterStall => stall(running, &pick(trouble, routers, 4), ends).await,
+        Kind::RouterFreeze => {
+            freeze(running, &pick(trouble, routers, 2), trouble.for_s.min(MAX_FREEZE_S)).await
         }
-        Kind::RouterKill => kill(running, &some(trouble, routers, 4)).await,
-        Kind::RouterReload => reload(running, &some(trouble, routers, routers), ends).await,
-        Kind::RouterStall => stall(running, &some(trouble, routers, 4), ends).await,
-        Kind::RouterFreeze => freeze(running, &some(trouble, routers, 2), trouble.for_s.min(FROZEN_S)).await,
         Kind::DiscoveryDown => {
             running.catalog.down.set(true);
             tokio::time::sleep_until(ends).await;
@@ -102,60 +105,63 @@
         Kind::ServersRestart => {
             restart_servers(running, &servers(running, trouble, 3), 0.2 + rng.f64()).await
         }
-        Kind::ClientsIdle => idle_clients(running, &some(trouble, routers, 2), ends).await,
-        Kind::System(fault) => system(running, fault, &some(trouble, routers, routers), ends).await,
-        kind => match condition(kind) {
-            Some(change) => moody(running, &servers(running, trouble, 4), ends, change).await,
-            None if behavior(running, kind, true) => {
+        Kind::ClientsIdle => idle_clients(running, &pick(trouble, routers, 2), ends).await,
+        Kind::System(fault) => {
+            fail_system_calls(running, fault, &pick(trouble, routers, routers), ends).await
+        }
+        kind => match condition_change(kind) {
+            Some(change) => change_servers(running, &servers(running, trouble, 4), ends, change).await,
+            None if change_clients(running, kind, true) => {
                 tokio::time::sleep_until(ends).await;
-                behavior(running, kind, false);
+                change_clients(running, kind, false);
             }
-            None => links(running, trouble, &mut rng, ends).await,
+            None => change_links(running, trouble, &mut rng, ends).await,
         },
     }
 }
 
 fn servers(running: &RunningPlay, trouble: &Trouble, most: usize) -> Vec<usize> {
-    some(trouble, running.listed.get(), most)
+    pick(trouble, running.listed.get(), most)
 }
 
-/// Those that no other trouble is restarting; they are this one's from now on.
-fn taken(running: &RunningPlay, routers: &[usize]) -> Vec<usize> {
+/// Returns the routers that no other trouble is restarting, and claims them for this one.
+fn claim_routers(running: &RunningPlay, routers: &[usize]) -> Vec<usize> {
     let free = |router: &&usize| !running.routers[**router].being_restarted.replace(true);
     routers.iter().filter(free).copied().collect()
 }
 
-/// Tells routers to end, all at once, and starts them again.
+/// Sends SIGTERM to routers, all at once, and starts them again.
 async fn restart(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize], series: Series) {
-    let each: Vec<_> = taken(running, routers)
+    let restarts: Vec<_> = claim_routers(running, routers)
         .into_iter()
         .map(|router| {
             tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, trouble.pick))
         })
         .collect();
-    for task in each {
+    for task in restarts {
         let _ = task.await;
     }
 }
 
-/// Tells routers to end one after another, before the first is there again, each with a series of signals of its own.
+/// Sends SIGTERM to routers one after another without waiting for restarts, each with a signal series of its
+/// own.
 async fn restart_in_turn(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize]) {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
-    let routers = taken(running, routers);
+    let routers = claim_routers(running, routers);
     let apart = seconds(trouble.for_s / routers.len().max(1) as f64);
-    let mut each = Vec::new();
+    let mut restarts = Vec::new();
     for router in routers {
         let (series, seed) = (Series::draw(&mut rng), rng.u64(..));
-        each.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
+        restarts.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
         sleep(apart).await;
     }
-    for task in each {
+    for task in restarts {
         let _ = task.await;
     }
 }
 
 async fn kill(running: &Rc<RunningPlay>, routers: &[usize]) {
-    let routers = taken(running, routers);
+    let routers = claim_routers(running, routers);
     for router in &routers {
         running.routers[*router].kill().await;
         running.withdraw(*router);
@@ -167,14 +173,14 @@
     }
 }
 
-/// New configurations in a row, at times two without a pause.
+/// Reloads the configuration repeatedly, twice in a row each time.
 async fn reload(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     while Instant::now() < ends {
-        for router in routers {
-            let place = &running.routers[*router];
+        for index in routers {
+            let router = &running.routers[*index];
             for _ in 0..2 {
-                let _ = place.configure(&running.configuration(*router));
-                place.signal(Signal::HUP);
+                let _ = router.configure(&running.configuration(*index));
+                router.signal(Signal::HUP);
             }
         }
         sleep(Duration::from_millis(300)).await;
@@ -186,7 +192,7 @@
         routers.iter().for_each(|router| running.routers[*router].signal(Signal::STOP));
         sleep(Duration::from_millis(STALL_MS)).await;
         routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
-        sleep(Duration::from_millis(RUNS_MS)).await;
+        sleep(Duration::from_millis(STALL_INTERVAL_MS)).await;
     }
 }
 
@@ -196,7 +202,7 @@
     routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
 }
 
-/// Servers drain, go and come back as new.
+/// Servers drain, leave and come back as newly started.
 async fn drain(running: &Rc<RunningPlay>, servers: &[usize], ends: Instant) {
     let set = |health: &'static str| {
         for server in servers {
@@ -230,7 +236,7 @@
     revive(running, servers).await;
 }
 
-/// Every machine reads the same clock; it stays where it was stepped to.
+/// Steps the wall clock of all machines; it keeps the offset when the trouble ends.
 fn step_wall(running: &RunningPlay, step_ms: i64) {
     let offset_ms = running.catalog.wall_offset_ms.get() as i64 + step_ms;
     running.catalog.wall_offset_ms.set(offset_ms as f64);
@@ -239,10 +245,10 @@
     }
 }
 
-type Change = fn(&mut ServerCondition, bool);
+type ConditionChange = fn(&mut ServerCondition, bool);
 
-/// How a trouble changes a server's mood.
-fn condition(kind: Kind) -> Option<Change> {
+/// How a trouble changes the condition of a server; none if it is not a trouble of servers.
+fn condition_change(kind: Kind) -> Option<ConditionChange> {
     Some(match kind {
         Kind::ServersHang => |condition, on| condition.hangs = on,
         Kind::ServersHangMidway => |condition, on| condition.hangs_midway = on,
@@ -261,7 +267,12 @@
     })
 }
 
-async fn moody(running: &Rc<RunningPlay>, servers: &[usize], ends: Instant, change: Change) {
+async fn change_servers(
+    running: &Rc<RunningPlay>,
+    servers: &[usize],
+    ends: Instant,
+    change: ConditionChange,
+) {
     let set = |on| {
         for server in servers {
             let mut condition = running.servers[*server].condition.get();
@@ -274,26 +285,26 @@
     set(false);
 }
 
-/// Sets how clients behave; whether the trouble is one of clients.
-fn behavior(running: &RunningPlay, kind: Kind, on: bool) -> bool {
+/// Changes the behavior of clients. Returns whether the trouble is one of clients.
+fn change_clients(running: &RunningPlay, kind: Kind, on: bool) -> bool {
     let mut behavior = running.clients.behavior.get();
-    let part = |share: f64| if on { share } else { 0.0 };
+    let share_if_on = |share: f64| if on { share } else { 0.0 };
     match kind {
-        Kind::ClientsLeave => behavior.leave_share = part(0.4),
-        Kind::ClientsHalf => behavior.half_share = part(0.2),
-        Kind::ClientsPieces => behavior.piece_share = part(0.5),
-        Kind::ClientsHurried => behavior.hurried_share = part(0.4),
+        Kind::ClientsLeave => behavior.leave_share = share_if_on(0.4),
+        Kind::ClientsHalf => behavior.half_share = share_if_on(0.2),
+        Kind::ClientsPieces => behavior.piece_share = share_if_on(0.5),
+        Kind::ClientsHurried => behavior.hurried_share = share_if_on(0.4),
         _ => return false,
     }
     running.clients.behavior.set(behavior);
     true
 }
 
-/// Connections that say nothing.
+/// Opens connections that send nothing.
 async fn idle_clients(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     let mut open = Vec::new();
     for router in routers {
-        for _ in 0..IDLE_CONNECTIONS {
+        for _ in 0..IDLE_CONNECTIONS_PER_ROUTER {
             if let Ok(stream) = TcpStream::connect(running.routers[*router].listen).await {
                 open.push(stream);
             }
@@ -302,7 +313,7 @@
     tokio::time::sleep_until(ends).await;
 }
 
-async fn links(running: &Rc<RunningPlay>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
+async fn change_links(running: &Rc<RunningPlay>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
     let change = |condition: &mut LinkCondition, on: bool, rng: &mut fastrand::Rng| match trouble.kind {
         Kind::LinkDelay => condition.delay_ms = if on { 20.0 + 120.0 * rng.f64() } else { 0.0 },
         Kind::LinkSilent => condition.silent = on,
@@ -324,8 +335,8 @@
     }
 }
 
-/// The part of calls that a fault hits.
-fn rate(fault: Fault) -> f64 {
+/// The share of calls that a fault affects.
+fn fault_rate(fault: Fault) -> f64 {
     match fault {
         Fault::ReadShort | Fault::WriteShort => 0.2,
         Fault::ReadBroken | Fault::WriteBroken => 0.004,
@@ -337,13 +348,13 @@
 }
 
 /// The longest stall before a write, in ms.
-const WRITE_STALL_MS: f64 = 140.0;
+const MAX_WRITE_STALL_MS: f64 = 140.0;
 
-async fn system(running: &Rc<RunningPlay>, fault: Fault, routers: &[usize], ends: Instant) {
+async fn fail_system_calls(running: &Rc<RunningPlay>, fault: Fault, routers: &[usize], ends: Instant) {
     for router in routers {
         let control = &running.routers[*router].control;
-        let _ = control.set_stall_ms(WRITE_STALL_MS);
-        let _ = control.set_rate(fault, rate(fault));
+        let _ = control.set_stall_ms(MAX_WRITE_STALL_MS);
+        let _ = control.set_rate(fault, fault_rate(fault));
     }
     tokio::time::sleep_until(ends).await;
     for router in routers {
