--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -187,7 +187,7 @@
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn calm(&self) -> Result<()> {
+    pub fn clear_rates(&self) -> Result<()> {
         Fault::ALL.into_iter().try_for_each(|fault| self.set_rate(fault, 0.0))
     }
 
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -344,7 +344,7 @@
     late: Ending,
     broken: Ending,
 ) -> Result<(), Ending> {
-    match tokio::time::timeout_at(until, incoming.more(stream)).await {
+    match tokio::time::timeout_at(until, incoming.read_more(stream)).await {
         Err(_) => Err(late),
         Ok(Ok(read)) if read > 0 => Ok(()),
         Ok(_) => Err(broken),
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -213,7 +213,7 @@
                 if let Some(head) = incoming.take_head() {
                     break head;
                 }
-                if incoming.more(&mut stream).await? == 0 {
+                if incoming.read_more(&mut stream).await? == 0 {
                     return Ok(());
                 }
             };
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// The connection broke.
-    pub async fn more(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<usize> {
+    pub async fn read_more(&mut self, stream: &mut (impl AsyncRead + Unpin)) -> Result<usize> {
         let mut part = [0; 8192];
         let read = stream.read(&mut part).await?;
         self.bytes.extend_from_slice(&part[..read]);
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -213,7 +213,7 @@
             let idle = Duration::from_secs_f64(self.condition.get().idle_ms / 1e3);
             let first = match incoming.is_empty() {
                 false => Ok(1),
-                true => match timeout(idle, incoming.more(&mut stream)).await {
+                true => match timeout(idle, incoming.read_more(&mut stream)).await {
                     Ok(read) => read,
                     Err(_) => return Ok(()),
                 },
@@ -226,12 +226,12 @@
                 if let Some(head) = incoming.take_head() {
                     break head;
                 }
-                if incoming.more(&mut stream).await? == 0 {
+                if incoming.read_more(&mut stream).await? == 0 {
                     return Ok(());
                 }
             };
             while incoming.take_body(head.length()).is_none() {
-                if incoming.more(&mut stream).await? == 0 {
+                if incoming.read_more(&mut stream).await? == 0 {
                     return Ok(());
                 }
             }
@@ -441,7 +441,7 @@
 
 /// Waits for a while; an error once the other side has closed.
 async fn closed_within(stream: &mut TcpStream, incoming: &mut ReadBuffer, ms: u64) -> Result<()> {
-    match timeout(Duration::from_millis(ms), incoming.more(stream)).await {
+    match timeout(Duration::from_millis(ms), incoming.read_more(stream)).await {
         Err(_) => Ok(()),
         Ok(Ok(read)) if read > 0 => Ok(()),
         Ok(Ok(_)) => Err(ErrorKind::UnexpectedEof.into()),
