--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients: one request at a time on a connection, and those who misbehave.
+//! Simulated clients: each sends one request at a time on its connection; some misbehave.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -14,65 +14,65 @@
 use crate::link::reset;
 use crate::record::{Ending, Record, Request, RouterId};
 
-/// How long a client stays past its deadline before it calls an answer never given, in ms.
-const PATIENCE_MS: f64 = 2500.0;
-/// How long a stream may be silent before its client gives it up, in ms.
-const SILENCE_MS: f64 = 7000.0;
+/// How long after its deadline a client stops waiting for a response, in ms.
+const RESPONSE_GRACE_MS: f64 = 2500.0;
+/// How long a stream may be silent before its client stops reading, in ms.
+const STREAM_SILENCE_MS: f64 = 7000.0;
 
-/// How clients behave, beside those who behave well.
+/// The shares of requests whose clients misbehave.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ClientBehavior {
-    /// Part of requests whose client closes before its answer.
+    /// Share of requests whose client closes before the response is complete.
     pub leave_share: f64,
-    /// Part of requests that stop in the middle, their client staying.
+    /// Share of requests that stop in the middle while their client keeps the connection open.
     pub half_share: f64,
-    /// Part of requests sent in pieces.
+    /// Share of requests sent in pieces.
     pub piece_share: f64,
-    /// Part of requests with very little time.
+    /// Share of requests with a very short deadline.
     pub hurried_share: f64,
 }
 
-/// What all clients share.
+/// State shared by all clients.
 pub struct Clients {
     record: Record,
-    /// Where routers listen.
+    /// Addresses of the routers.
     pub addresses: Vec<SocketAddr>,
-    /// Routers that take clients.
+    /// For each router, whether clients connect to it.
     pub admitted: RefCell<Vec<bool>>,
-    /// How they behave now.
+    /// How clients behave at present.
     pub behavior: Cell<ClientBehavior>,
-    /// No more requests are begun.
+    /// Set when clients are to begin no more requests.
     pub stopped: Cell<bool>,
-    /// Requests that are open.
+    /// Number of open requests.
     pub open: Cell<usize>,
     next: Cell<u64>,
     pub(crate) seed: u64,
     longest_deadline_s: f64,
 }
 
-/// A connection to a router, with how many answers came on it.
+/// A connection to a router.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
     incoming: ReadBuffer,
-    answers: usize,
+    responses: usize,
     router: RouterId,
     pub(crate) generation: usize,
 }
 
 impl Connection {
-    /// Whether the router has closed it: a client that sees that does not use it.
+    /// Whether the router has closed the connection; a client that notices this does not use it.
     pub(crate) fn closed(&self) -> bool {
         matches!(self.stream.try_read(&mut [0]), Ok(0))
     }
 }
 
-/// What a client is about to do.
-pub(crate) struct Intent {
+/// The request that a client is about to send, and how it will behave.
+pub(crate) struct PlannedRequest {
     class: RequestClass,
     leaves_after_ms: Option<f64>,
     half: bool,
     pieces: bool,
-    /// The second half of the request follows the first after this.
+    /// The second half of the request follows the first after this time.
     pub(crate) pause_ms: Option<f64>,
     deadline_ms: f64,
     tokens: u64,
@@ -80,7 +80,7 @@
 }
 
 impl Clients {
-    /// Clients of routers at these addresses, whose longest deadline is this.
+    /// Clients of the routers at these addresses. No client runs yet.
     pub fn new(
         record: Record,
         addresses: Vec<SocketAddr>,
@@ -101,35 +101,36 @@
         })
     }
 
-    /// One client, who asks again some time after each answer; it stays with its connection as long as that stays.
+    /// Runs a client, which pauses between requests and reuses its connection for as long as it is open.
     pub async fn run(self: Rc<Self>, number: usize, pause_ms: f64) {
         let mut rng =
             fastrand::Rng::with_seed(self.seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut connection: Option<Connection> = None;
         while !self.stopped.get() {
             sleep(Duration::from_secs_f64(pause_ms * (0.5 + rng.f64()) / 1e3)).await;
-            let usable =
+            let reusable =
                 |open: &Connection| open.generation == self.record.generation(open.router) && !open.closed();
-            let open = match connection.take().filter(usable) {
+            let open = match connection.take().filter(reusable) {
                 Some(open) => Some(open),
                 None => self.connect(&mut rng).await,
             };
             let Some(open) = open else { continue };
-            let intent = self.intent(&mut rng);
-            connection = self.ask(open, intent).await;
+            let planned_request = self.planned_request(&mut rng);
+            connection = self.send_request(open, planned_request).await;
         }
     }
 
-    /// One request to one router, with all the time that its class gives; whether it was served whole.
+    /// Sends one request with the full deadline of its class. Returns whether it got a complete response with
+    /// status 200.
     pub async fn request_once(&self, router: RouterId) -> bool {
         let Ok(stream) = TcpStream::connect(self.addresses[router]).await else { return false };
         let _ = stream.set_nodelay(true);
         let (incoming, generation) = (ReadBuffer::default(), self.record.generation(router));
-        let connection = Connection { stream, incoming, answers: 0, router, generation };
+        let connection = Connection { stream, incoming, responses: 0, router, generation };
         let class = CLASSES[0];
         let session = fastrand::Rng::with_seed(self.next.get()).u64(..);
         let deadline_ms = self.deadline_ms(&class);
-        let intent = Intent {
+        let planned_request = PlannedRequest {
             class,
             leaves_after_ms: None,
             half: false,
@@ -139,8 +140,8 @@
             tokens: 100,
             session,
         };
-        let id = self.id();
-        self.exchange(connection, intent, &id).await;
+        let id = self.next_id();
+        self.exchange(connection, planned_request, &id).await;
         let ended = self.record.with(|observed| observed.requests.get(&id).and_then(|request| request.ended));
         matches!(ended, Some((_, Ending::Whole { status: 200 })))
     }
@@ -159,45 +160,49 @@
         let generation = self.record.generation(router);
         let stream = timeout(Duration::from_secs(1), TcpStream::connect(address)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        Some(Connection { stream, incoming: ReadBuffer::default(), answers: 0, router, generation })
+        Some(Connection { stream, incoming: ReadBuffer::default(), responses: 0, router, generation })
     }
 
     fn deadline_ms(&self, class: &RequestClass) -> f64 {
         class.deadline_share * self.longest_deadline_s * 1e3
     }
 
-    pub(crate) fn intent(&self, rng: &mut fastrand::Rng) -> Intent {
+    pub(crate) fn planned_request(&self, rng: &mut fastrand::Rng) -> PlannedRequest {
         let behavior = self.behavior.get();
         let class = CLASSES[rng.usize(..CLASSES.len())];
-        let hurried = rng.f64() < behavior.hurried_share;
+        let short_deadline = rng.f64() < behavior.hurried_share;
         let leaves = rng.f64() < behavior.leave_share;
-        Intent {
+        PlannedRequest {
             class,
             leaves_after_ms: leaves.then(|| rng.f64() * 120.0),
             half: rng.f64() < behavior.half_share,
             pieces: rng.f64() < behavior.piece_share,
             pause_ms: None,
-            deadline_ms: if hurried { 20.0 + 200.0 * rng.f64() } else { self.deadline_ms(&class) },
+            deadline_ms: if short_deadline { 20.0 + 200.0 * rng.f64() } else { self.deadline_ms(&class) },
             tokens: if rng.bool() { 100 } else { 20_000 },
             session: rng.u64(..64),
         }
     }
 
-    /// The process that a router runs now.
+    /// Index of the newest process of a router.
     pub(crate) fn generation(&self, router: RouterId) -> usize {
         self.record.generation(router)
     }
 
-    fn id(&self) -> String {
+    fn next_id(&self) -> String {
         let next = self.next.get();
         self.next.set(next + 1);
         format!("{next:x}")
     }
 
-    pub(crate) async fn ask(&self, connection: Connection, intent: Intent) -> Option<Connection> {
-        let id = self.id();
+    pub(crate) async fn send_request(
+        &self,
+        connection: Connection,
+        planned_request: PlannedRequest,
+    ) -> Option<Connection> {
+        let id = self.next_id();
         self.open.set(self.open.get() + 1);
-        let rest = self.exchange(connection, intent, &id).await;
+        let rest = self.exchange(connection, planned_request, &id).await;
         self.open.set(self.open.get() - 1);
         rest
     }
@@ -211,9 +216,14 @@
         });
     }
 
-    /// Sends a request and reads its answer; the connection if it stays.
-    async fn exchange(&self, mut connection: Connection, intent: Intent, id: &str) -> Option<Connection> {
-        let Intent { class, deadline_ms, tokens, session, .. } = intent;
+    /// Sends a request and reads its response. Returns the connection if it can be reused.
+    async fn exchange(
+        &self,
+        mut connection: Connection,
+        planned_request: PlannedRequest,
+        id: &str,
+    ) -> Option<Connection> {
+        let PlannedRequest { class, deadline_ms, tokens, session, .. } = planned_request;
         let body = "{\"model\":\"chat\",\"stream\":true,\"messages\":[]}";
         let text = format!(
             "POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {}\r\n\
@@ -227,43 +237,43 @@
             router: connection.router,
             generation: connection.generation,
             idempotency: class.idempotency,
-            reused_connection: connection.answers > 0,
+            reused_connection: connection.responses > 0,
             started_ms: self.record.now_ms(),
             sent_ms: None,
             deadline_ms,
             response_started_ms: None,
             events_ms: Vec::new(),
             ended: None,
-            half: intent.half,
+            half: planned_request.half,
         };
         self.record.with(|observed| observed.requests.insert(id.to_owned(), request));
-        if self.send(&mut connection.stream, text.as_bytes(), &intent).await.is_err() {
+        if self.send(&mut connection.stream, text.as_bytes(), &planned_request).await.is_err() {
             self.end(id, Ending::Closed);
             return None;
         }
         let now_ms = self.record.now_ms();
-        if !intent.half {
+        if !planned_request.half {
             self.record
                 .with(|observed| observed.requests.get_mut(id).map(|request| request.sent_ms = Some(now_ms)));
         }
-        let answer = self.answer(&mut connection, id, deadline_ms);
-        let answered = match intent.leaves_after_ms {
-            None => answer.await,
-            Some(after_ms) => match timeout(Duration::from_secs_f64(after_ms / 1e3), answer).await {
-                Ok(answered) => answered,
+        let response = self.read_response(&mut connection, id, deadline_ms);
+        let result = match planned_request.leaves_after_ms {
+            None => response.await,
+            Some(after_ms) => match timeout(Duration::from_secs_f64(after_ms / 1e3), response).await {
+                Ok(result) => result,
                 Err(_) => {
                     self.end(id, Ending::Left);
-                    if intent.tokens > 100 {
+                    if planned_request.tokens > 100 {
                         reset(&connection.stream);
                     }
                     return None;
                 }
             },
         };
-        match answered {
-            Ok(stays) => {
-                connection.answers += 1;
-                stays.then_some(connection)
+        match result {
+            Ok(reusable) => {
+                connection.responses += 1;
+                reusable.then_some(connection)
             }
             Err(ending) => {
                 self.end(id, ending);
@@ -272,20 +282,25 @@
         }
     }
 
-    async fn send(&self, stream: &mut TcpStream, text: &[u8], intent: &Intent) -> std::io::Result<()> {
-        if intent.half {
+    async fn send(
+        &self,
+        stream: &mut TcpStream,
+        text: &[u8],
+        planned_request: &PlannedRequest,
+    ) -> std::io::Result<()> {
+        if planned_request.half {
             return stream.write_all(&text[..text.len() / 2]).await;
         }
-        if let Some(pause_ms) = intent.pause_ms {
+        if let Some(pause_ms) = planned_request.pause_ms {
             let (first, rest) = text.split_at(text.len() / 2);
             stream.write_all(first).await?;
-            // Who is answered meanwhile sends no more.
+            // A client that gets a response in the meantime does not send the rest.
             if timeout(Duration::from_secs_f64(pause_ms / 1e3), stream.readable()).await.is_ok() {
                 return Err(std::io::ErrorKind::ConnectionAborted.into());
             }
             return stream.write_all(rest).await;
         }
-        if intent.pieces {
+        if planned_request.pieces {
             for piece in text.chunks(40) {
                 stream.write_all(piece).await?;
                 sleep(Duration::from_millis(2)).await;
@@ -295,19 +310,24 @@
         stream.write_all(text).await
     }
 
-    /// Reads one answer; whether the connection stays.
-    async fn answer(&self, connection: &mut Connection, id: &str, deadline_ms: f64) -> Result<bool, Ending> {
-        let until = Instant::now() + Duration::from_secs_f64((deadline_ms + PATIENCE_MS) / 1e3);
+    /// Reads one response. Returns whether the connection can be reused.
+    async fn read_response(
+        &self,
+        connection: &mut Connection,
+        id: &str,
+        deadline_ms: f64,
+    ) -> Result<bool, Ending> {
+        let until = Instant::now() + Duration::from_secs_f64((deadline_ms + RESPONSE_GRACE_MS) / 1e3);
         let Connection { stream, incoming, .. } = connection;
         let head = loop {
             if let Some(head) = incoming.take_head() {
                 break head;
             }
-            more(stream, incoming, until, Ending::Silent, Ending::Closed).await?;
+            read_more(stream, incoming, until, Ending::Silent, Ending::Closed).await?;
         };
         if !head.chunked() {
             while incoming.take_body(head.length()).is_none() {
-                more(stream, incoming, until, Ending::Silent, Ending::Closed).await?;
+                read_more(stream, incoming, until, Ending::Silent, Ending::Closed).await?;
             }
             self.end(id, Ending::Whole { status: head.status() });
             return Ok(!head.closes());
@@ -328,8 +348,8 @@
                     });
                 }
                 Ok(None) => {
-                    let until = Instant::now() + Duration::from_secs_f64(SILENCE_MS / 1e3);
-                    more(stream, incoming, until, Ending::Silent, Ending::Cut).await?;
+                    let until = Instant::now() + Duration::from_secs_f64(STREAM_SILENCE_MS / 1e3);
+                    read_more(stream, incoming, until, Ending::Silent, Ending::Cut).await?;
                 }
                 Err(_) => return Err(Ending::Cut),
             }
@@ -337,16 +357,16 @@
     }
 }
 
-async fn more(
+async fn read_more(
     stream: &mut TcpStream,
     incoming: &mut ReadBuffer,
     until: Instant,
-    late: Ending,
-    broken: Ending,
+    on_timeout: Ending,
+    on_close: Ending,
 ) -> Result<(), Ending> {
     match tokio::time::timeout_at(until, incoming.read_more(stream)).await {
-        Err(_) => Err(late),
+        Err(_) => Err(on_timeout),
         Ok(Ok(read)) if read > 0 => Ok(()),
-        Ok(_) => Err(broken),
+        Ok(_) => Err(on_close),
     }
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The discovery stand-in: one agent a router, which answers at once with what it has been sent, and is silent while
-//! discovery is down.
+//! The simulated discovery service: each router has an agent, which answers with the changes that it has
+//! received and does not answer while discovery is down.
 
 use std::cell::{Cell, RefCell};
 use std::io::Result;
@@ -17,12 +17,12 @@
 use crate::link::{reset, Link};
 use crate::record::{Availability, HealthChange, Notification, Record, RouterId, ServerId};
 
-/// A server as discovery knows it.
+/// A server on the list of discovery.
 #[derive(Clone, Debug)]
 pub struct ServerEntry {
     /// Its name.
     pub name: String,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
     /// Its zone's name.
     pub zone: String,
@@ -32,9 +32,9 @@
     pub cell: u32,
     /// `ready`, `draining` or `gone`.
     pub health: &'static str,
-    /// Its last start on the record's clock, in ms; none for long ago.
+    /// Its last start on the clock of the record, in ms; none if it started long before the play.
     pub started_ms: Option<f64>,
-    /// What the wall clock showed at that start, in ms since 1970.
+    /// The wall clock at that start, in ms since 1970.
     pub start_wall_ms: f64,
 }
 
@@ -44,16 +44,16 @@
     entry: ServerEntry,
 }
 
-/// What discovery knows, shared by all agents.
+/// The server list and its history, shared by all agents.
 pub struct Catalog {
     record: Record,
     changes: RefCell<Vec<Change>>,
     version: watch::Sender<u64>,
-    /// No agent answers or learns anything.
+    /// While set, agents neither answer nor receive changes.
     pub down: Cell<bool>,
-    /// How long agents take to answer, in ms.
+    /// Delay of the answers of agents, in ms.
     pub slow_ms: Cell<f64>,
-    /// How far the wall clock is off from that of this machine, in ms.
+    /// Offset of the simulated wall clock from that of this machine, in ms.
     pub wall_offset_ms: Cell<f64>,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Catalog {
-    /// Knows nobody yet.
+    /// An empty list.
     pub fn new(record: Record) -> Rc<Catalog> {
         Rc::new(Catalog {
             record,
@@ -76,18 +76,18 @@
         })
     }
 
-    /// What the wall clock of all machines shows, in ms since 1970.
+    /// The simulated wall clock of all machines, in ms since 1970.
     pub fn wall_ms(&self) -> f64 {
         wall_ms() + self.wall_offset_ms.get()
     }
 
-    /// The newest of a server.
+    /// The newest entry of a server.
     pub fn entry(&self, server: ServerId) -> Option<ServerEntry> {
         let changes = self.changes.borrow();
         changes.iter().rev().find(|change| change.server == server).map(|change| change.entry.clone())
     }
 
-    /// A server is new, or has changed.
+    /// Adds a server or changes its entry.
     pub fn change(&self, server: ServerId, entry: ServerEntry) {
         let version = *self.version.borrow() + 1;
         let availability = availability(&entry);
@@ -97,7 +97,8 @@
         self.version.send_replace(version);
     }
 
-    /// The list after a version, and the version that it is; the whole list where none is named.
+    /// The changes after a version, up to `until`; without `from`, the whole list. Also returns what it
+    /// reports about each server.
     fn list(&self, from: Option<u64>, until: u64) -> (Value, Vec<(ServerId, Availability)>) {
         let changes = self.changes.borrow();
         let newer =
@@ -109,12 +110,12 @@
         if from.is_none() {
             rows.retain(|_, entry| entry.health != "gone");
         }
-        let hosts: Vec<_> = rows.values().map(|entry| host(entry)).collect();
+        let hosts: Vec<_> = rows.values().map(|entry| host_json(entry)).collect();
         let availability = rows.iter().map(|(server, entry)| (*server, availability(entry))).collect();
         (json!({ "seq": until, "whole": from.is_none(), "hosts": hosts }), availability)
     }
 
-    /// The whole list as it is now.
+    /// The whole current list.
     pub fn whole(&self) -> Value {
         self.list(None, *self.version.borrow()).0
     }
@@ -127,24 +128,24 @@
     }
 }
 
-fn host(entry: &ServerEntry) -> Value {
+fn host_json(entry: &ServerEntry) -> Value {
     json!({ "host": entry.name, "dial": entry.address.to_string(), "site": entry.zone, "class": entry.kind,
             "block": entry.cell, "health": entry.health, "share": 1.0,
             "born_ms": entry.started_ms.map_or(0.0, |_| entry.start_wall_ms.round()) })
 }
 
-/// The agent on one router's machine.
+/// The discovery agent on the machine of a router.
 pub struct Agent {
     catalog: Rc<Catalog>,
     router: RouterId,
-    /// Where the router asks.
+    /// The address at which the router reaches it.
     pub address: SocketAddr,
-    /// Faults of its link to the router.
+    /// Condition of its link to the router.
     pub link: Link,
-    /// What it has been sent: it learns nothing while discovery is down.
-    has: Cell<u64>,
+    /// Newest version that it has received; it receives none while discovery is down.
+    received_version: Cell<u64>,
     connections: RefCell<JoinSet<()>>,
-    listening: RefCell<Option<JoinHandle<()>>>,
+    accept_task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl Agent {
@@ -156,17 +157,17 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let version = *catalog.version.borrow();
         let agent = Rc::new(Agent {
-            has: Cell::new(version),
+            received_version: Cell::new(version),
             catalog,
             router,
             address: listener.local_addr()?,
             link: Link::default(),
             connections: RefCell::default(),
-            listening: RefCell::default(),
+            accept_task: RefCell::default(),
         });
-        let (learning, accepting) = (agent.clone(), agent.clone());
-        tokio::task::spawn_local(async move { learning.learn().await });
-        let listening = tokio::task::spawn_local(async move {
+        let (receiving, accepting) = (agent.clone(), agent.clone());
+        tokio::task::spawn_local(async move { receiving.receive_changes().await });
+        let accept_task = tokio::task::spawn_local(async move {
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let shared = accepting.clone();
@@ -177,35 +178,36 @@
                 });
             }
         });
-        *agent.listening.borrow_mut() = Some(listening);
+        *agent.accept_task.borrow_mut() = Some(accept_task);
         Ok(agent)
     }
 
-    /// Nobody listens here any more.
+    /// Stops listening and closes all connections.
     pub fn close(&self) {
-        self.listening.borrow().iter().for_each(JoinHandle::abort);
+        self.accept_task.borrow().iter().for_each(JoinHandle::abort);
         self.connections.borrow_mut().abort_all();
     }
 
-    /// Takes in what discovery sends, while it is up; what it has counts as told to the router, whether it asks or not.
-    async fn learn(&self) {
+    /// Receives new versions of the list while discovery is up. The oracle counts a change as known to the
+    /// router some time after discovery had it, whether or not the router calls.
+    async fn receive_changes(&self) {
         loop {
             let newest = *self.catalog.version.borrow();
-            if !self.catalog.down.get() && newest > self.has.get() {
-                self.has.set(newest);
+            if !self.catalog.down.get() && newest > self.received_version.get() {
+                self.received_version.set(newest);
             }
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    /// Breaks every open connection with a reset.
+    /// Resets every open connection.
     pub fn reset_watches(&self) {
         self.connections.borrow_mut().abort_all();
     }
 
     async fn serve(&self, mut stream: TcpStream) -> Result<()> {
         let _ = stream.set_nodelay(true);
-        // An aborted connection breaks rather than ends.
+        // Dropping the stream of an aborted task resets the connection.
         reset(&stream);
         let mut incoming = ReadBuffer::default();
         loop {
@@ -224,26 +226,26 @@
             };
             let from = number("from");
             let until = Instant::now() + Duration::from_millis(number("hold_ms").unwrap_or(0));
-            // A call that has met silence never gets an answer; the next one may.
-            let mut broken = false;
-            let nothing_new = |agent: &Agent| from.is_some_and(|from| agent.has.get() <= from);
-            while broken || self.catalog.down.get() || nothing_new(self) && Instant::now() < until {
-                broken |= self.link.condition().silent;
+            // A call that was open while the link was silent is never answered; the next one may be.
+            let mut never_answered = false;
+            let no_changes = |agent: &Agent| from.is_some_and(|from| agent.received_version.get() <= from);
+            while never_answered || self.catalog.down.get() || no_changes(self) && Instant::now() < until {
+                never_answered |= self.link.condition().silent;
                 let mut end = [0; 1];
-                // A router that gave the call up is gone; nothing is owed to it.
+                // The router has closed the connection and waits for no answer.
                 if let Ok(Ok(0) | Err(_)) = timeout(Duration::from_millis(4), stream.peek(&mut end)).await {
                     return Ok(());
                 }
             }
             sleep(Duration::from_secs_f64(self.catalog.slow_ms.get() / 1e3)).await;
-            let (list, availability) = self.catalog.list(from, self.has.get());
+            let (list, availability) = self.catalog.list(from, self.received_version.get());
             let answer = response("200 OK", "Content-Type: application/json\r\n", &list.to_string());
             self.link.write(&mut stream, answer.as_bytes()).await?;
-            self.availability(&availability);
+            self.record_notifications(&availability);
         }
     }
 
-    fn availability(&self, availability: &[(ServerId, Availability)]) {
+    fn record_notifications(&self, availability: &[(ServerId, Availability)]) {
         let record = &self.catalog.record;
         let (at_ms, generation) = (record.now_ms(), record.generation(self.router));
         record.with(|observed| {
--- a/crates/soak/src/late.rs
+++ b/crates/soak/src/late.rs
@@ -33,9 +33,9 @@
             sleep(Duration::from_secs_f64(first_ms / 1e3)).await;
         }
         while generation == self.generation(router) && !open.closed() {
-            let mut intent = self.intent(&mut rng);
-            intent.pause_ms = pause_ms.take();
-            let Some(kept) = self.ask(open, intent).await else { return };
+            let mut planned_request = self.planned_request(&mut rng);
+            planned_request.pause_ms = pause_ms.take();
+            let Some(kept) = self.send_request(open, planned_request).await else { return };
             open = kept;
             sleep(Duration::from_secs_f64(PAUSE_MS * rng.f64() / 1e3)).await;
         }
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,5 +1,5 @@
-//! The model server stand-in: reads prompts, fetches states, writes streams, holds what it has read until it is taken or let
-//! go, and misbehaves as its mood says.
+//! The simulated model server: does prefill, fetches states, writes streams, holds the state of a prefill
+//! until it is fetched or released, and misbehaves as its condition says.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, Result};
@@ -17,45 +17,45 @@
 use crate::link::{reset, Link};
 use crate::record::{Attempt, AttemptOutcome, HeldState, Record, ServerId, Start};
 
-/// How many requests a server has in hand before it turns more away.
-const MOST_IN_HAND: usize = 64;
-/// Time to read a prompt or to fetch a state, and between two events of a stream, in ms.
-const READ_MS: u64 = 25;
+/// Number of requests in progress above which a server declines more.
+const MAX_IN_PROGRESS: usize = 64;
+/// Time for a prefill, for fetching a state, and between two events of a stream, in ms.
+const PREFILL_MS: u64 = 25;
 const FETCH_MS: u64 = 8;
-const EVENT_MS: u64 = 12;
-/// Between two events of a stream that goes on, in ms.
-const LONG_EVENT_MS: u64 = 60;
-/// Connections that wait to be accepted at most.
-const BACKLOG: i32 = 1024;
-/// How often a server looks whether it has gone deaf, or hears again, in ms.
-const DEAF_LOOK_MS: u64 = 10;
-/// Events of a stream before its last ones.
-const EVENTS: usize = 5;
+const EVENT_INTERVAL_MS: u64 = 12;
+/// Time between two events of a stream that is kept going, in ms.
+const CONTINUED_EVENT_INTERVAL_MS: u64 = 60;
+/// Backlog of the listener.
+const LISTEN_BACKLOG: i32 = 1024;
+/// How often a server checks whether it is to stop or to resume accepting, in ms.
+const ACCEPT_CHECK_MS: u64 = 10;
+/// Events of a stream before the final ones.
+const EVENTS_PER_STREAM: usize = 5;
 
-/// What the server does about the requests that come.
+/// How a server treats connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerCondition {
-    /// Takes requests and never answers.
+    /// Accepts requests and does not answer while this lasts.
     pub hangs: bool,
-    /// Stops within its streams and says nothing more.
+    /// Stops writing in the middle of its streams while this lasts.
     pub hangs_midway: bool,
-    /// Goes on with its streams.
+    /// Continues its streams while this lasts.
     pub streams_on: bool,
-    /// Turns everything away.
+    /// Declines every request.
     pub declines: bool,
     /// Answers 500.
     pub fails: bool,
-    /// Breaks the connection once a request has come.
+    /// Resets the connection once a request has arrived.
     pub breaks: bool,
-    /// Breaks the connection within its streams.
+    /// Resets the connection in the middle of its streams.
     pub breaks_midway: bool,
-    /// Says what is no answer.
+    /// Sends an invalid HTTP response.
     pub sends_garbage: bool,
-    /// Closes connections that rest for so long, in ms.
+    /// Closes connections that are idle for so long, in ms.
     pub idle_ms: f64,
-    /// Takes no connections: they come up when this ends.
+    /// Accepts no connections; waiting ones are established when this ends.
     pub not_accepting: bool,
-    /// Takes so many times its usual time.
+    /// Factor on the usual processing times.
     pub slowdown: f64,
 }
 
@@ -77,28 +77,29 @@
     }
 }
 
-/// Who is asked for a state: all servers know what any holds, as a fast network between them would.
+/// One simulated server. Any server can fetch the states that another one holds, as over a fast network
+/// between them.
 pub struct Server {
     record: Record,
-    /// Its row.
+    /// Its index.
     pub id: ServerId,
     /// `prefill`, `decode` or `combined`.
     pub kind: &'static str,
-    /// Where it is reached, before and after a restart.
+    /// Its address, which a restart does not change.
     pub address: SocketAddr,
     /// Faults of its link.
     pub link: Link,
-    /// What it does about requests.
+    /// How it treats connections and requests.
     pub condition: Cell<ServerCondition>,
-    in_hand: Cell<usize>,
+    in_progress: Cell<usize>,
     connections: RefCell<JoinSet<()>>,
-    listening: RefCell<Option<JoinHandle<()>>>,
+    accept_task: RefCell<Option<JoinHandle<()>>>,
 }
 
-/// Counts one in hand.
-struct InHand<'a>(&'a Cell<usize>);
+/// Counts a request as in progress until dropped.
+struct InProgressGuard<'a>(&'a Cell<usize>);
 
-impl Drop for InHand<'_> {
+impl Drop for InProgressGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -108,16 +109,16 @@
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG as u32)
+    socket.listen(LISTEN_BACKLOG as u32)
 }
 
-const FIRST: &str =
+const EVENT_DATA: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"oqvh\"},\"finish_reason\":null}]}\n\n";
-const LAST: &str =
+const FINAL_DATA: &str =
     "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"x\"},\"finish_reason\":\"stop\"}]}\n\n\
      data: {\"choices\":[],\"usage\":{\"prompt_tokens\":9,\"completion_tokens\":2,\"prompt_tokens_details\":\
      {\"cached_tokens\":0}}}\n\ndata: [DONE]\n\n";
-const STREAM: &str =
+const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 impl Server {
@@ -134,9 +135,9 @@
             address: listener.local_addr()?,
             link: Link::default(),
             condition: Cell::default(),
-            in_hand: Cell::new(0),
+            in_progress: Cell::new(0),
             connections: RefCell::default(),
-            listening: RefCell::default(),
+            accept_task: RefCell::default(),
         });
         server.listen(listener);
         Ok(server)
@@ -144,12 +145,12 @@
 
     fn listen(self: &Rc<Self>, listener: TcpListener) {
         let shared = self.clone();
-        let listening = tokio::task::spawn_local(async move {
+        let accept_task = tokio::task::spawn_local(async move {
             loop {
                 if shared.condition.get().not_accepting {
-                    shared.be_deaf(&listener).await;
+                    shared.stall_connections(&listener).await;
                 }
-                let accepted = timeout(Duration::from_millis(DEAF_LOOK_MS), listener.accept()).await;
+                let accepted = timeout(Duration::from_millis(ACCEPT_CHECK_MS), listener.accept()).await;
                 let Ok(Ok((stream, _))) = accepted else { continue };
                 let server = shared.clone();
                 let mut connections = shared.connections.borrow_mut();
@@ -159,26 +160,26 @@
                 });
             }
         });
-        *self.listening.borrow_mut() = Some(listening);
+        *self.accept_task.borrow_mut() = Some(accept_task);
     }
 
-    /// Lets no connection come up while the mood lasts: a listener whose queue is full leaves those who knock without an
-    /// answer, and they knock again.
-    async fn be_deaf(&self, listener: &TcpListener) {
+    /// Establishes no connection while the condition lasts: with the accept queue full, the kernel drops SYN
+    /// packets, which clients send again.
+    async fn stall_connections(&self, listener: &TcpListener) {
         let _ = SockRef::from(listener).listen(0);
-        let filler = timeout(Duration::from_millis(DEAF_LOOK_MS), TcpStream::connect(self.address)).await;
+        let filler = timeout(Duration::from_millis(ACCEPT_CHECK_MS), TcpStream::connect(self.address)).await;
         while self.condition.get().not_accepting {
-            sleep(Duration::from_millis(DEAF_LOOK_MS)).await;
+            sleep(Duration::from_millis(ACCEPT_CHECK_MS)).await;
         }
         drop(filler);
-        let _ = SockRef::from(listener).listen(BACKLOG);
+        let _ = SockRef::from(listener).listen(LISTEN_BACKLOG);
     }
 
-    /// Dies: connections are reset, new ones refused, and what it held is gone.
+    /// Crashes: connections are closed, new ones refused, and held states are lost.
     pub fn crash(&self) {
-        self.listening.borrow_mut().take().iter().for_each(JoinHandle::abort);
+        self.accept_task.borrow_mut().take().iter().for_each(JoinHandle::abort);
         self.connections.borrow_mut().abort_all();
-        self.in_hand.set(0);
+        self.in_progress.set(0);
         let now_ms = self.record.now_ms();
         self.record.with(|observed| {
             let held =
@@ -189,7 +190,7 @@
         });
     }
 
-    /// Starts again under its old address.
+    /// Starts again at the same address.
     ///
     /// # Errors
     /// It can't listen there.
@@ -235,16 +236,17 @@
                     return Ok(());
                 }
             }
-            self.arrives(&stream).await?;
+            self.ensure_delivered(&stream).await?;
             self.answer(&mut stream, &mut incoming, &head, first_byte_ms).await?;
         }
     }
 
-    /// What was sent into a silent link never arrives: the connection is reset once the link is back.
+    /// Resets the connection if its link is silent, once the link works again: what was sent meanwhile is
+    /// lost.
     ///
     /// # Errors
-    /// It did not arrive.
-    async fn arrives(&self, stream: &TcpStream) -> Result<()> {
+    /// The request was lost.
+    async fn ensure_delivered(&self, stream: &TcpStream) -> Result<()> {
         if !self.link.condition().silent {
             return Ok(());
         }
@@ -266,39 +268,39 @@
         match (method, target.split('?').next().unwrap_or("")) {
             ("POST", "/v1/chat/completions") => {
                 let id = head.field("req-id").unwrap_or("").to_owned();
-                let told_ms = head.field("req-deadline").and_then(|told| told.parse::<f64>().ok());
-                let row = self.record.add_attempt(Attempt {
+                let deadline_s = head.field("req-deadline").and_then(|value| value.parse::<f64>().ok());
+                let index = self.record.add_attempt(Attempt {
                     request: id.clone(),
                     server: self.id,
                     first_byte_ms,
                     received_ms: self.record.now_ms(),
-                    deadline_header_ms: told_ms.map(|told| told * 1e3),
+                    deadline_header_ms: deadline_s.map(|value| value * 1e3),
                     prefill_only: self.kind == "prefill",
                     outcome: AttemptOutcome::Unknown,
                     events_ms: Vec::new(),
                     ended_ms: None,
                 });
-                self.in_hand.set(self.in_hand.get() + 1);
-                let in_hand = InHand(&self.in_hand);
-                let mut other = TcpPeer { stream, incoming };
-                let done = self.attempt(&mut other, &id, row).await;
-                drop(in_hand);
+                self.in_progress.set(self.in_progress.get() + 1);
+                let in_progress = InProgressGuard(&self.in_progress);
+                let mut peer = RouterConnection { stream, incoming };
+                let done = self.process_attempt(&mut peer, &id, index).await;
+                drop(in_progress);
                 let now_ms = self.record.now_ms();
                 self.record.with(|observed| {
-                    observed.attempts[row].ended_ms.get_or_insert(now_ms);
+                    observed.attempts[index].ended_ms.get_or_insert(now_ms);
                 });
                 done
             }
             ("DELETE", _) => {
                 self.link.cross(stream).await?;
-                // It counts as it arrives, answered or not.
+                // A release takes effect when it arrives, even if the response is lost.
                 self.record.release(target.rsplit('/').next().unwrap_or(""));
-                self.hang_if_so(stream, incoming).await?;
+                self.wait_while_hanging(stream, incoming).await?;
                 self.link.write(stream, response("204 No Content", "", "").as_bytes()).await
             }
             ("POST", _) => self.link.write(stream, response("204 No Content", "", "").as_bytes()).await,
             ("GET", "/ping" | "/_load") => {
-                self.hang_if_so(stream, incoming).await?;
+                self.wait_while_hanging(stream, incoming).await?;
                 let status = if self.condition.get().declines { "503 Busy" } else { "200 OK" };
                 self.link.write(stream, response(status, "", &self.load()).as_bytes()).await
             }
@@ -307,140 +309,140 @@
     }
 
     fn load(&self) -> String {
-        let in_hand = self.in_hand.get() as f64;
-        format!("TEXT util={:.2}, queue=0, x0=0.1", (in_hand / MOST_IN_HAND as f64).min(1.0))
+        let in_progress = self.in_progress.get() as f64;
+        format!("TEXT util={:.2}, queue=0, x0=0.1", (in_progress / MAX_IN_PROGRESS as f64).min(1.0))
     }
 
-    /// A hanging server answers nothing until it ends to hang, or the other side closes.
-    async fn hang_if_so(&self, stream: &mut TcpStream, incoming: &mut ReadBuffer) -> Result<()> {
+    /// Waits while the server hangs; fails if the other side closes the connection.
+    async fn wait_while_hanging(&self, stream: &mut TcpStream, incoming: &mut ReadBuffer) -> Result<()> {
         while self.condition.get().hangs {
-            closed_within(stream, incoming, 20).await?;
+            wait_unless_closed(stream, incoming, 20).await?;
         }
         Ok(())
     }
 
-    fn set_fate(&self, row: usize, outcome: AttemptOutcome) {
-        self.record.with(|observed| observed.attempts[row].outcome = outcome);
+    fn set_outcome(&self, index: usize, outcome: AttemptOutcome) {
+        self.record.with(|observed| observed.attempts[index].outcome = outcome);
     }
 
-    async fn attempt(&self, peer: &mut TcpPeer<'_>, id: &str, row: usize) -> Result<()> {
+    async fn process_attempt(&self, peer: &mut RouterConnection<'_>, id: &str, index: usize) -> Result<()> {
         self.link.cross(peer.stream).await?;
-        self.hang_if_so(peer.stream, peer.incoming).await?;
+        self.wait_while_hanging(peer.stream, peer.incoming).await?;
         let condition = self.condition.get();
         if condition.breaks {
-            self.set_fate(row, AttemptOutcome::Broken);
+            self.set_outcome(index, AttemptOutcome::Broken);
             reset(peer.stream);
             return Err(ErrorKind::ConnectionReset.into());
         }
         if condition.fails {
-            self.set_fate(row, AttemptOutcome::Failed);
-            return self.say(peer, response("500 Wrong", "", "")).await;
+            self.set_outcome(index, AttemptOutcome::Failed);
+            return self.send(peer, response("500 Wrong", "", "")).await;
         }
-        if condition.declines || self.in_hand.get() > MOST_IN_HAND {
-            self.set_fate(row, AttemptOutcome::Declined);
-            return self.say(peer, response("503 Busy", "Srv-Declined: 1\r\n", "")).await;
+        if condition.declines || self.in_progress.get() > MAX_IN_PROGRESS {
+            self.set_outcome(index, AttemptOutcome::Declined);
+            return self.send(peer, response("503 Busy", "Srv-Declined: 1\r\n", "")).await;
         }
         if condition.sends_garbage {
-            self.say(peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".into()).await?;
-            self.set_fate(row, AttemptOutcome::Broken);
+            self.send(peer, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n".into()).await?;
+            self.set_outcome(index, AttemptOutcome::Broken);
             return Err(ErrorKind::InvalidData.into());
         }
         match self.kind {
-            "prefill" => self.read(peer, id, row).await,
+            "prefill" => self.prefill(peer, id, index).await,
             "decode" => {
-                if !self.take(id) {
-                    self.set_fate(row, AttemptOutcome::Declined);
-                    return self.say(peer, response("410 Gone", "Srv-Declined: 1\r\n", "")).await;
+                if !self.fetch_state(id) {
+                    self.set_outcome(index, AttemptOutcome::Declined);
+                    return self.send(peer, response("410 Gone", "Srv-Declined: 1\r\n", "")).await;
                 }
-                self.pause(peer, FETCH_MS).await?;
-                self.stream(peer, row).await
+                self.work(peer, FETCH_MS).await?;
+                self.stream(peer, index).await
             }
             _ => {
-                let ms = if self.take(id) { FETCH_MS } else { READ_MS };
-                self.pause(peer, ms).await?;
-                self.stream(peer, row).await
+                let ms = if self.fetch_state(id) { FETCH_MS } else { PREFILL_MS };
+                self.work(peer, ms).await?;
+                self.stream(peer, index).await
             }
         }
     }
 
-    /// Takes a state that is held for a request, wherever it is.
-    fn take(&self, id: &str) -> bool {
+    /// Fetches the state of a request from whichever server holds it. Returns whether there was one.
+    fn fetch_state(&self, id: &str) -> bool {
         self.record.release(id)
     }
 
-    async fn read(&self, peer: &mut TcpPeer<'_>, id: &str, row: usize) -> Result<()> {
-        let ended = self.pause(peer, READ_MS).await;
-        // A read may have finished well just as its connection closed: what it left is held all the same.
+    async fn prefill(&self, peer: &mut RouterConnection<'_>, id: &str, index: usize) -> Result<()> {
+        let ended = self.work(peer, PREFILL_MS).await;
+        // The prefill may have finished just as its connection closed: its state is held all the same.
         let (server, from_ms) = (self.id, self.record.now_ms());
         self.record.with(|observed| {
             observed.held.push(HeldState { request: id.to_owned(), server, from_ms, until_ms: None });
-            observed.attempts[row].outcome = AttemptOutcome::Read;
+            observed.attempts[index].outcome = AttemptOutcome::Read;
         });
         ended?;
         let load = format!("Srv-Load: {}\r\n", self.load());
-        self.say(peer, response("202 Accepted", &load, "{\"cached_tokens\":0}")).await
+        self.send(peer, response("202 Accepted", &load, "{\"cached_tokens\":0}")).await
     }
 
-    async fn stream(&self, peer: &mut TcpPeer<'_>, row: usize) -> Result<()> {
+    async fn stream(&self, peer: &mut RouterConnection<'_>, index: usize) -> Result<()> {
         let condition = self.condition.get();
         let load = self.load();
-        let head = format!("{}Srv-Load: {load}\r\n\r\n", &STREAM[..STREAM.len() - 2]);
-        self.say(peer, head).await?;
-        for event in 0..EVENTS {
-            self.event(peer, row, FIRST.to_owned()).await?;
-            self.pause(peer, EVENT_MS).await?;
-            if event == EVENTS / 2 && condition.hangs_midway {
+        let head = format!("{}Srv-Load: {load}\r\n\r\n", &STREAM_HEAD[..STREAM_HEAD.len() - 2]);
+        self.send(peer, head).await?;
+        for event in 0..EVENTS_PER_STREAM {
+            self.event(peer, index, EVENT_DATA.to_owned()).await?;
+            self.work(peer, EVENT_INTERVAL_MS).await?;
+            if event == EVENTS_PER_STREAM / 2 && condition.hangs_midway {
                 while self.condition.get().hangs_midway {
-                    closed_within(peer.stream, peer.incoming, 20).await?;
+                    wait_unless_closed(peer.stream, peer.incoming, 20).await?;
                 }
             }
-            if event == EVENTS / 2 && condition.breaks_midway {
-                self.set_fate(row, AttemptOutcome::Broken);
+            if event == EVENTS_PER_STREAM / 2 && condition.breaks_midway {
+                self.set_outcome(index, AttemptOutcome::Broken);
                 reset(peer.stream);
                 return Err(ErrorKind::ConnectionReset.into());
             }
         }
         while self.condition.get().streams_on {
-            self.event(peer, row, FIRST.to_owned()).await?;
-            self.pause(peer, LONG_EVENT_MS).await?;
+            self.event(peer, index, EVENT_DATA.to_owned()).await?;
+            self.work(peer, CONTINUED_EVENT_INTERVAL_MS).await?;
         }
-        self.event(peer, row, LAST.to_owned()).await?;
-        self.say(peer, "0\r\n\r\n".into()).await?;
-        self.set_fate(row, AttemptOutcome::Finished);
+        self.event(peer, index, FINAL_DATA.to_owned()).await?;
+        self.send(peer, "0\r\n\r\n".into()).await?;
+        self.set_outcome(index, AttemptOutcome::Finished);
         Ok(())
     }
 
-    async fn event(&self, peer: &mut TcpPeer<'_>, row: usize, data: String) -> Result<()> {
-        self.say(peer, chunk(&data)).await?;
+    async fn event(&self, peer: &mut RouterConnection<'_>, index: usize, data: String) -> Result<()> {
+        self.send(peer, chunk(&data)).await?;
         let now_ms = self.record.now_ms();
-        self.record.with(|observed| observed.attempts[row].events_ms.push(now_ms));
+        self.record.with(|observed| observed.attempts[index].events_ms.push(now_ms));
         Ok(())
     }
 
-    async fn say(&self, peer: &mut TcpPeer<'_>, text: String) -> Result<()> {
+    async fn send(&self, peer: &mut RouterConnection<'_>, text: String) -> Result<()> {
         self.link.write(peer.stream, text.as_bytes()).await
     }
 
-    /// Works for a while; ends at once if the other side closes.
-    async fn pause(&self, peer: &mut TcpPeer<'_>, ms: u64) -> Result<()> {
-        let worked =
+    /// Simulates work of `ms`, scaled by the slowdown; fails at once if the other side closes the connection.
+    async fn work(&self, peer: &mut RouterConnection<'_>, ms: u64) -> Result<()> {
+        let done_at =
             Instant::now() + Duration::from_secs_f64(ms as f64 * self.condition.get().slowdown / 1e3);
-        while Instant::now() < worked {
-            let left = worked.saturating_duration_since(Instant::now()).as_millis() as u64;
-            closed_within(peer.stream, peer.incoming, left.max(1)).await?;
+        while Instant::now() < done_at {
+            let left = done_at.saturating_duration_since(Instant::now()).as_millis() as u64;
+            wait_unless_closed(peer.stream, peer.incoming, left.max(1)).await?;
         }
         Ok(())
     }
 }
 
-/// The router's side of a connection.
-struct TcpPeer<'a> {
+/// A connection from a router.
+struct RouterConnection<'a> {
     stream: &'a mut TcpStream,
     incoming: &'a mut ReadBuffer,
 }
 
-/// Waits for a while; an error once the other side has closed.
-async fn closed_within(stream: &mut TcpStream, incoming: &mut ReadBuffer, ms: u64) -> Result<()> {
+/// Waits for `ms`; fails once the other side has closed the connection.
+async fn wait_unless_closed(stream: &mut TcpStream, incoming: &mut ReadBuffer, ms: u64) -> Result<()> {
     match timeout(Duration::from_millis(ms), incoming.read_more(stream)).await {
         Err(_) => Ok(()),
         Ok(Ok(read)) if read > 0 => Ok(()),
