--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration of a router on the platform, and the classes of requests that it names.
+//! The configuration of the routers in a play, and the classes of requests that it defines.
 
 use std::net::SocketAddr;
 
@@ -11,106 +11,107 @@
 pub struct RequestClass {
     /// Its name on the wire.
     pub name: &'static str,
-    /// What may happen when it runs again.
+    /// Whether its work may run again.
     pub idempotency: Idempotency,
-    /// How long its clients wait for the first byte, as a part of the longest deadline of the play.
+    /// Deadline for the first byte of a response, as a share of the longest deadline of the play.
     pub deadline_share: f64,
-    /// In which its servers drop repeats by key, in s.
+    /// Window within which servers drop repeats with the same key, in s.
     pub window_s: f64,
 }
 
-/// One of each kind.
+/// One class for each kind of idempotency.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass { name: "chat", idempotency: Idempotency::Repeatable, deadline_share: 1.0, window_s: 0.0 },
     RequestClass { name: "notice", idempotency: Idempotency::ByKey, deadline_share: 0.8, window_s: 0.5 },
     RequestClass { name: "ledger", idempotency: Idempotency::Once, deadline_share: 1.0, window_s: 0.0 },
 ];
 
-/// The longest deadline of plays that name none, in s.
+/// The longest deadline of plays whose script does not set one, in s.
 pub const LONGEST_DEADLINE_S: f64 = 2.5;
-/// The latency target of all classes: this, in s, and no more than a part of the deadline.
+/// The latency target of a class, in s; it is lower if this exceeds [`TARGET_SHARE`] of the deadline.
 const TARGET_S: f64 = 0.5;
 const TARGET_SHARE: f64 = 0.4;
 
-/// What comes later than this after SIGTERM, in s, has to be answered before SIGKILL, which comes no earlier than this and the
-/// longest deadline, counted as the second at most.
+/// Requests that arrive later than this after SIGTERM, in s, are refused: they must be answered before
+/// SIGKILL. It comes no earlier than this time plus the longest deadline, of which [`MAX_COUNTED_DEADLINE_S`]
+/// count at most.
 pub const REFUSED_AFTER_S: f64 = 0.7;
-const KILL_LONGEST_S: f64 = 3.0;
+const MAX_COUNTED_DEADLINE_S: f64 = 3.0;
 
-/// When the platform kills a router at the earliest, in s after SIGTERM.
+/// The earliest time at which the platform kills a router, in s after SIGTERM.
 pub fn kill_after_s(longest_deadline_s: f64) -> f64 {
-    REFUSED_AFTER_S + longest_deadline_s.min(KILL_LONGEST_S)
+    REFUSED_AFTER_S + longest_deadline_s.min(MAX_COUNTED_DEADLINE_S)
 }
 
-/// The limit on what is held, in ms.
+/// How long a server may hold a state without an attempt, in ms.
 pub const HELD_LIMIT_MS: f64 = 500.0;
-/// The grace of drains, in ms: the shortest that a deployment has.
+/// Grace period of drains, in ms; the shortest of any deployment.
 pub const DRAIN_GRACE_MS: f64 = 250.0;
-/// In which a server that just started can be pushed over, in ms; how warm it begins; when it is warm, in ms; how many
-/// times what it can do then topples it.
+/// A server in slow start is overloaded by [`OVERLOAD_MULTIPLE`] times its current capacity within this time,
+/// in ms.
 pub const OVERLOAD_WINDOW_MS: f64 = 2000.0;
-/// See [`FALL_MS`].
+/// Capacity of a server that has just started, as a share of its full capacity.
 pub const SLOW_START_SHARE: f64 = 0.3;
-/// See [`FALL_MS`].
+/// Time after which a server has its full capacity, in ms.
 pub const SLOW_START_MS: f64 = 12_000.0;
-/// See [`FALL_MS`].
+/// See [`OVERLOAD_WINDOW_MS`].
 pub const OVERLOAD_MULTIPLE: f64 = 2.5;
-/// Servers close what rests for so long, in s.
+/// Servers close connections that are idle for so long, in s.
 pub const IDLE_S: f64 = 4.0;
 
 /// Zones by name.
 pub const ZONES: [&str; 2] = ["a", "b"];
-/// Kinds of the servers of each zone at the beginning.
+/// Kinds of the initial servers of each zone.
 pub const SERVER_KINDS: [&str; 5] = ["prefill", "decode", "combined", "combined", "combined"];
-/// Servers at the beginning; those that join later follow.
+/// Number of initial servers; those that join later have higher indices.
 pub const INITIAL_SERVERS: usize = SERVER_KINDS.len() * ZONES.len();
 
-/// The kind of a server by its row.
+/// The kind of a server by its index.
 pub fn kind_of(server: usize) -> &'static str {
-    let row = server % SERVER_KINDS.len();
+    let index = server % SERVER_KINDS.len();
     if server < INITIAL_SERVERS {
-        SERVER_KINDS[row]
+        SERVER_KINDS[index]
     } else {
         "combined"
     }
 }
 
-/// What the settings of a play allow.
+/// What the settings of the routers allow in a play.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Allowed {
-    /// Probes.
+    /// Probes of servers.
     pub probes: bool,
-    /// Calling an attempt off.
+    /// Cancelling an attempt.
     pub cancel: bool,
-    /// A second copy beside one that is out.
+    /// A second attempt while another is in flight.
     pub second_copies: bool,
 }
 
-/// What a configuration differs in.
+/// The values in which the configurations of routers differ.
 #[derive(Clone, Debug)]
 pub struct RouterParameters<'a> {
-    /// The router's row.
+    /// Index of the router.
     pub router: usize,
-    /// Routers in all.
+    /// Number of routers.
     pub routers: usize,
     /// Where it listens.
     pub listen: SocketAddr,
-    /// Its discovery.
+    /// Address of its discovery agent.
     pub discovery: SocketAddr,
     /// Zones by name.
     pub zones: &'a [&'a str],
-    /// The list that it begins with.
+    /// The server list that it starts with.
     pub known: Value,
     /// What the settings allow.
     pub allowed: Allowed,
-    /// The seed of its chance.
+    /// Seed of its random numbers.
     pub seed: u64,
     /// The longest deadline of its classes, in s.
     pub longest_deadline_s: f64,
 }
 
-/// The whole object.
-pub fn configuration(wanted: &RouterParameters) -> Value {
+/// The configuration of a router as JSON.
+pub fn configuration(parameters: &RouterParameters) -> Value {
     let services: Vec<_> = CLASSES
         .iter()
         .map(|class| {
@@ -119,26 +120,28 @@
                 Idempotency::ByKey => "by_key",
                 Idempotency::Once => "once",
             };
-            let deadline_s = class.deadline_share * wanted.longest_deadline_s;
+            let deadline_s = class.deadline_share * parameters.longest_deadline_s;
             let target_s = TARGET_S.min(TARGET_SHARE * deadline_s);
-            json!({ "name": class.name, "slo_s": target_s, "deadline_s": deadline_s, "idempotency": idempotency,
-                    "dedup_scope": "all", "window_s": class.window_s, "importance": 1.0, "stream": true })
+            json!({ "name": class.name, "slo_s": target_s, "deadline_s": deadline_s,
+                    "idempotency": idempotency, "dedup_scope": "all", "window_s": class.window_s,
+                    "importance": 1.0, "stream": true })
         })
         .collect();
     json!({
-        "name": format!("n{}", wanted.router), "listen": wanted.listen.to_string(),
-        "discovery": wanted.discovery.to_string(), "seed": format!("{:x}", wanted.seed),
+        "name": format!("n{}", parameters.router), "listen": parameters.listen.to_string(),
+        "discovery": parameters.discovery.to_string(), "seed": format!("{:x}", parameters.seed),
         "limits": { "cores": 1.0, "memory_mb": 128, "sockets": 512 },
-        "known": wanted.known,
+        "known": parameters.known,
         "settings": {
-            "balancers": wanted.routers, "slot_no": wanted.router,
-            "my_zone": wanted.zones[wanted.router % wanted.zones.len()], "localities": wanted.zones,
+            "balancers": parameters.routers, "slot_no": parameters.router,
+            "my_zone": parameters.zones[parameters.router % parameters.zones.len()],
+            "localities": parameters.zones,
             "machine_types": ["prefill", "decode", "combined"], "services": services,
             "tenants": [{ "name": "acme", "quota_per_s": 10000.0, "portion": 1.0 }],
             "discovery": "subscribe",
-            "caps": { "cancel": wanted.allowed.cancel, "second_copies": wanted.allowed.second_copies,
+            "caps": { "cancel": parameters.allowed.cancel, "second_copies": parameters.allowed.second_copies,
                       "retry_after": true, "max_retry_after_s": 0.5, "max_attempts": 4, "conn_idle_s": IDLE_S,
-                      "connect_timeout_s": 0.25, "probes": wanted.allowed.probes },
+                      "connect_timeout_s": 0.25, "probes": parameters.allowed.probes },
             "report": { "how": "answers", "names": ["util", "queue", "x0"] },
             "family_info": { "aim_us_per_1000_prompt_tokens": [0.0, 0.0, 0.0], "holds_allowed": true,
                              "kv_tokens": [400000.0, 400000.0, 400000.0], "pin_limit_s": HELD_LIMIT_MS / 1e3,
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,10 +1,10 @@
-//! As much of HTTP/1.1 as stand-ins need.
+//! The part of HTTP/1.1 that the simulated clients, servers and discovery agents need.
 
 use std::io::{ErrorKind, Result};
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// The head of a message and what it says of its body.
+/// The head of an HTTP message.
 #[derive(Clone, Debug, Default)]
 pub struct Head {
     /// The first line.
@@ -13,28 +13,28 @@
 }
 
 impl Head {
-    /// A field's value, by its lower-case name.
+    /// The value of a header field, by its lower-case name.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
 
-    /// The status of an answer.
+    /// The status of a response.
     pub fn status(&self) -> u16 {
         self.line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
     /// Method and target of a request.
     pub fn method_and_target(&self) -> (&str, &str) {
-        let mut words = self.line.split(' ');
-        (words.next().unwrap_or(""), words.next().unwrap_or(""))
+        let mut parts = self.line.split(' ');
+        (parts.next().unwrap_or(""), parts.next().unwrap_or(""))
     }
 
-    /// Length of the body, where it is told.
+    /// Content length of the body; 0 if there is no such field.
     pub fn length(&self) -> usize {
         self.field("content-length").and_then(|length| length.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the body comes in chunks.
+    /// Whether the body has chunked transfer encoding.
     pub fn chunked(&self) -> bool {
         self.field("transfer-encoding") == Some("chunked")
     }
@@ -45,19 +45,19 @@
     }
 }
 
-/// Bytes read and not yet used.
+/// Bytes that were read and not yet consumed.
 #[derive(Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
 }
 
 impl ReadBuffer {
-    /// Whether nothing is left unused.
+    /// Whether no bytes are left.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Reads more; 0 at the end of the connection.
+    /// Reads more bytes and returns how many; 0 at the end of the connection.
     ///
     /// # Errors
     /// The connection broke.
@@ -68,11 +68,11 @@
         Ok(read)
     }
 
-    fn line(&self, from: usize) -> Option<usize> {
+    fn find_line_end(&self, from: usize) -> Option<usize> {
         self.bytes[from..].windows(2).position(|end| end == b"\r\n").map(|at| from + at)
     }
 
-    /// Takes a head off the front, if it is whole.
+    /// Consumes a head, if it is complete.
     pub fn take_head(&mut self) -> Option<Head> {
         let end = self.bytes.windows(4).position(|part| part == b"\r\n\r\n")?;
         let text = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
@@ -86,17 +86,17 @@
         Some(Head { line, fields: lines.filter_map(field).collect() })
     }
 
-    /// Takes a body of a known length, if it is whole.
+    /// Consumes a body of a known length, if it is complete.
     pub fn take_body(&mut self, length: usize) -> Option<Vec<u8>> {
         (self.bytes.len() >= length).then(|| self.bytes.drain(..length).collect())
     }
 
-    /// Takes one chunk, if it is whole; an empty one is the last.
+    /// Consumes one chunk, if it is complete; the last one is empty.
     ///
     /// # Errors
-    /// What is no chunk.
+    /// The size of the chunk is invalid.
     pub fn take_chunk(&mut self) -> Result<Option<Vec<u8>>> {
-        let Some(end) = self.line(0) else { return Ok(None) };
+        let Some(end) = self.find_line_end(0) else { return Ok(None) };
         let size = std::str::from_utf8(&self.bytes[..end]).ok();
         let size = size.and_then(|size| usize::from_str_radix(size.trim(), 16).ok());
         let size = size.ok_or(ErrorKind::InvalidData)?;
@@ -109,12 +109,12 @@
     }
 }
 
-/// One chunk on the wire.
+/// Encodes one chunk.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// An answer whose body has a known length.
+/// A response with a body of known length.
 pub fn response(status: &str, fields: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{fields}Content-Length: {}\r\n\r\n{body}", body.len())
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! Random overlapping faults on real router processes of the platform, judged by what the sockets carried.
+//! Random overlapping faults on real router processes of the platform, checked by what the sockets carried.
 //!
-//! Discovery, model servers and clients are stand-ins in this process, on one thread and one clock; each behaves by the
-//! platform's protocol until a fault says otherwise. Routers are processes of their own with the fault-injecting
-//! library loaded. A plan (`plan`) is drawn from a seed and carried out (`play`); the record of the sockets (`record`) is judged by
-//! `oracle`, which never asks a router.
+//! Discovery, model servers and clients are simulated in this process, on one thread and one clock; they
+//! follow the protocol of the platform except as a fault requires. Routers are processes of their own with
+//! the fault-injecting library loaded. A play is one run: its plan (`plan`) is drawn from a seed or read from
+//! a script, and carried out (`play`); `oracle` checks the record of the sockets (`record`) against the
+//! rules, and takes no information from routers. The faults of a plan are called troubles.
 
 #![deny(missing_docs)]
 
@@ -11,7 +12,7 @@
 pub mod configuration;
 pub mod discovery;
 pub mod http;
-mod late;
+mod late_clients;
 pub mod link;
 pub mod oracle;
 pub mod plan;
--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! Faults of a link: what stands between a stand-in and the bytes that its peer sees.
+//! Simulated faults of a link between a simulated party and its peer.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Result};
@@ -10,40 +10,40 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How often a silent link looks whether it has healed, in ms.
-const LOOK_MS: u64 = 10;
+/// How often a silent link checks whether it works again, in ms.
+const SILENCE_CHECK_MS: u64 = 10;
 
-/// How a link treats what crosses it.
+/// How a link treats the data that crosses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkCondition {
-    /// Held back before it is passed on, in ms.
+    /// Delay of the data, in ms.
     pub delay_ms: f64,
-    /// Nothing passes, and nothing is said of it.
+    /// Nothing passes, and no error occurs.
     pub silent: bool,
-    /// What crosses is cut by a reset, with unread bytes lost.
+    /// Connections are reset when used, and unread bytes are lost.
     pub resets: bool,
-    /// Written byte by byte.
+    /// Data is written byte by byte.
     pub trickles: bool,
-    /// The last byte of a write is held back for so long, in ms.
+    /// Delay of the last byte of a write, in ms.
     pub last_byte_ms: f64,
 }
 
-/// A link's weather, which changes under open connections.
+/// A link whose condition can change while connections are open.
 #[derive(Clone, Default)]
 pub struct Link(Rc<Cell<LinkCondition>>);
 
 impl Link {
-    /// How it is now.
+    /// Its present condition.
     pub fn condition(&self) -> LinkCondition {
         self.0.get()
     }
 
-    /// From now on.
+    /// Changes its condition.
     pub fn set(&self, condition: LinkCondition) {
         self.0.set(condition);
     }
 
-    /// Waits while the link is silent or slow.
+    /// Waits while the link is silent, and for its delay.
     ///
     /// # Errors
     /// The link resets.
@@ -60,7 +60,7 @@
                 }
                 return Ok(());
             }
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(SILENCE_CHECK_MS)).await;
         }
     }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// From now on closing this connection resets it.
+/// Makes the close of this connection a reset.
 pub fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/soak/src/shutdown.rs
+++ b/crates/soak/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! Planned restarts: signals in series around the word to end, clients that stay, the kill as early as the platform may.
+//! Planned restarts of routers: further signals around SIGTERM, late clients, and SIGKILL as early as the
+//! platform allows.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,88 +7,95 @@
 use rustix::process::Signal;
 use tokio::time::sleep;
 
-use crate::late::First;
+use crate::late_clients::FirstAction;
 use crate::play::RunningPlay;
 
-/// Signals around the first SIGTERM.
+/// The signals before and after the first SIGTERM of a shutdown.
 #[derive(Clone, Copy, Debug)]
-pub struct Series {
+pub struct SignalSeries {
     before: &'static [Signal],
     after: &'static [Signal],
 }
 
-impl Series {
+impl SignalSeries {
     /// SIGTERM alone.
-    pub const TERM: Series = Series { before: &[], after: &[] };
+    pub const TERM: SignalSeries = SignalSeries { before: &[], after: &[] };
     /// A new configuration right before SIGTERM.
-    pub const RELOAD_FIRST: Series = Series { before: &[Signal::HUP], after: &[] };
+    pub const RELOAD_FIRST: SignalSeries = SignalSeries { before: &[Signal::HUP], after: &[] };
 
-    const ALL: [Series; 6] = [
-        Series::TERM,
-        Series::RELOAD_FIRST,
-        Series { before: &[], after: &[Signal::TERM] },
-        Series { before: &[], after: &[Signal::HUP, Signal::TERM] },
-        Series { before: &[Signal::HUP, Signal::HUP], after: &[Signal::HUP] },
-        Series {
+    const ALL: [SignalSeries; 6] = [
+        SignalSeries::TERM,
+        SignalSeries::RELOAD_FIRST,
+        SignalSeries { before: &[], after: &[Signal::TERM] },
+        SignalSeries { before: &[], after: &[Signal::HUP, Signal::TERM] },
+        SignalSeries { before: &[Signal::HUP, Signal::HUP], after: &[Signal::HUP] },
+        SignalSeries {
             before: &[Signal::HUP, Signal::HUP, Signal::HUP],
             after: &[Signal::TERM, Signal::HUP, Signal::TERM],
         },
     ];
 
-    /// One of all.
-    pub fn draw(rng: &mut fastrand::Rng) -> Series {
-        Series::ALL[rng.usize(..Series::ALL.len())]
+    /// Draws one of all series.
+    pub fn draw(rng: &mut fastrand::Rng) -> SignalSeries {
+        SignalSeries::ALL[rng.usize(..SignalSeries::ALL.len())]
     }
 }
 
-/// Between two further signals, in ms.
-const APART_MS: u64 = 120;
-/// Late clients connect so long before SIGTERM, and for so long after it, in ms.
-const BEFORE_MS: u64 = 100;
-const CONNECTING_MS: f64 = 350.0;
-/// The front sends to a router that ends for so long, in ms.
-const FRONT_MS: u64 = 300;
-/// What the late clients before SIGTERM do first, and those after it.
-const FIRST_BEFORE: [First; 4] = [First::Rests, First::Rests, First::SendsHalf, First::SendsHalf];
-const FIRST_AFTER: [First; 6] =
-    [First::Rests, First::Rests, First::Rests, First::SendsHalf, First::SendsHalf, First::Sends];
+/// Time between two signals after SIGTERM, in ms.
+const SIGNAL_INTERVAL_MS: u64 = 120;
+/// Late clients connect this long before SIGTERM, and up to this long after it, in ms.
+const CONNECT_BEFORE_MS: u64 = 100;
+const CONNECT_AFTER_MS: f64 = 350.0;
+/// How long the front of the platform still sends new connections to a router after SIGTERM, in ms.
+const FRONT_DELAY_MS: u64 = 300;
+/// First actions of the late clients that connect before SIGTERM, and of those that connect after it.
+const FIRST_BEFORE: [FirstAction; 4] =
+    [FirstAction::StayIdle, FirstAction::StayIdle, FirstAction::SendHalf, FirstAction::SendHalf];
+const FIRST_AFTER: [FirstAction; 6] = [
+    FirstAction::StayIdle,
+    FirstAction::StayIdle,
+    FirstAction::StayIdle,
+    FirstAction::SendHalf,
+    FirstAction::SendHalf,
+    FirstAction::Send,
+];
 
-/// Tells a router to end, with a series of signals, and starts it again once it is gone.
-pub async fn restart(running: Rc<RunningPlay>, router: usize, series: Series, seed: u64) {
+/// Shuts a router down with a series of signals, and starts it again once its process has ended.
+pub async fn restart(running: Rc<RunningPlay>, router: usize, series: SignalSeries, seed: u64) {
     let mut rng = fastrand::Rng::with_seed(seed ^ router as u64);
     let kill_after = running.plan.kill_after();
     let mut late = Vec::new();
-    let mut stay = |first, connect_ms: f64, rng: &mut fastrand::Rng| {
+    let mut spawn_late_client = |first, connect_ms: f64, rng: &mut fastrand::Rng| {
         let (clients, first_ms, seed) =
             (running.clients.clone(), kill_after.as_secs_f64() * 1e3 * rng.f64(), rng.u64(..));
         late.push(tokio::task::spawn_local(async move {
             sleep(Duration::from_secs_f64(connect_ms / 1e3)).await;
-            clients.stay(router, first, first_ms, seed).await;
+            clients.run_late(router, first, first_ms, seed).await;
         }));
     };
-    FIRST_BEFORE.into_iter().for_each(|first| stay(first, 0.0, &mut rng));
-    sleep(Duration::from_millis(BEFORE_MS)).await;
+    FIRST_BEFORE.into_iter().for_each(|first| spawn_late_client(first, 0.0, &mut rng));
+    sleep(Duration::from_millis(CONNECT_BEFORE_MS)).await;
     for signal in series.before {
         let _ = running.routers[router].configure(&running.configuration(router));
         running.routers[router].signal(*signal);
     }
     FIRST_AFTER.into_iter().for_each(|first| {
-        let connect_ms = CONNECTING_MS * rng.f64();
-        stay(first, connect_ms, &mut rng);
+        let connect_ms = CONNECT_AFTER_MS * rng.f64();
+        spawn_late_client(first, connect_ms, &mut rng);
     });
     let (withdrawn, signalled) = (running.clone(), running.clone());
     tokio::task::spawn_local(async move {
-        sleep(Duration::from_millis(FRONT_MS)).await;
+        sleep(Duration::from_millis(FRONT_DELAY_MS)).await;
         withdrawn.withdraw(router);
     });
     let after = tokio::task::spawn_local(async move {
         for signal in series.after {
-            sleep(Duration::from_millis(APART_MS)).await;
+            sleep(Duration::from_millis(SIGNAL_INTERVAL_MS)).await;
             signalled.routers[router].signal(*signal);
         }
     });
     running.routers[router].terminate(kill_after).await;
-    // None of them is for the process that comes next.
+    // The remaining signals must not reach the next process.
     after.abort();
     running.withdraw(router);
     for client in late {
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -13,7 +13,7 @@
 use crate::play::RunningPlay;
 use crate::record::Window;
 use crate::server::ServerCondition;
-use crate::shutdown::{self, Series};
+use crate::shutdown::{self, SignalSeries};
 
 /// Steps of the wall clock, in ms.
 const WALL_STEPS_MS: [i64; 4] = [-7_000, 7_000, -1_500, 1_500];
@@ -60,13 +60,15 @@
     let routers = running.plan.routers;
     let mut rng = fastrand::Rng::with_seed(!trouble.pick);
     match trouble.kind {
-        Kind::RouterRestart => restart(running, trouble, &pick(trouble, routers, 2), Series::TERM).await,
+        Kind::RouterRestart => {
+            restart(running, trouble, &pick(trouble, routers, 2), SignalSeries::TERM).await
+        }
         Kind::RouterSeries => restart_in_turn(running, trouble, &pick(trouble, routers, routers / 2)).await,
         Kind::RouterBatch => {
-            restart(running, trouble, &pick(trouble, routers, routers / 2), Series::TERM).await
+            restart(running, trouble, &pick(trouble, routers, routers / 2), SignalSeries::TERM).await
         }
         Kind::ReloadThenStop => {
-            restart(running, trouble, &pick(trouble, routers, 3), Series::RELOAD_FIRST).await
+            restart(running, trouble, &pick(trouble, routers, 3), SignalSeries::RELOAD_FIRST).await
         }
         Kind::RouterKill => kill(running, &pick(trouble, routers, 4)).await,
         Kind::RouterReload => reload(running, &pick(trouble, routers, routers), ends).await,
@@ -131,7 +133,7 @@
 }
 
 /// Sends SIGTERM to routers, all at once, and starts them again.
-async fn restart(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize], series: Series) {
+async fn restart(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize], series: SignalSeries) {
     let restarts: Vec<_> = claim_routers(running, routers)
         .into_iter()
         .map(|router| {
@@ -151,7 +153,7 @@
     let apart = seconds(trouble.for_s / routers.len().max(1) as f64);
     let mut restarts = Vec::new();
     for router in routers {
-        let (series, seed) = (Series::draw(&mut rng), rng.u64(..));
+        let (series, seed) = (SignalSeries::draw(&mut rng), rng.u64(..));
         restarts.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
         sleep(apart).await;
     }
