--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! The control file that a test shares with the fault-injecting library in a process: which system calls fail how
-//! often, how far the wall clock is off, and how often each fault was injected. The library maps the file; whoever
-//! runs the process reads and writes it here, at any moment of the process's life.
+//! The control file that a test shares with the fault-injecting library in a process under test: which system
+//! calls fail and how often, the offset of the wall clock, and how often each fault was injected. The library
+//! maps the file; the test reads and writes it with [`Control`] at any time while the process runs.
 
 #![deny(missing_docs)]
 
@@ -11,26 +11,26 @@
 
 /// The environment variable that names the control file to the library.
 pub const CONTROL_VARIABLE: &str = "PADDLEPROXY_FAULTS";
-/// The library's file name.
+/// The file name of the library.
 pub const LIBRARY_FILE: &str = "libpaddleproxy_interpose.so";
 
-/// Rates are parts of this.
+/// The rate at which every call is affected; the control file holds rates as fractions of this.
 pub const RATE_UNIT: f64 = 65536.0;
 
-/// What the library can make go wrong. The discriminant is the fault's row in the control file.
+/// A fault that the library can inject. The discriminant is the index of the fault in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fault {
-    /// A read from a socket gives fewer bytes than are there.
+    /// A read from a socket returns fewer bytes than are available.
     ReadShort,
-    /// A write to a socket takes fewer bytes than there is room for.
+    /// A write to a socket accepts fewer bytes than it could.
     WriteShort,
     /// A read from a socket fails with EINTR.
     ReadInterrupted,
     /// A write to a socket fails with EINTR.
     WriteInterrupted,
-    /// A read finds its connection broken: ETIMEDOUT, EHOSTUNREACH or ECONNRESET; it stays broken.
+    /// A read fails with ETIMEDOUT, EHOSTUNREACH or ECONNRESET, and the connection is broken from then on.
     ReadBroken,
-    /// A write finds its connection broken, as above.
+    /// A write fails in the same way as for [`Fault::ReadBroken`].
     WriteBroken,
     /// `accept` fails with ECONNABORTED.
     AcceptAborted,
@@ -56,11 +56,11 @@
     WriteStall,
     /// A write to a file fails with ENOSPC or EIO.
     FileWriteFails,
-    /// A write to a file takes only a part.
+    /// A write to a file accepts only a part of the bytes.
     FileWriteShort,
     /// `fsync` or `fdatasync` fails with EIO.
     SyncFails,
-    /// `fsync` or `fdatasync` takes long.
+    /// The thread sleeps before `fsync` or `fdatasync`.
     SyncSlow,
     /// `rename` fails with ENOSPC or EIO.
     RenameFails,
@@ -69,7 +69,7 @@
 }
 
 impl Fault {
-    /// All, in the order of their rows.
+    /// All faults, in the order of their indices.
     pub const ALL: [Fault; 23] = [
         Fault::ReadShort,
         Fault::WriteShort,
@@ -131,19 +131,19 @@
     }
 }
 
-/// Where things stand in the control file, in bytes. Numbers are in the machine's own byte order.
+/// Offsets in the control file, in bytes. Numbers are in native byte order.
 pub mod layout {
     use super::Fault;
 
-    /// Seed of the library's chance, 8 bytes.
+    /// Seed of the random numbers of the library, 8 bytes.
     pub const SEED: usize = 0;
-    /// How far the wall clock is off, in ms, 8 bytes, signed.
+    /// Offset of the wall clock in ms, 8 bytes, signed.
     pub const WALL_OFFSET_MS: usize = 8;
-    /// The longest stall before a write, in microseconds, 8 bytes.
+    /// The longest sleep of a stalled write or a slow sync, in microseconds, 8 bytes.
     pub const STALL_US: usize = 16;
-    /// One rate a fault, 4 bytes each.
+    /// The rate of each fault, 4 bytes each.
     pub const RATES: usize = 64;
-    /// One count of injections a fault, 8 bytes each.
+    /// The number of injections of each fault, 8 bytes each.
     pub const COUNTS: usize = 256;
     /// Size of the file.
     pub const BYTES: usize = COUNTS + 8 * Fault::ALL.len();
@@ -151,17 +151,17 @@
     const _: () = assert!(RATES + 4 * Fault::ALL.len() <= COUNTS);
 }
 
-/// The control file of one process or of several.
+/// The control file of one or several processes.
 pub struct Control {
     file: File,
     path: PathBuf,
 }
 
 impl Control {
-    /// Makes a control file under which nothing fails.
+    /// Creates a control file that injects no fault.
     ///
     /// # Errors
-    /// The file can't be made.
+    /// The file can't be created.
     pub fn create(path: &Path, seed: u64) -> Result<Control> {
         let file = File::options().read(true).write(true).create(true).truncate(true).open(path)?;
         file.write_all_at(&[0; layout::BYTES], 0)?;
@@ -169,21 +169,21 @@
         Ok(Control { file, path: path.to_owned() })
     }
 
-    /// Where it is: the value of [`CONTROL_VARIABLE`].
+    /// Path of the file: the value for [`CONTROL_VARIABLE`].
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Lets a fault hit this part of the calls that it concerns, from now on.
+    /// Sets the fraction of the calls concerned that a fault affects from now on.
     ///
     /// # Errors
     /// The file can't be written.
-    pub fn set_rate(&self, fault: Fault, part: f64) -> Result<()> {
-        let rate = (part.clamp(0.0, 1.0) * RATE_UNIT) as u32;
+    pub fn set_rate(&self, fault: Fault, fraction: f64) -> Result<()> {
+        let rate = (fraction.clamp(0.0, 1.0) * RATE_UNIT) as u32;
         self.file.write_all_at(&rate.to_ne_bytes(), (layout::RATES + 4 * fault as usize) as u64)
     }
 
-    /// Ends all faults; the wall clock stays as it is.
+    /// Stops injecting faults; the wall clock keeps its offset.
     ///
     /// # Errors
     /// The file can't be written.
@@ -191,7 +191,7 @@
         Fault::ALL.into_iter().try_for_each(|fault| self.set_rate(fault, 0.0))
     }
 
-    /// Sets how far the wall clock is off.
+    /// Sets the offset of the wall clock.
     ///
     /// # Errors
     /// The file can't be written.
@@ -199,7 +199,7 @@
         self.file.write_all_at(&offset_ms.to_ne_bytes(), layout::WALL_OFFSET_MS as u64)
     }
 
-    /// Sets the longest stall before a write.
+    /// Sets the longest sleep of a stalled write or a slow sync.
     ///
     /// # Errors
     /// The file can't be written.
@@ -208,7 +208,7 @@
         self.file.write_all_at(&stall_us.to_ne_bytes(), layout::STALL_US as u64)
     }
 
-    /// How often a fault was injected so far.
+    /// How often a fault has been injected.
     ///
     /// # Errors
     /// The file can't be read.
@@ -219,10 +219,10 @@
     }
 }
 
-/// The library, beside the running program or among what cargo built with it.
+/// Finds the library next to the running program or among the files that cargo built with it.
 pub fn library() -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
-    let folder = program.parent()?;
-    let folders = [folder.to_owned(), folder.join("deps"), folder.parent()?.to_owned()];
-    folders.into_iter().map(|folder| folder.join(LIBRARY_FILE)).find(|file| file.exists())
+    let directory = program.parent()?;
+    let directories = [directory.to_owned(), directory.join("deps"), directory.parent()?.to_owned()];
+    directories.into_iter().map(|directory| directory.join(LIBRARY_FILE)).find(|file| file.exists())
 }
--- a/crates/soak/examples/size.rs
+++ b/crates/soak/examples/size.rs
@@ -1,6 +1,8 @@
-//! What one router of the platform costs as its list grows: the same requests with 200, 800 and 3,200 servers listed.
+//! Measures the resources of one router of the platform as its server list grows: the same requests with 200,
+//! 800 and 3,200 servers listed.
 //!
-//! `cargo build --release && cargo run --release -p paddleproxy-soak --example size -- target/release/paddleproxy`
+//! After `cargo build --release`, run
+//! `cargo run --release -p paddleproxy-soak --example size -- target/release/paddleproxy`.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -17,11 +19,11 @@
 use paddleproxy_soak::server::Server;
 
 const REQUESTS: usize = 1600;
-const AT_ONCE: usize = 8;
-/// Servers of a cell.
-const CELL: usize = 20;
-/// Changes of the list, each of one server, told while requests come.
-const CHANGES: usize = 100;
+const CONCURRENT_REQUESTS: usize = 8;
+/// Listed servers per cell, the group that shares a fast network.
+const SERVERS_PER_CELL: usize = 20;
+/// Changes of the list, each of one server, made while requests are sent.
+const LIST_CHANGES: usize = 100;
 
 struct Cost {
     served: usize,
@@ -32,8 +34,8 @@
 }
 
 /// Processor time of a process in seconds, and its peak memory in MiB.
-fn used(process: u32) -> Result<(f64, f64)> {
-    const TICKS: f64 = 100.0;
+fn cpu_and_peak_memory(process: u32) -> Result<(f64, f64)> {
+    const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
     let fields = stat.rsplit(')').next().context("no fields")?;
     let mut times = fields.split_whitespace().skip(11).take(2).map(str::parse::<f64>);
@@ -41,7 +43,7 @@
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).context("no peak")?;
     let kib: f64 = peak.trim().trim_end_matches(" kB").parse()?;
-    Ok((cpu / TICKS, kib / 1024.0))
+    Ok((cpu / TICKS_PER_S, kib / 1024.0))
 }
 
 async fn measure(servers: usize, program: &std::path::Path) -> Result<Cost> {
@@ -50,20 +52,20 @@
     let record = Record::default();
     record.with(|observed| observed.processes = vec![Vec::new()]);
     let catalog = Catalog::new(record.clone());
-    let real: Vec<Rc<Server>> = (0..INITIAL_SERVERS)
+    let servers_running: Vec<Rc<Server>> = (0..INITIAL_SERVERS)
         .map(|id| Server::start(record.clone(), id, kind_of(id)))
         .collect::<Result<_, _>>()?;
-    let entry = |row: usize, health| ServerEntry {
-        name: format!("server-{row:05}"),
-        address: real[row % INITIAL_SERVERS].address,
-        zone: ZONES[row / CELL % ZONES.len()].to_owned(),
-        kind: real[row % INITIAL_SERVERS].kind,
-        cell: (row / CELL) as u32,
+    let entry = |index: usize, health| ServerEntry {
+        name: format!("server-{index:05}"),
+        address: servers_running[index % INITIAL_SERVERS].address,
+        zone: ZONES[index / SERVERS_PER_CELL % ZONES.len()].to_owned(),
+        kind: servers_running[index % INITIAL_SERVERS].kind,
+        cell: (index / SERVERS_PER_CELL) as u32,
         health,
         started_ms: None,
         start_wall_ms: 0.0,
     };
-    (0..servers).for_each(|row| catalog.change(row, entry(row, "ready")));
+    (0..servers).for_each(|index| catalog.change(index, entry(index, "ready")));
     let agent = Agent::start(catalog.clone(), 0).await?;
     let listen = std::net::SocketAddr::from(([127, 90, (servers / 256) as u8, 1], 9000));
     let router = Router::new(record.clone(), 0, listen, program, &dir, 1)?;
@@ -84,28 +86,28 @@
     router.start()?;
     anyhow::ensure!(router.wait_until_ready(Duration::from_secs(20)).await, "the router is never ready");
     let clients = Clients::new(record.clone(), vec![listen], 1, LONGEST_DEADLINE_S);
-    let asking: Vec<_> = (0..AT_ONCE)
+    let client_tasks: Vec<_> = (0..CONCURRENT_REQUESTS)
         .map(|_| {
             let clients = clients.clone();
             tokio::task::spawn_local(async move {
                 let mut served = 0;
-                for _ in 0..REQUESTS / AT_ONCE {
+                for _ in 0..REQUESTS / CONCURRENT_REQUESTS {
                     served += usize::from(clients.request_once(0).await);
                 }
                 served
             })
         })
         .collect();
-    for change in 0..CHANGES {
+    for change in 0..LIST_CHANGES {
         let health = if change % 2 == 0 { "draining" } else { "ready" };
         catalog.change(change / 2, entry(change / 2, health));
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     let mut served = 0;
-    for task in asking {
+    for task in client_tasks {
         served += task.await?;
     }
-    let (cpu_s, peak_mib) = used(router.pid().context("the router has ended")?)?;
+    let (cpu_s, peak_mib) = cpu_and_peak_memory(router.pid().context("the router has ended")?)?;
     let descriptors = router.resources().context("the router has ended")?.0;
     router.terminate(Duration::from_secs(10)).await;
     std::fs::remove_dir_all(&dir)?;
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -95,7 +95,8 @@
         let mut text = format!(
             "seed {}: {verdict}; {} requests, {} served, {} attempts, {} processes; \
              {injected} system calls failed{}; {} sent SIGTERM, {} of them killed, \
-             {} requests after SIGTERM, {} over 0.7 s after it ({} served, {} refused, {} failed, {} closed, {} unanswered); lag {:.0} ms; {}\n",
+             {} requests after SIGTERM, {} over 0.7 s after it ({} served, {} refused, \
+             {} failed, {} closed, {} unanswered); lag {:.0} ms; {}\n",
             self.seed,
             self.requests,
             self.served,
