--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -202,9 +202,9 @@
     ) -> Option<Connection> {
         let id = self.next_id();
         self.open.set(self.open.get() + 1);
-        let rest = self.exchange(connection, planned_request, &id).await;
+        let reusable = self.exchange(connection, planned_request, &id).await;
         self.open.set(self.open.get() - 1);
-        rest
+        reusable
     }
 
     fn end(&self, id: &str, ending: Ending) {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -103,15 +103,15 @@
         let changes = self.changes.borrow();
         let newer =
             |change: &&Change| change.version <= until && from.is_none_or(|from| change.version > from);
-        let mut rows = std::collections::BTreeMap::new();
+        let mut entries = std::collections::BTreeMap::new();
         for change in changes.iter().filter(newer) {
-            rows.insert(change.server, &change.entry);
+            entries.insert(change.server, &change.entry);
         }
         if from.is_none() {
-            rows.retain(|_, entry| entry.health != "gone");
+            entries.retain(|_, entry| entry.health != "gone");
         }
-        let hosts: Vec<_> = rows.values().map(|entry| host_json(entry)).collect();
-        let availability = rows.iter().map(|(server, entry)| (*server, availability(entry))).collect();
+        let hosts: Vec<_> = entries.values().map(|entry| host_json(entry)).collect();
+        let availability = entries.iter().map(|(server, entry)| (*server, availability(entry))).collect();
         (json!({ "seq": until, "whole": from.is_none(), "hosts": hosts }), availability)
     }
 
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -35,14 +35,14 @@
     running.sleep_until_s(began_s + trouble.at_s).await;
     let from_ms = running.record.now_ms();
     let window = Window { trouble: trouble.kind.name().to_owned(), from_ms, to_ms: f64::INFINITY };
-    let row = running.record.with(|observed| {
+    let window_index = running.record.with(|observed| {
         observed.windows.push(window);
         observed.windows.len() - 1
     });
     let ends = Instant::now() + seconds(trouble.for_s);
     apply(&running, &trouble, ends).await;
     let now_ms = running.record.now_ms();
-    running.record.with(|observed| observed.windows[row].to_ms = now_ms);
+    running.record.with(|observed| observed.windows[window_index].to_ms = now_ms);
 }
 
 /// Draws at least one and at most `most` of the indices below `of` with the seed of the trouble; `most` of
@@ -220,10 +220,10 @@
     sleep(Duration::from_millis(300)).await;
     servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(Duration::from_millis(300)).await;
-    revive(running, servers).await;
+    start_again(running, servers).await;
 }
 
-async fn revive(running: &Rc<RunningPlay>, servers: &[usize]) {
+async fn start_again(running: &Rc<RunningPlay>, servers: &[usize]) {
     for server in servers {
         if let Err(cause) = running.servers[*server].restart().await {
             running.record.with(|observed| observed.notes.push(format!("server {server}: {cause}")));
@@ -235,7 +235,7 @@
 async fn restart_servers(running: &Rc<RunningPlay>, servers: &[usize], for_s: f64) {
     servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(seconds(for_s)).await;
-    revive(running, servers).await;
+    start_again(running, servers).await;
 }
 
 /// Steps the wall clock of all machines; it keeps the offset when the trouble ends.
@@ -337,7 +337,7 @@
     }
 }
 
-/// The share of calls that a fault affects.
+/// The share of the calls concerned that a fault affects.
 fn fault_rate(fault: Fault) -> f64 {
     match fault {
         Fault::ReadShort | Fault::WriteShort => 0.2,
