--- a/crates/soak/src/link.rs
+++ b/crates/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! Faults of a link: what stands between a stand-in and the bytes that its peer sees.
+//! Simulated faults of a link between a simulated party and its peer.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Result};
@@ -10,57 +10,57 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// How often a silent link looks whether it has healed, in ms.
-const LOOK_MS: u64 = 10;
+/// How often a silent link checks whether it works again, in ms.
+const SILENCE_CHECK_MS: u64 = 10;
 
-/// How a link treats what crosses it.
+/// How a link treats the data that crosses it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Weather {
-    /// Held back before it is passed on, in ms.
+pub struct LinkCondition {
+    /// Delay of the data, in ms.
     pub delay_ms: f64,
-    /// Nothing passes, and nothing is said of it.
+    /// Nothing passes, and no error occurs.
     pub silent: bool,
-    /// What crosses is cut by a reset, with unread bytes lost.
+    /// Connections are reset when used, and unread bytes are lost.
     pub resets: bool,
-    /// Written byte by byte.
+    /// Data is written byte by byte.
     pub trickles: bool,
-    /// The last byte of a write is held back for so long, in ms.
+    /// Delay of the last byte of a write, in ms.
     pub last_byte_ms: f64,
 }
 
-/// A link's weather, which changes under open connections.
+/// A link whose condition can change while connections are open.
 #[derive(Clone, Default)]
-pub struct Link(Rc<Cell<Weather>>);
+pub struct Link(Rc<Cell<LinkCondition>>);
 
 impl Link {
-    /// How it is now.
-    pub fn weather(&self) -> Weather {
+    /// Its present condition.
+    pub fn condition(&self) -> LinkCondition {
         self.0.get()
     }
 
-    /// From now on.
-    pub fn set(&self, weather: Weather) {
-        self.0.set(weather);
+    /// Changes its condition.
+    pub fn set(&self, condition: LinkCondition) {
+        self.0.set(condition);
     }
 
-    /// Waits while the link is silent or slow.
+    /// Waits while the link is silent, and for its delay.
     ///
     /// # Errors
     /// The link resets.
     pub async fn cross(&self, stream: &TcpStream) -> Result<()> {
         loop {
-            let weather = self.weather();
-            if weather.resets {
+            let condition = self.condition();
+            if condition.resets {
                 reset(stream);
                 return Err(ErrorKind::ConnectionReset.into());
             }
-            if !weather.silent {
-                if weather.delay_ms > 0.0 {
-                    sleep(Duration::from_secs_f64(weather.delay_ms / 1e3)).await;
+            if !condition.silent {
+                if condition.delay_ms > 0.0 {
+                    sleep(Duration::from_secs_f64(condition.delay_ms / 1e3)).await;
                 }
                 return Ok(());
             }
-            sleep(Duration::from_millis(LOOK_MS)).await;
+            sleep(Duration::from_millis(SILENCE_CHECK_MS)).await;
         }
     }
 
@@ -70,8 +70,8 @@
     /// The connection broke, or the link resets.
     pub async fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> Result<()> {
         self.cross(stream).await?;
-        let weather = self.weather();
-        if weather.trickles {
+        let condition = self.condition();
+        if condition.trickles {
             for byte in bytes {
                 stream.write_all(std::slice::from_ref(byte)).await?;
                 tokio::task::yield_now().await;
@@ -79,9 +79,9 @@
             return Ok(());
         }
         match bytes.split_last() {
-            Some((last, rest)) if weather.last_byte_ms > 0.0 => {
+            Some((last, rest)) if condition.last_byte_ms > 0.0 => {
                 stream.write_all(rest).await?;
-                sleep(Duration::from_secs_f64(weather.last_byte_ms / 1e3)).await;
+                sleep(Duration::from_secs_f64(condition.last_byte_ms / 1e3)).await;
                 stream.write_all(std::slice::from_ref(last)).await
             }
             _ => stream.write_all(bytes).await,
@@ -89,7 +89,7 @@
     }
 }
 
-/// From now on closing this connection resets it.
+/// Makes the close of this connection a reset.
 pub fn reset(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -1,4 +1,4 @@
-//! Brings troubles about and ends them.
+//! Starts and ends the troubles of a plan.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,45 +8,46 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use crate::link::Weather;
+use crate::link::LinkCondition;
 use crate::plan::{Kind, Trouble};
-use crate::play::Stage;
+use crate::play::RunningPlay;
 use crate::record::Window;
-use crate::server::Mood;
-use crate::shutdown::{self, Series};
+use crate::server::ServerCondition;
+use crate::shutdown::{self, SignalSeries};
 
 /// Steps of the wall clock, in ms.
 const WALL_STEPS_MS: [i64; 4] = [-7_000, 7_000, -1_500, 1_500];
 const HOUR_MS: i64 = 3_600_000;
-/// How long a router is stopped, and how long it runs in between, in ms.
+/// How long a stall stops a router, and how long the router runs between two stalls, in ms.
 const STALL_MS: u64 = 130;
-const RUNS_MS: u64 = 220;
-/// A router stands still for so long at most, in s.
-const FROZEN_S: f64 = 2.5;
-/// Connections that idle clients open at one router.
-const IDLE_CONNECTIONS: usize = 400;
+const STALL_INTERVAL_MS: u64 = 220;
+/// Longest time for which a freeze stops a router, in s.
+const MAX_FREEZE_S: f64 = 2.5;
+/// Connections that idle clients open to one router.
+const IDLE_CONNECTIONS_PER_ROUTER: usize = 400;
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-/// One trouble, from its beginning to its end.
-pub async fn befall(stage: Rc<Stage>, trouble: Trouble, began_s: f64) {
-    stage.until_s(began_s + trouble.at_s).await;
-    let from_ms = stage.record.now_ms();
+/// Runs one trouble from its beginning to its end, and records the period.
+pub async fn run_trouble(running: Rc<RunningPlay>, trouble: Trouble, began_s: f64) {
+    running.sleep_until_s(began_s + trouble.at_s).await;
+    let from_ms = running.record.now_ms();
     let window = Window { trouble: trouble.kind.name().to_owned(), from_ms, to_ms: f64::INFINITY };
-    let row = stage.record.with(|seen| {
-        seen.windows.push(window);
-        seen.windows.len() - 1
+    let window_index = running.record.with(|observed| {
+        observed.windows.push(window);
+        observed.windows.len() - 1
     });
     let ends = Instant::now() + seconds(trouble.for_s);
-    bring_about(&stage, &trouble, ends).await;
-    let now_ms = stage.record.now_ms();
-    stage.record.with(|seen| seen.windows[row].to_ms = now_ms);
+    apply(&running, &trouble, ends).await;
+    let now_ms = running.record.now_ms();
+    running.record.with(|observed| observed.windows[window_index].to_ms = now_ms);
 }
 
-/// Some of so many, drawn by the trouble's own seed; as many as may be for seed 0.
-fn some(trouble: &Trouble, of: usize, most: usize) -> Vec<usize> {
+/// Draws at least one and at most `most` of the indices below `of` with the seed of the trouble; `most` of
+/// them for seed 0.
+fn pick(trouble: &Trouble, of: usize, most: usize) -> Vec<usize> {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
     let mut all: Vec<usize> = (0..of).collect();
     rng.shuffle(&mut all);
@@ -55,152 +56,161 @@
     all
 }
 
-async fn bring_about(stage: &Rc<Stage>, trouble: &Trouble, ends: Instant) {
-    let routers = stage.plan.routers;
+async fn apply(running: &Rc<RunningPlay>, trouble: &Trouble, ends: Instant) {
+    let routers = running.plan.routers;
     let mut rng = fastrand::Rng::with_seed(!trouble.pick);
     match trouble.kind {
-        Kind::RouterRestart => restart(stage, trouble, &some(trouble, routers, 2), Series::TERM).await,
-        Kind::RouterSeries => restart_in_turn(stage, trouble, &some(trouble, routers, routers / 2)).await,
+        Kind::RouterRestart => {
+            restart(running, trouble, &pick(trouble, routers, 2), SignalSeries::TERM).await
+        }
+        Kind::RouterSeries => restart_in_turn(running, trouble, &pick(trouble, routers, routers / 2)).await,
         Kind::RouterBatch => {
-            restart(stage, trouble, &some(trouble, routers, routers / 2), Series::TERM).await
+            restart(running, trouble, &pick(trouble, routers, routers / 2), SignalSeries::TERM).await
         }
         Kind::ReloadThenStop => {
-            restart(stage, trouble, &some(trouble, routers, 3), Series::RELOAD_FIRST).await
+            restart(running, trouble, &pick(trouble, routers, 3), SignalSeries::RELOAD_FIRST).await
+        }
+        Kind::RouterKill => kill(running, &pick(trouble, routers, 4)).await,
+        Kind::RouterReload => reload(running, &pick(trouble, routers, routers), ends).await,
+        Kind::RouterStall => stall(running, &pick(trouble, routers, 4), ends).await,
+        Kind::RouterFreeze => {
+            freeze(running, &pick(trouble, routers, 2), trouble.for_s.min(MAX_FREEZE_S)).await
         }
-        Kind::RouterKill => kill(stage, &some(trouble, routers, 4)).await,
-        Kind::RouterReload => reload(stage, &some(trouble, routers, routers), ends).await,
-        Kind::RouterStall => stall(stage, &some(trouble, routers, 4), ends).await,
-        Kind::RouterFreeze => freeze(stage, &some(trouble, routers, 2), trouble.for_s.min(FROZEN_S)).await,
         Kind::DiscoveryDown => {
-            stage.catalog.down.set(true);
+            running.catalog.down.set(true);
             tokio::time::sleep_until(ends).await;
-            stage.catalog.down.set(false);
+            running.catalog.down.set(false);
         }
         Kind::DiscoverySlow => {
-            stage.catalog.slow_ms.set(200.0 + 2300.0 * rng.f64());
+            running.catalog.slow_ms.set(200.0 + 2300.0 * rng.f64());
             tokio::time::sleep_until(ends).await;
-            stage.catalog.slow_ms.set(0.0);
+            running.catalog.slow_ms.set(0.0);
         }
-        Kind::WatchesReset => stage.agents.iter().for_each(|agent| agent.reset_watches()),
+        Kind::WatchesReset => running.agents.iter().for_each(|agent| agent.reset_watches()),
         Kind::WatchesSilent => {
-            stage
+            running
                 .agents
                 .iter()
-                .for_each(|agent| agent.link.set(Weather { silent: true, ..Weather::default() }));
+                .for_each(|agent| agent.link.set(LinkCondition { silent: true, ..LinkCondition::default() }));
             tokio::time::sleep_until(ends).await;
-            stage.agents.iter().for_each(|agent| agent.link.set(Weather::default()));
+            running.agents.iter().for_each(|agent| agent.link.set(LinkCondition::default()));
         }
-        Kind::Drains => drain(stage, &servers(stage, trouble, 3), ends).await,
+        Kind::Drains => drain(running, &servers(running, trouble, 3), ends).await,
         Kind::Join => {
             for _ in 0..rng.usize(1..=2) {
-                stage.list_next(true);
+                running.list_next(true);
             }
         }
-        Kind::WallBackAnHour => step_wall(stage, -HOUR_MS),
-        Kind::WallAheadAnHour => step_wall(stage, HOUR_MS),
-        Kind::WallStep => step_wall(stage, WALL_STEPS_MS[rng.usize(..WALL_STEPS_MS.len())]),
-        Kind::ServersRestart => restart_servers(stage, &servers(stage, trouble, 3), 0.2 + rng.f64()).await,
-        Kind::ClientsIdle => idle_clients(stage, &some(trouble, routers, 2), ends).await,
-        Kind::System(fault) => system(stage, fault, &some(trouble, routers, routers), ends).await,
-        kind => match mood(kind) {
-            Some(change) => moody(stage, &servers(stage, trouble, 4), ends, change).await,
-            None if manners(stage, kind, true) => {
+        Kind::WallBackAnHour => step_wall(running, -HOUR_MS),
+        Kind::WallAheadAnHour => step_wall(running, HOUR_MS),
+        Kind::WallStep => step_wall(running, WALL_STEPS_MS[rng.usize(..WALL_STEPS_MS.len())]),
+        Kind::ServersRestart => {
+            restart_servers(running, &servers(running, trouble, 3), 0.2 + rng.f64()).await
+        }
+        Kind::ClientsIdle => idle_clients(running, &pick(trouble, routers, 2), ends).await,
+        Kind::System(fault) => {
+            fail_system_calls(running, fault, &pick(trouble, routers, routers), ends).await
+        }
+        kind => match condition_change(kind) {
+            Some(change) => change_servers(running, &servers(running, trouble, 4), ends, change).await,
+            None if change_clients(running, kind, true) => {
                 tokio::time::sleep_until(ends).await;
-                manners(stage, kind, false);
+                change_clients(running, kind, false);
             }
-            None => links(stage, trouble, &mut rng, ends).await,
+            None => change_links(running, trouble, &mut rng, ends).await,
         },
     }
 }
 
-fn servers(stage: &Stage, trouble: &Trouble, most: usize) -> Vec<usize> {
-    some(trouble, stage.listed.get(), most)
+fn servers(running: &RunningPlay, trouble: &Trouble, most: usize) -> Vec<usize> {
+    pick(trouble, running.listed.get(), most)
 }
 
-/// Those that no other trouble is restarting; they are this one's from now on.
-fn taken(stage: &Stage, routers: &[usize]) -> Vec<usize> {
-    let free = |router: &&usize| !stage.routers[**router].being_restarted.replace(true);
+/// Returns the routers that no other trouble is restarting, and claims them for this one.
+fn claim_routers(running: &RunningPlay, routers: &[usize]) -> Vec<usize> {
+    let free = |router: &&usize| !running.routers[**router].being_restarted.replace(true);
     routers.iter().filter(free).copied().collect()
 }
 
-/// Tells routers to end, all at once, and starts them again.
-async fn restart(stage: &Rc<Stage>, trouble: &Trouble, routers: &[usize], series: Series) {
-    let each: Vec<_> = taken(stage, routers)
+/// Sends SIGTERM to routers, all at once, and starts them again.
+async fn restart(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize], series: SignalSeries) {
+    let restarts: Vec<_> = claim_routers(running, routers)
         .into_iter()
         .map(|router| {
-            tokio::task::spawn_local(shutdown::restart(stage.clone(), router, series, trouble.pick))
+            tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, trouble.pick))
         })
         .collect();
-    for task in each {
+    for task in restarts {
         let _ = task.await;
     }
 }
 
-/// Tells routers to end one after another, before the first is there again, each with a series of signals of its own.
-async fn restart_in_turn(stage: &Rc<Stage>, trouble: &Trouble, routers: &[usize]) {
+/// Sends SIGTERM to routers one after another without waiting for restarts, each with a signal series of its
+/// own.
+async fn restart_in_turn(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize]) {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
-    let routers = taken(stage, routers);
+    let routers = claim_routers(running, routers);
     let apart = seconds(trouble.for_s / routers.len().max(1) as f64);
-    let mut each = Vec::new();
+    let mut restarts = Vec::new();
     for router in routers {
-        let (series, seed) = (Series::draw(&mut rng), rng.u64(..));
-        each.push(tokio::task::spawn_local(shutdown::restart(stage.clone(), router, series, seed)));
+        let (series, seed) = (SignalSeries::draw(&mut rng), rng.u64(..));
+        restarts.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
         sleep(apart).await;
     }
-    for task in each {
+    for task in restarts {
         let _ = task.await;
     }
 }
 
-async fn kill(stage: &Rc<Stage>, routers: &[usize]) {
-    let routers = taken(stage, routers);
+async fn kill(running: &Rc<RunningPlay>, routers: &[usize]) {
+    let routers = claim_routers(running, routers);
     for router in &routers {
-        stage.routers[*router].kill().await;
-        stage.withdraw(*router);
+        running.routers[*router].kill().await;
+        running.withdraw(*router);
     }
     sleep(Duration::from_millis(200)).await;
     for router in &routers {
-        stage.start_router(*router).await;
-        stage.routers[*router].being_restarted.set(false);
+        running.start_router(*router).await;
+        running.routers[*router].being_restarted.set(false);
     }
 }
 
-/// New configurations in a row, at times two without a pause.
-async fn reload(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+/// Reloads the configuration repeatedly, twice in a row each time.
+async fn reload(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     while Instant::now() < ends {
-        for router in routers {
-            let place = &stage.routers[*router];
+        for index in routers {
+            let router = &running.routers[*index];
             for _ in 0..2 {
-                let _ = place.configure(&stage.configuration(*router));
-                place.signal(Signal::HUP);
+                let _ = router.configure(&running.configuration(*index));
+                router.signal(Signal::HUP);
             }
         }
         sleep(Duration::from_millis(300)).await;
     }
 }
 
-async fn stall(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+async fn stall(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     while Instant::now() < ends {
-        routers.iter().for_each(|router| stage.routers[*router].signal(Signal::STOP));
+        routers.iter().for_each(|router| running.routers[*router].signal(Signal::STOP));
         sleep(Duration::from_millis(STALL_MS)).await;
-        routers.iter().for_each(|router| stage.routers[*router].signal(Signal::CONT));
-        sleep(Duration::from_millis(RUNS_MS)).await;
+        routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
+        sleep(Duration::from_millis(STALL_INTERVAL_MS)).await;
     }
 }
 
-async fn freeze(stage: &Rc<Stage>, routers: &[usize], for_s: f64) {
-    routers.iter().for_each(|router| stage.routers[*router].signal(Signal::STOP));
+async fn freeze(running: &Rc<RunningPlay>, routers: &[usize], for_s: f64) {
+    routers.iter().for_each(|router| running.routers[*router].signal(Signal::STOP));
     sleep(seconds(for_s)).await;
-    routers.iter().for_each(|router| stage.routers[*router].signal(Signal::CONT));
+    routers.iter().for_each(|router| running.routers[*router].signal(Signal::CONT));
 }
 
-/// Servers drain, go and come back as new.
-async fn drain(stage: &Rc<Stage>, servers: &[usize], ends: Instant) {
+/// Servers drain, leave and come back as newly started.
+async fn drain(running: &Rc<RunningPlay>, servers: &[usize], ends: Instant) {
     let set = |health: &'static str| {
         for server in servers {
-            if let Some(mut entry) = stage.catalog.entry(*server) {
+            if let Some(mut entry) = running.catalog.entry(*server) {
                 entry.health = health;
-                stage.catalog.change(*server, entry);
+                running.catalog.change(*server, entry);
             }
         }
     };
@@ -208,61 +218,68 @@
     tokio::time::sleep_until(ends).await;
     set("gone");
     sleep(Duration::from_millis(300)).await;
-    servers.iter().for_each(|server| stage.servers[*server].die());
+    servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(Duration::from_millis(300)).await;
-    revive(stage, servers).await;
+    start_again(running, servers).await;
 }
 
-async fn revive(stage: &Rc<Stage>, servers: &[usize]) {
+async fn start_again(running: &Rc<RunningPlay>, servers: &[usize]) {
     for server in servers {
-        if let Err(cause) = stage.servers[*server].revive().await {
-            stage.record.with(|seen| seen.notes.push(format!("server {server}: {cause}")));
+        if let Err(cause) = running.servers[*server].restart().await {
+            running.record.with(|observed| observed.notes.push(format!("server {server}: {cause}")));
         }
-        stage.restarted(*server);
+        running.list_as_restarted(*server);
     }
 }
 
-async fn restart_servers(stage: &Rc<Stage>, servers: &[usize], for_s: f64) {
-    servers.iter().for_each(|server| stage.servers[*server].die());
+async fn restart_servers(running: &Rc<RunningPlay>, servers: &[usize], for_s: f64) {
+    servers.iter().for_each(|server| running.servers[*server].crash());
     sleep(seconds(for_s)).await;
-    revive(stage, servers).await;
+    start_again(running, servers).await;
 }
 
-/// Every machine reads the same clock; it stays where it was stepped to.
-fn step_wall(stage: &Stage, step_ms: i64) {
-    let offset_ms = stage.catalog.wall_offset_ms.get() as i64 + step_ms;
-    stage.catalog.wall_offset_ms.set(offset_ms as f64);
-    for router in &stage.routers {
+/// Steps the wall clock of all machines; it keeps the offset when the trouble ends.
+fn step_wall(running: &RunningPlay, step_ms: i64) {
+    let offset_ms = running.catalog.wall_offset_ms.get() as i64 + step_ms;
+    running.catalog.wall_offset_ms.set(offset_ms as f64);
+    for router in &running.routers {
         let _ = router.control.set_wall_offset_ms(offset_ms);
     }
 }
 
-type Change = fn(&mut Mood, bool);
+type ConditionChange = fn(&mut ServerCondition, bool);
 
-/// How a trouble changes a server's mood.
-fn mood(kind: Kind) -> Option<Change> {
+/// How a trouble changes the condition of a server; none if it is not a trouble of servers.
+fn condition_change(kind: Kind) -> Option<ConditionChange> {
     Some(match kind {
-        Kind::ServersHang => |mood, on| mood.hangs = on,
-        Kind::ServersHangMidway => |mood, on| mood.hangs_midway = on,
-        Kind::ServersLong => |mood, on| mood.long = on,
-        Kind::ServersDecline => |mood, on| mood.declines = on,
-        Kind::ServersFail => |mood, on| mood.fails = on,
-        Kind::ServersBreak => |mood, on| mood.breaks = on,
-        Kind::ServersBreakMidway => |mood, on| mood.breaks_midway = on,
-        Kind::ServersBabble => |mood, on| mood.babbles = on,
-        Kind::ServersDeaf => |mood, on| mood.deaf = on,
-        Kind::ServersCloseIdle => |mood, on| mood.idle_ms = if on { 30.0 } else { Mood::default().idle_ms },
-        Kind::ServersSlow => |mood, on| mood.slowness = if on { 12.0 } else { 1.0 },
+        Kind::ServersHang => |condition, on| condition.hangs = on,
+        Kind::ServersHangMidway => |condition, on| condition.hangs_midway = on,
+        Kind::ServersLong => |condition, on| condition.streams_on = on,
+        Kind::ServersDecline => |condition, on| condition.declines = on,
+        Kind::ServersFail => |condition, on| condition.fails = on,
+        Kind::ServersBreak => |condition, on| condition.breaks = on,
+        Kind::ServersBreakMidway => |condition, on| condition.breaks_midway = on,
+        Kind::ServersBabble => |condition, on| condition.sends_garbage = on,
+        Kind::ServersDeaf => |condition, on| condition.not_accepting = on,
+        Kind::ServersCloseIdle => {
+            |condition, on| condition.idle_ms = if on { 30.0 } else { ServerCondition::default().idle_ms }
+        }
+        Kind::ServersSlow => |condition, on| condition.slowdown = if on { 12.0 } else { 1.0 },
         _ => return None,
     })
 }
 
-async fn moody(stage: &Rc<Stage>, servers: &[usize], ends: Instant, change: Change) {
+async fn change_servers(
+    running: &Rc<RunningPlay>,
+    servers: &[usize],
+    ends: Instant,
+    change: ConditionChange,
+) {
     let set = |on| {
         for server in servers {
-            let mut mood = stage.servers[*server].mood.get();
-            change(&mut mood, on);
-            stage.servers[*server].mood.set(mood);
+            let mut condition = running.servers[*server].condition.get();
+            change(&mut condition, on);
+            running.servers[*server].condition.set(condition);
         }
     };
     set(true);
@@ -270,27 +287,27 @@
     set(false);
 }
 
-/// Sets how clients behave; whether the trouble is one of clients.
-fn manners(stage: &Stage, kind: Kind, on: bool) -> bool {
-    let mut manners = stage.clients.manners.get();
-    let part = |share: f64| if on { share } else { 0.0 };
+/// Changes the behavior of clients. Returns whether the trouble is one of clients.
+fn change_clients(running: &RunningPlay, kind: Kind, on: bool) -> bool {
+    let mut behavior = running.clients.behavior.get();
+    let share_if_on = |share: f64| if on { share } else { 0.0 };
     match kind {
-        Kind::ClientsLeave => manners.leaves = part(0.4),
-        Kind::ClientsHalf => manners.halves = part(0.2),
-        Kind::ClientsPieces => manners.pieces = part(0.5),
-        Kind::ClientsHurried => manners.hurried = part(0.4),
+        Kind::ClientsLeave => behavior.leave_share = share_if_on(0.4),
+        Kind::ClientsHalf => behavior.half_share = share_if_on(0.2),
+        Kind::ClientsPieces => behavior.piece_share = share_if_on(0.5),
+        Kind::ClientsHurried => behavior.hurried_share = share_if_on(0.4),
         _ => return false,
     }
-    stage.clients.manners.set(manners);
+    running.clients.behavior.set(behavior);
     true
 }
 
-/// Connections that say nothing.
-async fn idle_clients(stage: &Rc<Stage>, routers: &[usize], ends: Instant) {
+/// Opens connections that send nothing.
+async fn idle_clients(running: &Rc<RunningPlay>, routers: &[usize], ends: Instant) {
     let mut open = Vec::new();
     for router in routers {
-        for _ in 0..IDLE_CONNECTIONS {
-            if let Ok(stream) = TcpStream::connect(stage.routers[*router].listen).await {
+        for _ in 0..IDLE_CONNECTIONS_PER_ROUTER {
+            if let Ok(stream) = TcpStream::connect(running.routers[*router].listen).await {
                 open.push(stream);
             }
         }
@@ -298,21 +315,21 @@
     tokio::time::sleep_until(ends).await;
 }
 
-async fn links(stage: &Rc<Stage>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
-    let change = |weather: &mut Weather, on: bool, rng: &mut fastrand::Rng| match trouble.kind {
-        Kind::LinkDelay => weather.delay_ms = if on { 20.0 + 120.0 * rng.f64() } else { 0.0 },
-        Kind::LinkSilent => weather.silent = on,
-        Kind::LinkReset => weather.resets = on,
-        Kind::LinkTrickle => weather.trickles = on,
-        _ => weather.last_byte_ms = if on { 20.0 + 100.0 * rng.f64() } else { 0.0 },
+async fn change_links(running: &Rc<RunningPlay>, trouble: &Trouble, rng: &mut fastrand::Rng, ends: Instant) {
+    let change = |condition: &mut LinkCondition, on: bool, rng: &mut fastrand::Rng| match trouble.kind {
+        Kind::LinkDelay => condition.delay_ms = if on { 20.0 + 120.0 * rng.f64() } else { 0.0 },
+        Kind::LinkSilent => condition.silent = on,
+        Kind::LinkReset => condition.resets = on,
+        Kind::LinkTrickle => condition.trickles = on,
+        _ => condition.last_byte_ms = if on { 20.0 + 100.0 * rng.f64() } else { 0.0 },
     };
-    let servers = servers(stage, trouble, 5);
+    let servers = servers(running, trouble, 5);
     for on in [true, false] {
         for server in &servers {
-            let link = &stage.servers[*server].link;
-            let mut weather = link.weather();
-            change(&mut weather, on, rng);
-            link.set(weather);
+            let link = &running.servers[*server].link;
+            let mut condition = link.condition();
+            change(&mut condition, on, rng);
+            link.set(condition);
         }
         if on {
             tokio::time::sleep_until(ends).await;
@@ -320,8 +337,8 @@
     }
 }
 
-/// The part of calls that a fault hits.
-fn rate(fault: Fault) -> f64 {
+/// The share of the calls concerned that a fault affects.
+fn fault_rate(fault: Fault) -> f64 {
     match fault {
         Fault::ReadShort | Fault::WriteShort => 0.2,
         Fault::ReadBroken | Fault::WriteBroken => 0.004,
@@ -333,16 +350,16 @@
 }
 
 /// The longest stall before a write, in ms.
-const WRITE_STALL_MS: f64 = 140.0;
+const MAX_WRITE_STALL_MS: f64 = 140.0;
 
-async fn system(stage: &Rc<Stage>, fault: Fault, routers: &[usize], ends: Instant) {
+async fn fail_system_calls(running: &Rc<RunningPlay>, fault: Fault, routers: &[usize], ends: Instant) {
     for router in routers {
-        let control = &stage.routers[*router].control;
-        let _ = control.set_stall_ms(WRITE_STALL_MS);
-        let _ = control.set_rate(fault, rate(fault));
+        let control = &running.routers[*router].control;
+        let _ = control.set_stall_ms(MAX_WRITE_STALL_MS);
+        let _ = control.set_rate(fault, fault_rate(fault));
     }
     tokio::time::sleep_until(ends).await;
     for router in routers {
-        let _ = stage.routers[*router].control.set_rate(fault, 0.0);
+        let _ = running.routers[*router].control.set_rate(fault, 0.0);
     }
 }
