--- a/crates/cli/src/days.rs
+++ b/crates/cli/src/days.rs
@@ -7,7 +7,7 @@
 use paddleproxy_day::random::{draw, Room};
 use serde_json::{json, Value};
 
-use crate::run::on_one_thread;
+use crate::run::block_on_local_set;
 
 /// One day in one way of deciding.
 struct Row {
@@ -125,7 +125,7 @@
     let cast = room.cast()?;
     let mut good = true;
     for seed in from..from.saturating_add(count) {
-        let played = on_one_thread(room.play(&draw(seed, &cast), &format!("script-{seed}")))?;
+        let played = block_on_local_set(room.play(&draw(seed, &cast), &format!("script-{seed}")))?;
         let kept = played.report.kept;
         let troubles = played.script.troubles.len();
         match as_json {
@@ -134,7 +134,7 @@
         }
         if !kept {
             good = false;
-            let least = on_one_thread(room.shrink(played))?;
+            let least = block_on_local_set(room.shrink(played))?;
             let broken = least.report.rules.iter().filter(|rule| !rule.broken.is_empty());
             for rule in broken {
                 println!("  {}: {}", rule.name, rule.broken.first().map_or("", String::as_str));
--- a/crates/cli/src/zones.rs
+++ b/crates/cli/src/failover.rs
@@ -6,36 +6,36 @@
 use hyper::Method;
 use serde_json::{json, Value};
 
-use crate::operators::{ask, encode};
-use crate::FailoverWord;
+use crate::operators::{check_name, request};
+use crate::FailoverCommand;
 
 const MINUTE_MS: f64 = 60_000.0;
 
 pub fn run(
-    what: FailoverWord,
+    what: FailoverCommand,
     zone: Option<&str>,
     routers: &[SocketAddr],
     for_min: f64,
     as_json: bool,
 ) -> Result<bool> {
     let word = match (what, zone) {
-        (FailoverWord::Plan, None) => return plan(routers, None, as_json),
-        (FailoverWord::Plan, Some(_)) => bail!("'plan' takes no zone; 'explain' does"),
-        (FailoverWord::Explain, zone) => {
+        (FailoverCommand::Plan, None) => return plan(routers, None, as_json),
+        (FailoverCommand::Plan, Some(_)) => bail!("'plan' takes no zone; 'explain' does"),
+        (FailoverCommand::Explain, zone) => {
             let zone = zone.context("which zone? give its name")?;
             return plan(routers, Some(zone), as_json);
         }
-        (FailoverWord::Hold, _) => "hold",
-        (FailoverWord::DrainZone, _) => "drain-zone",
-        (FailoverWord::Return, _) => "return",
+        (FailoverCommand::Hold, _) => "hold",
+        (FailoverCommand::DrainZone, _) => "drain-zone",
+        (FailoverCommand::Return, _) => "return",
     };
-    let zone = encode(zone.context("which zone? give its name")?)?;
+    let zone = check_name(zone.context("which zone? give its name")?)?;
     ensure!(for_min.is_finite() && for_min >= 0.0, "--for is a time in minutes from 0");
     let path = format!("/failover/{word}?zone={zone}&for_ms={}", for_min * MINUTE_MS);
     // One is enough: it tells the others. A second would say it anew, under a stamp of its own.
     let mut last = None;
     for router in routers {
-        match ask(*router, Method::POST, &path) {
+        match request(*router, Method::POST, &path) {
             Ok(said) => {
                 match as_json {
                     true => println!("{}", json!({ "router": router, "said": said })),
@@ -57,7 +57,7 @@
     let mut good = true;
     let mut pages = Vec::new();
     for router in routers {
-        match ask(*router, Method::GET, "/failover") {
+        match request(*router, Method::GET, "/failover") {
             Ok(view) if as_json => println!("{}", json!({ "router": router, "failover": view })),
             Ok(view) => {
                 pages.push(view["page"].clone());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,12 +1,12 @@
 //! The program `paddleproxy`.
 
 mod days;
-mod fellows;
+mod failover;
 mod operators;
+mod peers;
 mod run;
 mod soak;
-mod stores;
-mod zones;
+mod store;
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -42,7 +42,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
-pub enum StoreWord {
+pub enum StoreCommand {
     /// Says what does not fit; exit 1 where something is damaged.
     Check,
     /// Prints every live entry.
@@ -56,7 +56,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
-pub enum WorkersWord {
+pub enum WorkersCommand {
     /// What each router knows.
     List,
     /// No new work to it.
@@ -70,7 +70,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
-pub enum PeersWord {
+pub enum PeersCommand {
     /// How each stands and what it holds of the others, side by side; what differs is marked.
     List,
     /// Prints what changes.
@@ -80,7 +80,7 @@
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
-pub enum FailoverWord {
+pub enum FailoverCommand {
     /// What each router sees of zones, and which plan is in force there.
     Plan,
     /// Why a zone's sessions have their homes where they have.
@@ -109,7 +109,7 @@
 }
 
 impl DayFailover {
-    fn decides(self) -> FailoverMode {
+    fn mode(self) -> FailoverMode {
         match self {
             DayFailover::Common => FailoverMode::Configured,
             DayFailover::Off => FailoverMode::NoFailover,
@@ -154,7 +154,7 @@
     /// Lists servers at routers, or says something of one.
     Workers {
         #[arg(value_enum)]
-        what: WorkersWord,
+        what: WorkersCommand,
         /// The server; not for `list` and `accept`.
         name: Option<String>,
         /// Admin addresses of routers.
@@ -166,7 +166,7 @@
     /// What routers know of each other.
     Peers {
         #[arg(value_enum)]
-        what: PeersWord,
+        what: PeersCommand,
         /// The fellow by its name or place; for `explain`.
         name: Option<String>,
         /// Admin addresses of routers.
@@ -181,7 +181,7 @@
     /// Failover between zones: what routers see and agreed, and operators' words on a zone.
     Failover {
         #[arg(value_enum)]
-        what: FailoverWord,
+        what: FailoverCommand,
         /// The zone; not for `plan`.
         zone: Option<String>,
         /// Admin addresses of routers; a word is said to the first that answers, and told to all by it.
@@ -196,7 +196,7 @@
     /// Looks at a router's store, or mends it. `check`, `dump` and `stats` change nothing.
     Store {
         #[arg(value_enum)]
-        what: StoreWord,
+        what: StoreCommand,
         /// The directory `store` under a router's `state-dir`.
         dir: PathBuf,
         #[arg(long, value_enum, default_value_t = Format::Text)]
@@ -227,7 +227,7 @@
         #[arg(long, value_enum, default_value_t = DayFailover::Common)]
         failover: DayFailover,
         /// System calls of routers that fail, as NAME=PART of their calls.
-        #[arg(long, value_delimiter = ',', value_parser = run::fault)]
+        #[arg(long, value_delimiter = ',', value_parser = run::parse_fault)]
         faults: Vec<(paddleproxy_faults::Fault, f64)>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
@@ -269,7 +269,7 @@
         #[arg(long, default_value_t = 1)]
         count: u64,
         /// How long clients come in each play, in seconds.
-        #[arg(long = "for", default_value = "30s", value_parser = soak::seconds)]
+        #[arg(long = "for", default_value = "30s", value_parser = soak::parse_duration_s)]
         for_s: f64,
         /// Router processes of each play; drawn from the seed where absent.
         #[arg(long, value_parser = clap::value_parser!(u16).range(1..=40))]
@@ -385,31 +385,31 @@
             let logs = logs.with_filter_reloading();
             let handle = logs.reload_handle();
             logs.init();
-            setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
+            log_setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
         }
         LogFormat::Json => {
             let logs = logs.json().with_filter_reloading();
             let handle = logs.reload_handle();
             logs.init();
-            setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
+            log_setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
         }
     };
     let done = match arguments.command {
         Command::Serve { config } => run::serve(&config, set_log),
         Command::Platform { config } => run::platform(config),
-        Command::Store { what, dir, format } => stores::run(what, &dir, format == Format::Json),
+        Command::Store { what, dir, format } => store::run(what, &dir, format == Format::Json),
         Command::Status { routers, format } => operators::status(&routers, format == Format::Json),
         Command::Peers { what, name, routers, for_s, format } => {
-            fellows::run(what, name.as_deref(), &routers, for_s, format == Format::Json)
+            peers::run(what, name.as_deref(), &routers, for_s, format == Format::Json)
         }
         Command::Workers { what, name, routers, format } => {
             operators::workers(what, name.as_deref(), &routers, format == Format::Json)
         }
         Command::Check { files, format } => run::check(&files, format == Format::Json),
-        Command::Demo { keep: true, .. } => run::keep(),
+        Command::Demo { keep: true, .. } => run::keep_demo_running(),
         Command::Demo { format, .. } => run::demo(format == Format::Json),
         Command::Day { file, out, failover, faults, format } => {
-            let varied = run::DayVaried { out, decides: failover.decides(), faults };
+            let varied = run::DayOptions { out, failover_mode: failover.mode(), faults };
             run::day(&file, varied, format == Format::Json)
         }
         Command::Days { files, failover, at_once, format } => {
@@ -420,18 +420,18 @@
             days::scripts(&common, from, count, &out, format == Format::Json)
         }
         Command::Failover { what, zone, routers, for_min, format } => {
-            zones::run(what, zone.as_deref(), &routers, for_min, format == Format::Json)
+            failover::run(what, zone.as_deref(), &routers, for_min, format == Format::Json)
         }
         Command::Soak { seed, count, for_s, processes, troubles, script, program, out, shrink, format } => {
             let processes = processes.map(usize::from);
             let wanted =
-                soak::Wanted { seed, count, for_s, processes, troubles, script, program, out, shrink };
+                soak::SoakOptions { seed, count, for_s, processes, troubles, script, program, out, shrink };
             soak::run(&wanted, format == Format::Json)
         }
         Command::Audit { dir, format } => run::audit(&dir, format == Format::Json),
         Command::Bench { alone, quick, format } => run::bench(alone, quick, format == Format::Json),
         Command::Rehearse { file, routers, fleets, load, seed, policy, html, out, format } => {
-            let varied = run::Varied { routers, fleets, load, seed, policy };
+            let varied = run::RehearsalOptions { routers, fleets, load, seed, policy };
             run::rehearse(&file, &varied, html.as_deref(), out.as_deref(), format == Format::Json)
         }
         Command::Experiment { file, csv, html } => run::experiment(&file, &csv, html.as_deref()),
@@ -451,7 +451,7 @@
 }
 
 /// Changes what is logged while the program runs.
-fn setter(
+fn log_setter(
     reload: impl Fn(tracing_subscriber::EnvFilter) -> Result<(), String> + 'static,
 ) -> paddleproxy_router::LogSetter {
     Box::new(move |wanted: &str| {
--- a/crates/cli/src/operators.rs
+++ b/crates/cli/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of running routers and say to them, over the admin port.
+//! What operators request of running routers and say to them, over the admin port.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::run::on_one_thread;
-use crate::WorkersWord;
+use crate::run::block_on_local_set;
+use crate::WorkersCommand;
 
 const WITHIN: Duration = Duration::from_secs(5);
 
 /// One short question to an admin port.
-pub fn ask(router: SocketAddr, method: Method, path: &str) -> Result<Value> {
+pub fn request(router: SocketAddr, method: Method, path: &str) -> Result<Value> {
     ensure!(router.ip().is_loopback(), "{router} is not on the loopback range");
-    on_one_thread(async move {
+    block_on_local_set(async move {
         let answer = timeout(WITHIN, exchange(router, method, path)).await;
         answer.with_context(|| format!("{router} does not answer"))?
     })
@@ -42,26 +42,31 @@
     Ok(value)
 }
 
-pub fn encode(name: &str) -> Result<&str> {
+pub fn check_name(name: &str) -> Result<&str> {
     let plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-_.+:".contains(&byte);
     ensure!(!name.is_empty() && name.bytes().all(plain), "'{name}' is no name");
     Ok(name)
 }
 
-pub fn workers(what: WorkersWord, name: Option<&str>, routers: &[SocketAddr], as_json: bool) -> Result<bool> {
+pub fn workers(
+    what: WorkersCommand,
+    name: Option<&str>,
+    routers: &[SocketAddr],
+    as_json: bool,
+) -> Result<bool> {
     let path = match (what, name) {
-        (WorkersWord::List, None) => return list(routers, as_json, false),
-        (WorkersWord::Accept, None) => "/list/accept".to_owned(),
-        (WorkersWord::List | WorkersWord::Accept, Some(_)) => bail!("this takes no name"),
+        (WorkersCommand::List, None) => return list(routers, as_json, false),
+        (WorkersCommand::Accept, None) => "/list/accept".to_owned(),
+        (WorkersCommand::List | WorkersCommand::Accept, Some(_)) => bail!("this takes no name"),
         (_, None) => bail!("which server? give its name"),
-        (WorkersWord::Drain, Some(name)) => format!("/workers/drain?name={}", encode(name)?),
-        (WorkersWord::Undrain, Some(name)) => format!("/workers/undrain?name={}", encode(name)?),
-        (WorkersWord::Quarantine, Some(name)) => format!("/workers/quarantine?name={}", encode(name)?),
+        (WorkersCommand::Drain, Some(name)) => format!("/workers/drain?name={}", check_name(name)?),
+        (WorkersCommand::Undrain, Some(name)) => format!("/workers/undrain?name={}", check_name(name)?),
+        (WorkersCommand::Quarantine, Some(name)) => format!("/workers/quarantine?name={}", check_name(name)?),
     };
     let mut good = true;
     for router in routers {
         // One router that can't be reached must not keep the others from hearing.
-        match ask(*router, Method::POST, &path) {
+        match request(*router, Method::POST, &path) {
             Ok(answer) if as_json => {
                 println!("{}", json!({ "router": router, "revision": answer["revision"] }))
             }
@@ -82,7 +87,7 @@
 fn list(routers: &[SocketAddr], as_json: bool, sources: bool) -> Result<bool> {
     let mut good = true;
     for router in routers {
-        match ask(*router, Method::GET, "/status") {
+        match request(*router, Method::GET, "/status") {
             Ok(answer) if as_json => println!("{}", json!({ "router": router, "status": answer })),
             Ok(answer) => print!("{}", text(*router, &answer, sources)),
             Err(cause) => {
--- a/crates/cli/src/fellows.rs
+++ b/crates/cli/src/peers.rs
@@ -8,8 +8,8 @@
 use hyper::Method;
 use serde_json::{json, Value};
 
-use crate::operators::ask;
-use crate::PeersWord;
+use crate::operators::request;
+use crate::PeersCommand;
 
 /// How often `watch` looks.
 const EVERY: Duration = Duration::from_millis(500);
@@ -17,18 +17,18 @@
 type Views = Vec<(SocketAddr, Result<Value>)>;
 
 fn views(routers: &[SocketAddr]) -> Views {
-    routers.iter().map(|router| (*router, ask(*router, Method::GET, "/peers"))).collect()
+    routers.iter().map(|router| (*router, request(*router, Method::GET, "/peers"))).collect()
 }
 
 pub fn run(
-    what: PeersWord,
+    what: PeersCommand,
     name: Option<&str>,
     routers: &[SocketAddr],
     for_s: f64,
     as_json: bool,
 ) -> Result<bool> {
     match what {
-        PeersWord::List => {
+        PeersCommand::List => {
             let views = views(routers);
             if as_json {
                 views.iter().for_each(|(router, view)| println!("{}", line(*router, view)));
@@ -37,8 +37,8 @@
             }
             Ok(views.iter().all(|(_, view)| view.is_ok()))
         }
-        PeersWord::Watch => watch(routers, for_s, as_json),
-        PeersWord::Explain => {
+        PeersCommand::Watch => watch(routers, for_s, as_json),
+        PeersCommand::Explain => {
             let name = name.context("which router? give its name or its place")?;
             let views = views(routers);
             let told = explain(&views, name);
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -16,13 +16,13 @@
 use tokio::sync::watch;
 
 /// Runs on one thread, tasks on a `LocalSet`.
-pub fn on_one_thread<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
+pub fn block_on_local_set<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     tokio::task::LocalSet::new().block_on(&runtime, work)
 }
 
 /// Turns true at SIGTERM or SIGINT.
-fn stopped() -> Result<watch::Receiver<bool>> {
+fn stop_signal() -> Result<watch::Receiver<bool>> {
     let (sender, receiver) = watch::channel(false);
     let (mut term, mut int) = (signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?);
     tokio::task::spawn_local(async move {
@@ -36,7 +36,7 @@
 }
 
 /// One line on standard output that says where a started program listens.
-fn say(line: &serde_json::Value) {
+fn print_line(line: &serde_json::Value) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
@@ -44,10 +44,10 @@
 pub fn serve(config: &Path, log: paddleproxy_router::LogSetter) -> Result<bool> {
     let text = settings::read_text(config)?;
     let settings = settings::router::parse(&config.display().to_string(), &text)?;
-    on_one_thread(async move {
-        let stop = stopped()?;
+    block_on_local_set(async move {
+        let stop = stop_signal()?;
         let ready = |at: paddleproxy_router::Listening| {
-            say(&json!({ "listening": at.clients, "admin": at.admin, "peers": at.peers }));
+            print_line(&json!({ "listening": at.clients, "admin": at.admin, "peers": at.peers }));
         };
         if let Some(wanted) = &settings.log {
             log(wanted).map_err(|why| anyhow::anyhow!("'log': {why}"))?;
@@ -63,7 +63,7 @@
     let named = || std::env::var_os("EDGE_CONFIG").map(PathBuf::from);
     let config =
         config.or_else(named).context("EDGE_CONFIG: names no configuration, and neither does --config")?;
-    on_one_thread(async move { paddleproxy_gateway::run(&config).await })?;
+    block_on_local_set(async move { paddleproxy_gateway::run(&config).await })?;
     Ok(true)
 }
 
@@ -103,10 +103,10 @@
 pub fn fleet(config: &Path) -> Result<bool> {
     let text = settings::read_text(config)?;
     let settings = settings::fleet::parse(&config.display().to_string(), &text)?;
-    on_one_thread(async move {
-        let mut stop = stopped()?;
+    block_on_local_set(async move {
+        let mut stop = stop_signal()?;
         let fleet = Fleet::start(settings, Record::clock_only()).await.context("starting the fleet")?;
-        say(&json!({ "list": fleet.list_address, "servers": fleet.names().count() }));
+        print_line(&json!({ "list": fleet.list_address, "servers": fleet.names().count() }));
         while !*stop.borrow_and_update() && stop.changed().await.is_ok() {}
         Ok(true)
     })
@@ -124,7 +124,7 @@
     let dir = std::env::temp_dir().join(format!("paddleproxy-demo-{}", std::process::id()));
     std::fs::create_dir_all(&dir).with_context(|| format!("making {}", dir.display()))?;
     let control = Control::create(&dir.join("faults"), day.seed)?;
-    let good = played(day, &[], &control, &dir, as_json)?;
+    let good = play_day(day, &[], &control, &dir, as_json)?;
     if good {
         std::fs::remove_dir_all(&dir).with_context(|| format!("removing {}", dir.display()))?;
     } else {
@@ -134,7 +134,7 @@
 }
 
 /// The demo's routers and stand-ins, for clients to try.
-pub fn keep() -> Result<bool> {
+pub fn keep_demo_running() -> Result<bool> {
     let parts = DEMO.map(|(file, text)| (file.to_owned(), text.to_owned()));
     let day = settings::day::parse(&parts)?;
     let dir = std::env::temp_dir().join(format!("paddleproxy-demo-{}", std::process::id()));
@@ -142,10 +142,10 @@
     let names = &day.router.names;
     let models: Vec<_> = names.workloads.iter().flat_map(|row| row.models.clone()).collect();
     let keys: Vec<_> = names.customers.iter().flat_map(|row| row.keys.clone()).collect();
-    let kept = on_one_thread(async {
-        let stop = stopped()?;
+    let kept = block_on_local_set(async {
+        let stop = stop_signal()?;
         let ready = |routers: &[std::net::SocketAddr]| {
-            say(&json!({ "routers": routers, "models": models, "keys": keys }));
+            print_line(&json!({ "routers": routers, "models": models, "keys": keys }));
         };
         play::keep(day.clone(), program.as_path(), &dir, ready, stop).await
     });
@@ -154,15 +154,15 @@
 }
 
 /// How a day differs from its document.
-pub struct DayVaried {
+pub struct DayOptions {
     pub out: Option<PathBuf>,
-    pub decides: FailoverMode,
+    pub failover_mode: FailoverMode,
     /// System calls of routers that fail: each with the part of its calls.
     pub faults: Vec<(Fault, f64)>,
 }
 
 /// Reads `NAME=PART`: a fault of system calls and the part of its calls that it hits.
-pub fn fault(text: &str) -> Result<(Fault, f64), String> {
+pub fn parse_fault(text: &str) -> Result<(Fault, f64), String> {
     let (name, part) = text.split_once('=').ok_or_else(|| format!("'{text}' is not NAME=PART"))?;
     let known = || Fault::ALL.map(Fault::name).join(", ");
     let fault =
@@ -185,15 +185,15 @@
     Ok(play::Program { path: program, environment })
 }
 
-pub fn day(file: &Path, varied: DayVaried, as_json: bool) -> Result<bool> {
-    let DayVaried { out, decides, faults } = varied;
+pub fn day(file: &Path, varied: DayOptions, as_json: bool) -> Result<bool> {
+    let DayOptions { out, failover_mode, faults } = varied;
     let mut day = settings::day::load(file)?;
-    day.set_failover_mode(decides);
+    day.set_failover_mode(failover_mode);
     let dir =
         out.unwrap_or_else(|| std::env::temp_dir().join(format!("paddleproxy-day-{}", std::process::id())));
     std::fs::create_dir_all(&dir).with_context(|| format!("making {}", dir.display()))?;
     let control = Control::create(&dir.join("faults"), day.seed)?;
-    let good = played(day, &faults, &control, &dir, as_json)?;
+    let good = play_day(day, &faults, &control, &dir, as_json)?;
     for (fault, _) in &faults {
         eprintln!("{}: injected {} times", fault.name(), control.injected(*fault)?);
     }
@@ -201,7 +201,7 @@
     Ok(good)
 }
 
-fn played(
+fn play_day(
     day: settings::day::DaySettings,
     faults: &[(Fault, f64)],
     control: &Control,
@@ -213,16 +213,16 @@
         true => play::Program::from(program.as_path()),
         false => with_faults(program, faults, control)?,
     };
-    let (facts, lines) = on_one_thread(play::play(day, program, dir))?;
-    Ok(judged(&facts, &lines, as_json))
+    let (facts, lines) = block_on_local_set(play::play(day, program, dir))?;
+    Ok(print_report(&facts, &lines, as_json))
 }
 
 pub fn audit(dir: &Path, as_json: bool) -> Result<bool> {
     let (facts, lines) = play::read(dir)?;
-    Ok(judged(&facts, &lines, as_json))
+    Ok(print_report(&facts, &lines, as_json))
 }
 
-fn judged(facts: &audit::Facts, lines: &[paddleproxy_fleet::record::Line], as_json: bool) -> bool {
+fn print_report(facts: &audit::Facts, lines: &[paddleproxy_fleet::record::Line], as_json: bool) -> bool {
     let report = report::report(facts, lines);
     match as_json {
         true => println!("{}", serde_json::to_string(&report).unwrap_or_default()),
@@ -237,8 +237,8 @@
     let plan = if quick { Plan::quick() } else { Plan::default() };
     let say = |step: &str| eprintln!("measuring: {step}");
     let report = match alone {
-        true => on_one_thread(paddleproxy_bench::run_alone(&plan, say))?,
-        false => on_one_thread(paddleproxy_bench::run(&program, &plan, say))?,
+        true => block_on_local_set(paddleproxy_bench::run_alone(&plan, say))?,
+        false => block_on_local_set(paddleproxy_bench::run(&program, &plan, say))?,
     };
     match as_json {
         true => println!("{}", serde_json::to_string(&report)?),
@@ -248,7 +248,7 @@
 }
 
 /// How a rehearsal differs from its day.
-pub struct Varied {
+pub struct RehearsalOptions {
     pub routers: Option<usize>,
     pub fleets: usize,
     pub load: f64,
@@ -258,7 +258,7 @@
 
 pub fn rehearse(
     file: &Path,
-    varied: &Varied,
+    varied: &RehearsalOptions,
     html: Option<&Path>,
     out: Option<&Path>,
     as_json: bool,
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -8,10 +8,10 @@
 use paddleproxy_soak::report::Report;
 use paddleproxy_soak::shrink::shrink;
 
-use crate::run::on_one_thread;
+use crate::run::block_on_local_set;
 
 /// What is asked for.
-pub struct Wanted {
+pub struct SoakOptions {
     pub seed: u64,
     pub count: u64,
     pub for_s: f64,
@@ -24,16 +24,16 @@
 }
 
 /// The longest play, in seconds.
-const LONGEST_S: f64 = 3600.0;
+const MAX_DURATION_S: f64 = 3600.0;
 
 /// Reads a length of time: `30`, `30s` or `5m`.
-pub fn seconds(text: &str) -> Result<f64, String> {
+pub fn parse_duration_s(text: &str) -> Result<f64, String> {
     let (number, unit_s) = match text.strip_suffix('m') {
         Some(minutes) => (minutes, 60.0),
         None => (text.strip_suffix('s').unwrap_or(text), 1.0),
     };
     let length_s = number.parse::<f64>().ok().map(|number| number * unit_s);
-    let length_s = length_s.filter(|length_s| (10.0..=LONGEST_S).contains(length_s));
+    let length_s = length_s.filter(|length_s| (10.0..=MAX_DURATION_S).contains(length_s));
     length_s.ok_or_else(|| format!("'{text}' is no length between 10s and 60m"))
 }
 
@@ -52,33 +52,33 @@
     Ok(kinds)
 }
 
-fn plans(wanted: &Wanted) -> Result<Vec<Plan>> {
-    if wanted.script.is_empty() {
-        let kinds = kinds(&wanted.troubles)?;
-        let seeds = wanted.seed..wanted.seed.saturating_add(wanted.count);
-        return Ok(seeds.map(|seed| Plan::draw(seed, wanted.for_s, wanted.processes, &kinds)).collect());
+fn plans(options: &SoakOptions) -> Result<Vec<Plan>> {
+    if options.script.is_empty() {
+        let kinds = kinds(&options.troubles)?;
+        let seeds = options.seed..options.seed.saturating_add(options.count);
+        return Ok(seeds.map(|seed| Plan::draw(seed, options.for_s, options.processes, &kinds)).collect());
     }
     let mut plans = Vec::new();
-    for file in &wanted.script {
+    for file in &options.script {
         let text = std::fs::read_to_string(file).with_context(|| format!("reading {}", file.display()))?;
         plans.push(Plan::parse(&text).with_context(|| format!("script {}", file.display()))?);
     }
     Ok(plans)
 }
 
-/// Plays what is wanted; whether every play kept every rule.
-pub fn run(wanted: &Wanted, as_json: bool) -> Result<bool> {
-    let plans = plans(wanted)?;
-    let program = match &wanted.program {
+/// Plays what is options; whether every play kept every rule.
+pub fn run(options: &SoakOptions, as_json: bool) -> Result<bool> {
+    let plans = plans(options)?;
+    let program = match &options.program {
         Some(program) => program.clone(),
         None => std::env::current_exe().context("finding this program")?,
     };
     let temporary = std::env::temp_dir().join(format!("paddleproxy-soak-{}", std::process::id()));
-    let dir = wanted.out.clone().unwrap_or(temporary);
+    let dir = options.out.clone().unwrap_or(temporary);
     let mut kept = true;
     for plan in &plans {
         let room = dir.join(format!("seed-{}", plan.seed));
-        let played = on_one_thread(play(plan, &program, &room))?;
+        let played = block_on_local_set(play(plan, &program, &room))?;
         let report = Report::of(&played);
         match as_json {
             true => println!("{}", serde_json::to_string(&report)?),
@@ -88,7 +88,7 @@
             std::fs::remove_dir_all(&room).with_context(|| format!("removing {}", room.display()))?;
         } else {
             kept = false;
-            keep(&played, &report, &program, wanted.shrink)?;
+            keep(&played, &report, &program, options.shrink)?;
         }
     }
     if kept {
@@ -103,7 +103,7 @@
     let mut plan = played.plan.clone();
     if smaller {
         let dir = played.dir.join("smaller");
-        plan = on_one_thread(shrink(plan, &report.rules(), program, &dir))?;
+        plan = block_on_local_set(shrink(plan, &report.rules(), program, &dir))?;
     }
     let script = played.dir.join("script.json");
     std::fs::write(&script, serde_json::to_string_pretty(&plan)?)?;
--- a/crates/cli/src/stores.rs
+++ b/crates/cli/src/store.rs
@@ -9,14 +9,14 @@
 use paddleproxy_store::{retention, Disk, Key};
 use serde_json::json;
 
-use crate::StoreWord;
+use crate::StoreCommand;
 
-pub fn run(what: StoreWord, dir: &Path, as_json: bool) -> Result<bool> {
+pub fn run(what: StoreCommand, dir: &Path, as_json: bool) -> Result<bool> {
     anyhow::ensure!(dir.is_dir(), "{} is no directory", dir.display());
     let found = inspect(&mut Disk::open_read_only(dir))?;
     match what {
-        StoreWord::Check => Ok(check(&found, as_json)),
-        StoreWord::Dump => {
+        StoreCommand::Check => Ok(check(&found, as_json)),
+        StoreCommand::Dump => {
             for (key, entry) in &found.entries {
                 let (kind, bytes) = (key.kind.name(), entry.value.len());
                 let value = serde_json::from_slice::<serde_json::Value>(&entry.value).ok();
@@ -34,7 +34,7 @@
             }
             Ok(true)
         }
-        StoreWord::Stats => {
+        StoreCommand::Stats => {
             let mut kinds = std::collections::BTreeMap::<String, usize>::new();
             found.entries.keys().for_each(|key| *kinds.entry(key.kind.name()).or_default() += 1);
             let live: u64 = found.entries.values().map(|entry| entry.bytes).sum();
@@ -54,14 +54,14 @@
             }
             Ok(true)
         }
-        StoreWord::Compact | StoreWord::Repair => {
+        StoreCommand::Compact | StoreCommand::Repair => {
             let router = found.router.context("there is nothing that could be read")?;
             let disk = Disk::open(dir).context("opening it; the router must not run")?;
             let mut store = Store::open(disk, Options { router, ..Options::default() })?;
             for finding in &store.findings {
                 println!("{} at byte {}: {}: mended", finding.segment, finding.offset, finding.what);
             }
-            if what == StoreWord::Compact {
+            if what == StoreCommand::Compact {
                 store.compact()?;
             }
             let stats = store.stats();
