--- a/crates/cli/src/failover.rs
+++ b/crates/cli/src/failover.rs
@@ -1,4 +1,4 @@
-//! Failover between zones, as operators see it and speak of it.
+//! `failover`: shows the routers' failover plan and sends operator commands for a zone.
 
 use std::net::SocketAddr;
 
@@ -12,41 +12,42 @@
 const MINUTE_MS: f64 = 60_000.0;
 
 pub fn run(
-    what: FailoverCommand,
+    command: FailoverCommand,
     zone: Option<&str>,
     routers: &[SocketAddr],
     for_min: f64,
     as_json: bool,
 ) -> Result<bool> {
-    let word = match (what, zone) {
+    let path_segment = match (command, zone) {
         (FailoverCommand::Plan, None) => return plan(routers, None, as_json),
         (FailoverCommand::Plan, Some(_)) => bail!("'plan' takes no zone; 'explain' does"),
         (FailoverCommand::Explain, zone) => {
-            let zone = zone.context("which zone? give its name")?;
+            let zone = zone.context("a zone name is required")?;
             return plan(routers, Some(zone), as_json);
         }
         (FailoverCommand::Hold, _) => "hold",
         (FailoverCommand::DrainZone, _) => "drain-zone",
         (FailoverCommand::Return, _) => "return",
     };
-    let zone = check_name(zone.context("which zone? give its name")?)?;
-    ensure!(for_min.is_finite() && for_min >= 0.0, "--for is a time in minutes from 0");
-    let path = format!("/failover/{word}?zone={zone}&for_ms={}", for_min * MINUTE_MS);
-    // One is enough: it tells the others. A second would say it anew, under a stamp of its own.
-    let mut last = None;
+    let zone = check_name(zone.context("a zone name is required")?)?;
+    ensure!(for_min.is_finite() && for_min >= 0.0, "--for must be a finite number of minutes, 0 or more");
+    let path = format!("/failover/{path_segment}?zone={zone}&for_ms={}", for_min * MINUTE_MS);
+    // One router is enough: it passes the command on to the others. Sending it to a second router would issue
+    // another command with a stamp of its own.
+    let mut last_error = None;
     for router in routers {
         match request(*router, Method::POST, &path) {
-            Ok(said) => {
+            Ok(answer) => {
                 match as_json {
-                    true => println!("{}", json!({ "router": router, "said": said })),
-                    false => println!("{router}: {word} {zone}, for {for_min} minutes"),
+                    true => println!("{}", json!({ "router": router, "said": answer })),
+                    false => println!("{router}: {path_segment} {zone}, for {for_min} minutes"),
                 }
                 return Ok(true);
             }
-            Err(cause) => last = Some(cause),
+            Err(error) => last_error = Some(error),
         }
     }
-    Err(last.context("no router was named")?)
+    Err(last_error.context("no router was named")?)
 }
 
 fn text(value: &Value) -> &str {
@@ -54,43 +55,45 @@
 }
 
 fn plan(routers: &[SocketAddr], zone: Option<&str>, as_json: bool) -> Result<bool> {
-    let mut good = true;
-    let mut pages = Vec::new();
+    let mut all_answered = true;
+    let mut allocations = Vec::new();
     for router in routers {
         match request(*router, Method::GET, "/failover") {
             Ok(view) if as_json => println!("{}", json!({ "router": router, "failover": view })),
             Ok(view) => {
-                pages.push(view["page"].clone());
-                print!("{}", told(*router, &view, zone)?);
+                allocations.push(view["page"].clone());
+                print!("{}", plan_text(*router, &view, zone)?);
             }
-            Err(cause) => {
-                good = false;
+            Err(error) => {
+                all_answered = false;
                 match as_json {
-                    true => println!("{}", json!({ "router": router, "error": format!("{cause:#}") })),
-                    false => println!("{router}: {cause:#}"),
+                    true => println!("{}", json!({ "router": router, "error": format!("{error:#}") })),
+                    false => println!("{router}: {error:#}"),
                 }
             }
         }
     }
-    if pages.windows(2).any(|pair| pair[0] != pair[1]) {
+    if allocations.windows(2).any(|pair| pair[0] != pair[1]) {
         println!("* they go by different pages; within a lease that is how a new one comes about");
     }
-    Ok(good)
+    Ok(all_answered)
 }
 
-fn told(router: SocketAddr, view: &Value, only: Option<&str>) -> Result<String> {
-    let page = match view["page"].as_u64() {
-        Some(page) => format!("page {page}, plan {}", view["plan"].as_u64().unwrap_or(0)),
+/// One router's plan as text; `only` limits it to one zone and adds the observations of that zone.
+fn plan_text(router: SocketAddr, view: &Value, only: Option<&str>) -> Result<String> {
+    let allocation = match view["page"].as_u64() {
+        Some(number) => format!("page {number}, plan {}", view["plan"].as_u64().unwrap_or(0)),
         None => "no page in force: homes are where hashes say".to_owned(),
     };
-    let (moved, all) = (view["moved"].as_f64().unwrap_or(0.0), view["completions"].as_f64().unwrap_or(0.0));
+    let (moved, completions) =
+        (view["moved"].as_f64().unwrap_or(0.0), view["completions"].as_f64().unwrap_or(0.0));
     let mut out = format!(
-        "{} at {router} ({}): {}, {}; {page}; {:.4} of its completions had their home near\n",
+        "{} at {router} ({}): {}, {}; {allocation}; {:.4} of its completions had their home near\n",
         text(&view["name"]),
         text(&view["zone"]),
         text(&view["mind"]),
         text(&view["why"]),
-        1.0 - moved / all.max(1.0),
+        1.0 - moved / completions.max(1.0),
     );
     let rows = view["zones"].as_array().into_iter().flatten();
     let rows: Vec<&Value> = rows.filter(|row| only.is_none_or(|only| row["zone"] == only)).collect();
@@ -115,23 +118,23 @@
             number("capacity_per_s"),
             if moves.is_empty() { "homes are near".to_owned() } else { moves.join(", ") },
         );
-        if let Some(word) = row["word"]["word"].as_str() {
-            let left = row["word"]["left_ms"].as_f64().unwrap_or(0.0) / MINUTE_MS;
-            out += &format!("; operators said {word}, {left:.1} minutes left");
+        if let Some(command) = row["word"]["word"].as_str() {
+            let left_min = row["word"]["left_ms"].as_f64().unwrap_or(0.0) / MINUTE_MS;
+            out += &format!("; operators said {command}, {left_min:.1} minutes left");
         }
         if let Some(flaps) = row["flaps"].as_u64().filter(|flaps| *flaps > 0) {
             out += &format!("; went out {flaps} times while it came back, so it comes back slower");
         }
         out.push('\n');
         if only.is_some() {
-            out += &seen(row);
+            out += &observations_text(row);
         }
     }
     Ok(out)
 }
 
-/// What routers of each zone met there of late.
-fn seen(row: &Value) -> String {
+/// What the routers of each zone recently observed in this zone.
+fn observations_text(row: &Value) -> String {
     let mut out = format!(
         "    {:<10} {:>7} {:>9} {:>6} {:>8} {:>7} {:>7} {:>6} {:>9} {:>7}\n",
         "seen from",
@@ -145,12 +148,12 @@
         "answered",
         "usable"
     );
-    for seen in row["seen"].as_array().into_iter().flatten() {
-        let count = |name: &str| format!("{:.1}", seen[name].as_f64().unwrap_or(0.0));
+    for observed in row["seen"].as_array().into_iter().flatten() {
+        let count = |name: &str| format!("{:.1}", observed[name].as_f64().unwrap_or(0.0));
         out += &format!(
             "    {:<10} {:>7} {:>9} {:>6} {:>8} {:>7} {:>7} {:>6} {:>9} {:>7}\n",
-            text(&seen["from"]),
-            seen["routers"],
+            text(&observed["from"]),
+            observed["routers"],
             count("in_target"),
             count("late"),
             count("refused"),
@@ -158,7 +161,7 @@
             count("broken"),
             count("full"),
             count("answered"),
-            format!("{}/{}", seen["usable"], seen["listed"]),
+            format!("{}/{}", observed["usable"], observed["listed"]),
         );
     }
     out
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,6 @@
-//! The program `paddleproxy`.
+//! Command line of `paddleproxy`: arguments, log setup and exit codes.
+//!
+//! Exit code 0: success. 1: the command ran, but a check failed or a router could not be queried. 2: error.
 
 mod days;
 mod failover;
@@ -15,16 +17,16 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use paddleproxy_settings::day_failover::FailoverMode;
 
-/// Routes completions over readers, writers and mixed model servers.
+/// Routes completions to reader, writer and mixed model servers.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
-    /// Log lines on standard error: one JSON object each, or readable text.
+    /// Format of log lines on standard error: one JSON object each, or readable text.
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
-    /// What is logged, as `level` or `target=level,...`.
+    /// Log filter, as `level` or `target=level,...`.
     #[arg(long, global = true, default_value = "warn")]
     log: String,
 }
@@ -43,68 +45,68 @@
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
 pub enum StoreCommand {
-    /// Says what does not fit; exit 1 where something is damaged.
+    /// Reports inconsistencies; exits with 1 if anything is damaged.
     Check,
     /// Prints every live entry.
     Dump,
-    /// Counts and sizes.
+    /// Prints counts and sizes.
     Stats,
-    /// Writes a snapshot in place of the log. The router must not run.
+    /// Replaces the log with a snapshot. The router must not be running.
     Compact,
-    /// Cuts off what is torn and keeps aside what is damaged. The router must not run.
+    /// Truncates torn records and sets damaged files aside. The router must not be running.
     Repair,
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
 pub enum WorkersCommand {
-    /// What each router knows.
+    /// Lists the servers that each router knows.
     List,
-    /// No new work to it.
+    /// Sends the server no new work.
     Drain,
     /// Ends a drain or a quarantine.
     Undrain,
-    /// Sets it aside as broken.
+    /// Takes the server out of use as broken.
     Quarantine,
-    /// Takes the version of the list that is held.
+    /// Accepts the version of the server list that is held back.
     Accept,
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
 pub enum PeersCommand {
-    /// How each stands and what it holds of the others, side by side; what differs is marked.
+    /// Shows each router's status and its view of the others side by side; differences are marked.
     List,
-    /// Prints what changes.
+    /// Prints changes as they occur.
     Watch,
-    /// By what words and when each router came to what it thinks of one.
+    /// Shows the updates, with their times and senders, that led each router to its view of one peer.
     Explain,
 }
 
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
 pub enum FailoverCommand {
-    /// What each router sees of zones, and which plan is in force there.
+    /// Shows each router's view of the zones and the plan in force there.
     Plan,
-    /// Why a zone's sessions have their homes where they have.
+    /// Explains why a zone's sessions have their homes where they do.
     Explain,
-    /// The zone's sessions stay where they are now, whatever is seen.
+    /// Keeps the zone's sessions where they are now, whatever is observed.
     Hold,
-    /// The zone's sessions move away, as far as others have room.
+    /// Moves the zone's sessions away, as far as other zones have capacity.
     DrainZone,
-    /// The zone's sessions come back.
+    /// Moves the zone's sessions back.
     Return,
 }
 
-/// Who decides on failover in a day.
+/// How failover is decided in a day.
 #[derive(Clone, Copy, ValueEnum, PartialEq, Eq)]
 enum DayFailover {
-    /// The routers in common, as the day's settings say.
+    /// The routers decide together, as the day's settings say.
     Common,
-    /// Nobody: routers without `failover`.
+    /// No failover: routers run without `failover`.
     Off,
-    /// Nobody, and routers don't know each other: without `peers`, and without relays between them.
+    /// No failover and no contact between routers: they run without `peers` and without relays between them.
     Strangers,
-    /// Each router by its own evidence.
+    /// Each router decides from its own evidence.
     Alone,
-    /// Operators' words tell the true state one exchange late.
+    /// Operator commands report the true state one exchange late.
     Told,
 }
 
@@ -132,18 +134,19 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs one router until it is told to stop.
+    /// Runs one router until SIGTERM or SIGINT.
     Serve {
         #[arg(long)]
         config: PathBuf,
     },
-    /// Runs one router on the operators' platform, by the configuration that EDGE_CONFIG names, until SIGTERM.
+    /// Runs one router on the operators' platform, with the configuration file that EDGE_CONFIG names, until
+    /// SIGTERM.
     Platform {
-        /// Instead of the file that EDGE_CONFIG names.
+        /// Configuration file to use instead of the one that EDGE_CONFIG names.
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// What routers know of their servers, and where they have it from.
+    /// Shows what routers know of their servers, and the sources of it.
     Status {
         /// Admin addresses of routers.
         #[arg(long = "router", required = true)]
@@ -151,11 +154,11 @@
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Lists servers at routers, or says something of one.
+    /// Lists the servers of routers, or sends the routers a command for one server.
     Workers {
         #[arg(value_enum)]
         what: WorkersCommand,
-        /// The server; not for `list` and `accept`.
+        /// Name of the server; not for `list` and `accept`.
         name: Option<String>,
         /// Admin addresses of routers.
         #[arg(long = "router", required = true)]
@@ -163,37 +166,38 @@
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// What routers know of each other.
+    /// Shows what routers know of each other.
     Peers {
         #[arg(value_enum)]
         what: PeersCommand,
-        /// The fellow by its name or place; for `explain`.
+        /// The peer by name or index (`place`); for `explain`.
         name: Option<String>,
         /// Admin addresses of routers.
         #[arg(long = "router", required = true)]
         routers: Vec<std::net::SocketAddr>,
-        /// How long `watch` goes on, in seconds.
+        /// How long `watch` runs, in seconds.
         #[arg(long = "for", default_value_t = 3600.0)]
         for_s: f64,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Failover between zones: what routers see and agreed, and operators' words on a zone.
+    /// Failover between zones: shows what routers observe and agreed on, or sends an operator command for a
+    /// zone.
     Failover {
         #[arg(value_enum)]
         what: FailoverCommand,
-        /// The zone; not for `plan`.
+        /// Name of the zone; not for `plan`.
         zone: Option<String>,
-        /// Admin addresses of routers; a word is said to the first that answers, and told to all by it.
+        /// Admin addresses of routers; a command goes to the first that answers, which passes it on to all.
         #[arg(long = "router", required = true)]
         routers: Vec<std::net::SocketAddr>,
-        /// How long a word holds, in minutes.
+        /// How long a command stays in force, in minutes.
         #[arg(long = "for", default_value_t = 60.0)]
         for_min: f64,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Looks at a router's store, or mends it. `check`, `dump` and `stats` change nothing.
+    /// Inspects or repairs a router's store. `check`, `dump` and `stats` change nothing.
     Store {
         #[arg(value_enum)]
         what: StoreCommand,
@@ -202,164 +206,168 @@
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Checks KDL documents of any kind and explains what is wrong.
+    /// Validates KDL documents of any kind and explains their errors.
     Check {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays the short day that comes with the program: 3 routers, 12 stand-ins, some troubles; prints the verdict.
+    /// Plays the short day built into the program (3 routers, 12 emulated servers, some faults); prints the
+    /// verdict.
     Demo {
-        /// Plays nothing, but keeps the routers and stand-ins running until it is told to stop, and says where.
+        /// Plays no day: starts the routers and emulated servers, prints the routers' addresses and runs
+        /// until SIGTERM or SIGINT.
         #[arg(long)]
         keep: bool,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays a scripted day and judges the five rules from what the sockets carried.
+    /// Plays a scripted day and checks the five rules against the recorded socket traffic.
     Day {
         file: PathBuf,
-        /// Where the record goes; a new folder for temporary files where absent.
+        /// Directory of the record; defaults to a new temporary directory.
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Who decides on failover, where the day has it.
+        /// How failover is decided, if the day has it.
         #[arg(long, value_enum, default_value_t = DayFailover::Common)]
         failover: DayFailover,
-        /// System calls of routers that fail, as NAME=PART of their calls.
+        /// Faults of the routers' system calls, as NAME=PART; PART is the fraction of calls that fail.
         #[arg(long, value_delimiter = ',', value_parser = run::parse_fault)]
         faults: Vec<(paddleproxy_faults::Fault, f64)>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays several days, each in every way of deciding on failover that is named, and prints one table.
+    /// Plays several days, each with every failover mode that is named, and prints one table.
     Days {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(long, value_enum, value_delimiter = ',', default_value = "common")]
         failover: Vec<DayFailover>,
-        /// Days played at once.
+        /// Number of days played at once.
         #[arg(long, default_value_t = 3)]
         at_once: usize,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays random scripts of faults between processes; one that breaks a rule is made smaller and printed.
+    /// Plays random scripts of faults between processes; one that breaks a rule is minimized and printed.
     Scripts {
-        /// The document that every script includes.
+        /// Document that every script includes.
         #[arg(long, default_value = "days/fellows-common.kdl")]
         common: PathBuf,
-        /// Seed of the first.
+        /// Seed of the first script.
         #[arg(long, default_value_t = 1)]
         from: u64,
         #[arg(long, default_value_t = 10)]
         count: u64,
-        /// Where scripts go, and records of those that broke a rule.
+        /// Directory for the scripts, and for records of those that broke a rule.
         #[arg(long)]
         out: PathBuf,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays random overlapping faults on real router processes of the platform and judges what the sockets carried.
+    /// Plays random overlapping faults on real router processes of the platform; checks the recorded socket
+    /// traffic.
     Soak {
-        /// Seed of the first play.
+        /// Seed of the first run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Plays, each with the next seed.
+        /// Number of runs, each with the next seed.
         #[arg(long, default_value_t = 1)]
         count: u64,
-        /// How long clients come in each play, in seconds.
+        /// How long clients send requests in each run: `30`, `30s` or `5m`; a bare number is in seconds.
         #[arg(long = "for", default_value = "30s", value_parser = soak::parse_duration_s)]
         for_s: f64,
-        /// Router processes of each play; drawn from the seed where absent.
+        /// Router processes of each run; drawn from the seed by default.
         #[arg(long, value_parser = clap::value_parser!(u16).range(1..=40))]
         processes: Option<u16>,
-        /// Troubles that may come, by name, or `all`.
+        /// Troubles (kinds of faults) that may occur, by name, or `all`.
         #[arg(long, value_delimiter = ',', default_value = "all")]
         troubles: Vec<String>,
-        /// Plays this script instead of drawing one.
+        /// Plays this script instead of a random one.
         #[arg(long)]
         script: Vec<PathBuf>,
-        /// The program whose `platform` command is the router; this one where absent.
+        /// Program whose `platform` command is the router; this one by default.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Where scripts and logs of broken plays go.
+        /// Directory for scripts and logs of runs that broke a rule.
         #[arg(long)]
         out: Option<PathBuf>,
-        /// Makes a broken play smaller before it is kept.
+        /// Minimizes the script of a run that broke a rule before it is saved.
         #[arg(long)]
         shrink: bool,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Judges a recorded day again, from its record alone.
+    /// Checks a recorded day again, from its record alone.
     Audit {
         dir: PathBuf,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays a day in virtual time: the real decisions of all routers, servers, links, list and clients as a model.
+    /// Plays a day in virtual time: real decisions of all routers; modelled servers, links, server list and
+    /// clients.
     Rehearse {
         file: PathBuf,
-        /// Routers instead of the day's.
+        /// Number of routers, instead of the day's.
         #[arg(long)]
         routers: Option<usize>,
-        /// Copies of the day's fleet, each with cells of its own.
+        /// Number of copies of the day's fleet, each with cells of its own.
         #[arg(long, default_value_t = 1)]
         fleets: usize,
-        /// Sessions begun, times the day's.
+        /// Factor on the rate at which the day begins sessions.
         #[arg(long, default_value_t = 1.0)]
         load: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Who decides: `design`, or one of the baselines.
+        /// Routing policy: `design`, or one of the baselines.
         #[arg(long, default_value = "design")]
         policy: String,
-        /// Writes a page with plots over time.
+        /// Writes an HTML page with plots over time to this file.
         #[arg(long)]
         html: Option<PathBuf>,
-        /// Writes the record, for `audit`.
+        /// Writes the record, for `audit`, to this directory.
         #[arg(long)]
         out: Option<PathBuf>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Plays a grid of variations of a day in virtual time over all cores; goes on where it was cut off.
+    /// Plays a grid of variations of a day in virtual time on all cores; resumes after an interruption.
     Experiment {
         file: PathBuf,
-        /// A line for each run; what stands there is not played again.
+        /// Result file, one line for each run; runs that it already holds are not repeated.
         #[arg(long)]
         csv: PathBuf,
-        /// Writes a page with plots.
+        /// Writes an HTML page with plots to this file.
         #[arg(long)]
         html: Option<PathBuf>,
     },
-    /// Plays a day in virtual time with more and more servers and says what that costs.
+    /// Plays a day in virtual time with increasing numbers of servers and reports time and memory.
     Cost {
         file: PathBuf,
-        /// Copies of the day's fleet, in turn.
+        /// Numbers of copies of the day's fleet, played in turn.
         #[arg(long, value_delimiter = ',', default_values_t = [1, 2, 4, 8, 16, 33])]
         fleets: Vec<usize>,
         #[arg(long, default_value_t = 24)]
         routers: usize,
-        /// Writes a page with plots.
+        /// Writes an HTML page with plots to this file.
         #[arg(long)]
         html: Option<PathBuf>,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Loads a router on loopback: added latency, CPU a completion, memory.
+    /// Load-tests a router on loopback: added latency, CPU time per completion, memory.
     Bench {
-        /// Only what needs no router: changes of the list, and the store.
+        /// Runs only the parts that need no router: changes of the server list, and the store.
         #[arg(long)]
         alone: bool,
-        /// A few seconds in all instead of a few minutes.
+        /// Runs for a few seconds in all instead of a few minutes.
         #[arg(long)]
         quick: bool,
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// Runs stand-in model servers and their list service until it is told to stop.
+    /// Runs emulated model servers and their list service until SIGTERM or SIGINT.
     Fleet {
         #[arg(long)]
         config: PathBuf,
@@ -370,12 +378,12 @@
     let arguments = Arguments::parse();
     let filter = match tracing_subscriber::EnvFilter::try_new(&arguments.log) {
         Ok(filter) => filter,
-        Err(cause) => {
-            eprintln!("paddleproxy: --log: {cause}");
+        Err(error) => {
+            eprintln!("paddleproxy: --log: {error}");
             return ExitCode::from(2);
         }
     };
-    // A line that can't be written is lost; telling of it would panic where standard error itself is what fails.
+    // A log line that can't be written is dropped: reporting it would panic if standard error itself fails.
     let logs = tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
@@ -385,16 +393,16 @@
             let logs = logs.with_filter_reloading();
             let handle = logs.reload_handle();
             logs.init();
-            log_setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
+            log_setter(move |filter| handle.reload(filter).map_err(|error| error.to_string()))
         }
         LogFormat::Json => {
             let logs = logs.json().with_filter_reloading();
             let handle = logs.reload_handle();
             logs.init();
-            log_setter(move |filter| handle.reload(filter).map_err(|cause| cause.to_string()))
+            log_setter(move |filter| handle.reload(filter).map_err(|error| error.to_string()))
         }
     };
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Serve { config } => run::serve(&config, set_log),
         Command::Platform { config } => run::platform(config),
         Command::Store { what, dir, format } => store::run(what, &dir, format == Format::Json),
@@ -409,12 +417,12 @@
         Command::Demo { keep: true, .. } => run::keep_demo_running(),
         Command::Demo { format, .. } => run::demo(format == Format::Json),
         Command::Day { file, out, failover, faults, format } => {
-            let varied = run::DayOptions { out, failover_mode: failover.mode(), faults };
-            run::day(&file, varied, format == Format::Json)
+            let options = run::DayOptions { out, failover_mode: failover.mode(), faults };
+            run::day(&file, options, format == Format::Json)
         }
         Command::Days { files, failover, at_once, format } => {
-            let ways: Vec<_> = failover.into_iter().map(DayFailover::name).collect();
-            days::table(&files, &ways, at_once, format == Format::Json)
+            let modes: Vec<_> = failover.into_iter().map(DayFailover::name).collect();
+            days::table(&files, &modes, at_once, format == Format::Json)
         }
         Command::Scripts { common, from, count, out, format } => {
             days::scripts(&common, from, count, &out, format == Format::Json)
@@ -424,15 +432,15 @@
         }
         Command::Soak { seed, count, for_s, processes, troubles, script, program, out, shrink, format } => {
             let processes = processes.map(usize::from);
-            let wanted =
+            let options =
                 soak::SoakOptions { seed, count, for_s, processes, troubles, script, program, out, shrink };
-            soak::run(&wanted, format == Format::Json)
+            soak::run(&options, format == Format::Json)
         }
         Command::Audit { dir, format } => run::audit(&dir, format == Format::Json),
         Command::Bench { alone, quick, format } => run::bench(alone, quick, format == Format::Json),
         Command::Rehearse { file, routers, fleets, load, seed, policy, html, out, format } => {
-            let varied = run::RehearsalOptions { routers, fleets, load, seed, policy };
-            run::rehearse(&file, &varied, html.as_deref(), out.as_deref(), format == Format::Json)
+            let options = run::RehearsalOptions { routers, fleets, load, seed, policy };
+            run::rehearse(&file, &options, html.as_deref(), out.as_deref(), format == Format::Json)
         }
         Command::Experiment { file, csv, html } => run::experiment(&file, &csv, html.as_deref()),
         Command::Cost { file, fleets, routers, html, format } => {
@@ -440,21 +448,21 @@
         }
         Command::Fleet { config } => run::fleet(&config),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(cause) => {
-            let _ = writeln!(std::io::stderr(), "paddleproxy: {cause:#}");
+        Err(error) => {
+            let _ = writeln!(std::io::stderr(), "paddleproxy: {error:#}");
             ExitCode::from(2)
         }
     }
 }
 
-/// Changes what is logged while the program runs.
+/// Returns a function that replaces the log filter while the program runs.
 fn log_setter(
     reload: impl Fn(tracing_subscriber::EnvFilter) -> Result<(), String> + 'static,
 ) -> paddleproxy_router::LogSetter {
-    Box::new(move |wanted: &str| {
-        reload(tracing_subscriber::EnvFilter::try_new(wanted).map_err(|cause| cause.to_string())?)
+    Box::new(move |filter: &str| {
+        reload(tracing_subscriber::EnvFilter::try_new(filter).map_err(|error| error.to_string())?)
     })
 }
--- a/crates/cli/src/peers.rs
+++ b/crates/cli/src/peers.rs
@@ -1,4 +1,4 @@
-//! What routers say of each other, side by side.
+//! `peers`: what routers know of each other, side by side.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,9 +11,10 @@
 use crate::operators::request;
 use crate::PeersCommand;
 
-/// How often `watch` looks.
-const EVERY: Duration = Duration::from_millis(500);
+/// How often `watch` queries the routers.
+const WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
+/// The answer of each router to `GET /peers`.
 type Views = Vec<(SocketAddr, Result<Value>)>;
 
 fn views(routers: &[SocketAddr]) -> Views {
@@ -21,17 +22,17 @@
 }
 
 pub fn run(
-    what: PeersCommand,
+    command: PeersCommand,
     name: Option<&str>,
     routers: &[SocketAddr],
     for_s: f64,
     as_json: bool,
 ) -> Result<bool> {
-    match what {
+    match command {
         PeersCommand::List => {
             let views = views(routers);
             if as_json {
-                views.iter().for_each(|(router, view)| println!("{}", line(*router, view)));
+                views.iter().for_each(|(router, view)| println!("{}", view_json(*router, view)));
             } else {
                 print!("{}", table(&views));
             }
@@ -39,24 +40,24 @@
         }
         PeersCommand::Watch => watch(routers, for_s, as_json),
         PeersCommand::Explain => {
-            let name = name.context("which router? give its name or its place")?;
+            let name = name.context("a router name or index is required")?;
             let views = views(routers);
-            let told = explain(&views, name);
+            let rows = explain(&views, name);
             if as_json {
-                told.iter().for_each(|row| println!("{row}"));
+                rows.iter().for_each(|row| println!("{row}"));
             } else {
-                print!("{}", explained(&told));
+                print!("{}", explanation_text(&rows));
             }
-            anyhow::ensure!(!told.is_empty(), "none of these routers knows a fellow named '{name}'");
+            anyhow::ensure!(!rows.is_empty(), "none of these routers knows a peer named '{name}'");
             Ok(views.iter().all(|(_, view)| view.is_ok()))
         }
     }
 }
 
-fn line(router: SocketAddr, view: &Result<Value>) -> Value {
+fn view_json(router: SocketAddr, view: &Result<Value>) -> Value {
     match view {
         Ok(view) => json!({ "router": router, "peers": view }),
-        Err(cause) => json!({ "router": router, "error": format!("{cause:#}") }),
+        Err(error) => json!({ "router": router, "error": format!("{error:#}") }),
     }
 }
 
@@ -68,30 +69,31 @@
     value.as_f64().map_or("-".into(), |ms| format!("{:.1} s", ms / 1e3))
 }
 
-/// What one router says of each place: its state, itself included.
+/// Name and state of each router in one router's view, itself included, by router index.
 fn states(view: &Value) -> BTreeMap<u64, (String, String)> {
     let rows = view["members"].as_array().into_iter().flatten();
-    let of = |row: &Value| {
+    let entry = |row: &Value| {
         let state = format!("{} {}", text(&row["state"]), row["life"]);
         Some((row["place"].as_u64()?, (text(&row["name"]).to_owned(), state)))
     };
-    let own = view["place"].as_u64().map(|place| {
+    let own_entry = view["place"].as_u64().map(|index| {
         let name = text(&view["name"]).to_owned();
-        (place, (name, format!("alive {}", view["life"])))
+        (index, (name, format!("alive {}", view["life"])))
     });
-    rows.filter_map(of).chain(own).collect()
+    rows.filter_map(entry).chain(own_entry).collect()
 }
 
-fn head(router: SocketAddr, view: &Value) -> String {
+fn view_header(router: SocketAddr, view: &Value) -> String {
     let shares = &view["shares"];
-    let of = shares["of"].as_array().into_iter().flatten().filter_map(Value::as_f64);
-    let of: Vec<_> = of.map(|share| format!("{share:.3}")).collect();
-    let held = match shares["for_ms"].as_f64() {
+    let each = shares["of"].as_array().into_iter().flatten().filter_map(Value::as_f64);
+    let each: Vec<_> = each.map(|share| format!("{share:.3}")).collect();
+    let lease = match shares["for_ms"].as_f64() {
         Some(ms) => format!("lent for {:.1} s", ms / 1e3),
         None => "its floor alone".to_owned(),
     };
     let mut text = format!(
-        "{} at {router} ({}, life {}): {}, {}\n  same view as {} of {} heard, page {}, {} of {} routers; shares {} ({held})\n",
+        "{} at {router} ({}, life {}): {}, {}\n  \
+         same view as {} of {} heard, page {}, {} of {} routers; shares {} ({lease})\n",
         text(&view["name"]),
         text(&view["zone"]),
         view["life"],
@@ -102,45 +104,45 @@
         view["page"]["number"],
         shares["rank"],
         shares["routers"],
-        of.join(" "),
+        each.join(" "),
     );
-    for (name, what) in
+    for (field, label) in
         [("deaf_to", "can't hear"), ("unheard_by", "is not heard by"), ("differ", "differs from")]
     {
-        let places: Vec<_> = view[name].as_array().into_iter().flatten().map(Value::to_string).collect();
-        if !places.is_empty() {
-            text += &format!("  {what} places {}\n", places.join(" "));
+        let indexes: Vec<_> = view[field].as_array().into_iter().flatten().map(Value::to_string).collect();
+        if !indexes.is_empty() {
+            text += &format!("  {label} places {}\n", indexes.join(" "));
         }
     }
-    if let Some(wrong) = view["counts"]["wrong"].as_u64().filter(|wrong| *wrong > 0) {
-        text += &format!("  {wrong} letters dropped that were none\n");
+    if let Some(invalid) = view["counts"]["wrong"].as_u64().filter(|invalid| *invalid > 0) {
+        text += &format!("  {invalid} letters dropped that were none\n");
     }
     text
 }
 
-/// A row for each place, a column for each router; `*` where they differ.
+/// Table with a row for each router and a column for each view; `*` marks rows where the views differ.
 fn table(views: &Views) -> String {
     let mut out = String::new();
     let mut columns = Vec::new();
     for (router, view) in views {
         match view {
             Ok(view) => {
-                out += &head(*router, view);
+                out += &view_header(*router, view);
                 columns.push((format!("by {}", view["place"]), states(view)));
             }
-            Err(cause) => out += &format!("{router}: {cause:#}\n"),
+            Err(error) => out += &format!("{router}: {error:#}\n"),
         }
     }
-    let places: BTreeSet<u64> = columns.iter().flat_map(|(_, rows)| rows.keys().copied()).collect();
+    let indexes: BTreeSet<u64> = columns.iter().flat_map(|(_, rows)| rows.keys().copied()).collect();
     out += &format!("\n  {:<5} {:<16}", "place", "name");
-    columns.iter().for_each(|(by, _)| out += &format!(" {by:<12}"));
+    columns.iter().for_each(|(heading, _)| out += &format!(" {heading:<12}"));
     out.push('\n');
-    for place in places {
+    for index in indexes {
         let cells: Vec<_> =
-            columns.iter().map(|(_, rows)| rows.get(&place).map(|(_, state)| state.clone())).collect();
-        let name = columns.iter().find_map(|(_, rows)| rows.get(&place)).map_or("-", |(name, _)| name);
+            columns.iter().map(|(_, rows)| rows.get(&index).map(|(_, state)| state.clone())).collect();
+        let name = columns.iter().find_map(|(_, rows)| rows.get(&index)).map_or("-", |(name, _)| name);
         let differs = cells.iter().any(|cell| *cell != cells[0]);
-        out += &format!("{} {place:<5} {name:<16}", if differs { "*" } else { " " });
+        out += &format!("{} {index:<5} {name:<16}", if differs { "*" } else { " " });
         for cell in cells {
             out += &format!(" {:<12}", cell.unwrap_or_else(|| "unknown".into()));
         }
@@ -149,45 +151,56 @@
     out
 }
 
-/// By what words and when each router came to what it thinks of one.
+/// For each router, the updates, with their times and senders, that led to its view of the named peer.
 fn explain(views: &Views, name: &str) -> Vec<Value> {
-    let mut told = Vec::new();
-    let place = name.parse::<u64>().ok();
+    let mut explanations = Vec::new();
+    let index = name.parse::<u64>().ok();
     for (router, view) in views {
         let Ok(view) = view else { continue };
         let rows = view["members"].as_array().into_iter().flatten();
-        let known = |row: &&Value| row["name"] == name || place.is_some() && row["place"].as_u64() == place;
-        if let Some(row) = rows.clone().find(known) {
+        let matches = |row: &&Value| row["name"] == name || index.is_some() && row["place"].as_u64() == index;
+        if let Some(row) = rows.clone().find(matches) {
             let names: BTreeMap<u64, &str> =
                 rows.filter_map(|row| Some((row["place"].as_u64()?, row["name"].as_str()?))).collect();
             let mut row = row.clone();
             for change in row["history"].as_array_mut().into_iter().flatten() {
-                let by = change["by"].as_u64().unwrap_or(u64::MAX);
-                let own = Some(by) == view["place"].as_u64();
-                let by =
-                    if own { text(&view["name"]) } else { names.get(&by).copied().unwrap_or("one unknown") };
-                change["by_name"] = by.into();
+                let sender = change["by"].as_u64().unwrap_or(u64::MAX);
+                let own = Some(sender) == view["place"].as_u64();
+                let sender_name = if own {
+                    text(&view["name"])
+                } else {
+                    names.get(&sender).copied().unwrap_or("one unknown")
+                };
+                change["by_name"] = sender_name.into();
             }
-            told.push(json!({ "router": router, "by": view["name"], "member": row }));
-        } else if view["name"] == name || place.is_some() && view["place"].as_u64() == place {
-            told.push(json!({
-                "router": router, "by": view["name"], "itself": true, "mind": view["mind"], "why": view["why"],
+            explanations.push(json!({ "router": router, "by": view["name"], "member": row }));
+        } else if view["name"] == name || index.is_some() && view["place"].as_u64() == index {
+            explanations.push(json!({
+                "router": router, "by": view["name"], "itself": true,
+                "mind": view["mind"], "why": view["why"],
                 "life": view["life"], "incarnation": view["incarnation"], "deaf_to": view["deaf_to"],
-                "unheard_by": view["unheard_by"], "health": view["health"], "refuted": view["counts"]["refuted"],
+                "unheard_by": view["unheard_by"], "health": view["health"],
+                "refuted": view["counts"]["refuted"],
             }));
         }
     }
-    told
+    explanations
 }
 
-fn explained(told: &[Value]) -> String {
+fn explanation_text(explanations: &[Value]) -> String {
     let mut out = String::new();
-    for row in told {
+    for row in explanations {
         let by = text(&row["by"]);
         if row["itself"] == true {
             out += &format!(
-                "{by} says of itself: {}, {}; life {}, incarnation {}, refuted {} times, doubts itself {} of 8\n",
-                text(&row["mind"]), text(&row["why"]), row["life"], row["incarnation"], row["refuted"], row["health"],
+                "{by} says of itself: {}, {}; life {}, incarnation {}, refuted {} times, \
+                 doubts itself {} of 8\n",
+                text(&row["mind"]),
+                text(&row["why"]),
+                row["life"],
+                row["incarnation"],
+                row["refuted"],
+                row["health"],
             );
             continue;
         }
@@ -217,17 +230,17 @@
     out
 }
 
-/// Prints what changes, until the time is over or the program is ended.
+/// Prints changes of each router's view for `for_s` seconds.
 fn watch(routers: &[SocketAddr], for_s: f64, as_json: bool) -> Result<bool> {
-    let began = Instant::now();
-    let mut before = BTreeMap::new();
+    let start = Instant::now();
+    let mut last_seen = BTreeMap::new();
     loop {
         for (router, view) in views(routers) {
             let now = match &view {
                 Ok(view) => {
                     let rows: Vec<_> = states(view)
                         .into_iter()
-                        .map(|(place, (_, state))| format!("{place} {state}"))
+                        .map(|(index, (_, state))| format!("{index} {state}"))
                         .collect();
                     let page = &view["page"]["number"];
                     format!(
@@ -237,22 +250,25 @@
                         rows.join(", ")
                     )
                 }
-                Err(cause) => format!("{cause:#}"),
+                Err(error) => format!("{error:#}"),
             };
-            if before.get(&router) != Some(&now) {
-                let at_s = began.elapsed().as_secs_f64();
+            if last_seen.get(&router) != Some(&now) {
+                let at_s = start.elapsed().as_secs_f64();
                 match as_json {
                     true => {
-                        println!("{}", json!({ "at_s": at_s, "router": router, "now": line(router, &view) }))
+                        println!(
+                            "{}",
+                            json!({ "at_s": at_s, "router": router, "now": view_json(router, &view) })
+                        )
                     }
                     false => println!("{at_s:.1} s {router}: {now}"),
                 }
-                before.insert(router, now);
+                last_seen.insert(router, now);
             }
         }
-        if began.elapsed().as_secs_f64() >= for_s {
+        if start.elapsed().as_secs_f64() >= for_s {
             return Ok(true);
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(WATCH_INTERVAL);
     }
 }
--- a/crates/cli/src/soak.rs
+++ b/crates/cli/src/soak.rs
@@ -1,4 +1,4 @@
-//! `soak`: random overlapping faults on real router processes, one play after the other.
+//! `soak`: plays random overlapping faults on real router processes, one run after the other.
 
 use std::path::{Path, PathBuf};
 
@@ -10,7 +10,6 @@
 
 use crate::run::block_on_local_set;
 
-/// What is asked for.
 pub struct SoakOptions {
     pub seed: u64,
     pub count: u64,
@@ -23,10 +22,10 @@
     pub shrink: bool,
 }
 
-/// The longest play, in seconds.
+/// The longest run.
 const MAX_DURATION_S: f64 = 3600.0;
 
-/// Reads a length of time: `30`, `30s` or `5m`.
+/// Parses a duration of 10 s to 60 min, such as `30`, `30s` or `5m`.
 pub fn parse_duration_s(text: &str) -> Result<f64, String> {
     let (number, unit_s) = match text.strip_suffix('m') {
         Some(minutes) => (minutes, 60.0),
@@ -34,7 +33,7 @@
     };
     let length_s = number.parse::<f64>().ok().map(|number| number * unit_s);
     let length_s = length_s.filter(|length_s| (10.0..=MAX_DURATION_S).contains(length_s));
-    length_s.ok_or_else(|| format!("'{text}' is no length between 10s and 60m"))
+    length_s.ok_or_else(|| format!("'{text}' is not a duration from 10s to 60m"))
 }
 
 fn kinds(names: &[String]) -> Result<Vec<Kind>> {
@@ -45,7 +44,7 @@
     for name in names {
         let Some(kind) = Kind::named(name) else {
             let known: Vec<_> = Kind::all().into_iter().map(Kind::name).collect();
-            bail!("--troubles: '{name}' is none; there are: all, {}", known.join(", "));
+            bail!("--troubles: unknown trouble '{name}'; known: all, {}", known.join(", "));
         };
         kinds.push(kind);
     }
@@ -66,42 +65,42 @@
     Ok(plans)
 }
 
-/// Plays what is options; whether every play kept every rule.
+/// Plays the scripts or random plans and returns whether every run kept every rule.
 pub fn run(options: &SoakOptions, as_json: bool) -> Result<bool> {
     let plans = plans(options)?;
     let program = match &options.program {
         Some(program) => program.clone(),
         None => std::env::current_exe().context("finding this program")?,
     };
-    let temporary = std::env::temp_dir().join(format!("paddleproxy-soak-{}", std::process::id()));
-    let dir = options.out.clone().unwrap_or(temporary);
-    let mut kept = true;
+    let temp_dir = std::env::temp_dir().join(format!("paddleproxy-soak-{}", std::process::id()));
+    let dir = options.out.clone().unwrap_or(temp_dir);
+    let mut all_kept = true;
     for plan in &plans {
-        let room = dir.join(format!("seed-{}", plan.seed));
-        let played = block_on_local_set(play(plan, &program, &room))?;
+        let run_dir = dir.join(format!("seed-{}", plan.seed));
+        let played = block_on_local_set(play(plan, &program, &run_dir))?;
         let report = Report::of(&played);
         match as_json {
             true => println!("{}", serde_json::to_string(&report)?),
             false => print!("{}", report.text()),
         }
         if report.kept() {
-            std::fs::remove_dir_all(&room).with_context(|| format!("removing {}", room.display()))?;
+            std::fs::remove_dir_all(&run_dir).with_context(|| format!("removing {}", run_dir.display()))?;
         } else {
-            kept = false;
-            keep(&played, &report, &program, options.shrink)?;
+            all_kept = false;
+            save_script(&played, &report, &program, options.shrink)?;
         }
     }
-    if kept {
-        // Only if nothing is left in it.
+    if all_kept {
+        // Fails, and leaves the directory in place, if it is not empty.
         let _ = std::fs::remove_dir(&dir);
     }
-    Ok(kept)
+    Ok(all_kept)
 }
 
-/// Keeps the script of a broken play, as small as it can be made.
-fn keep(played: &Played, report: &Report, program: &Path, smaller: bool) -> Result<()> {
+/// Saves the script of a run that broke a rule, minimized on request.
+fn save_script(played: &Played, report: &Report, program: &Path, minimize: bool) -> Result<()> {
     let mut plan = played.plan.clone();
-    if smaller {
+    if minimize {
         let dir = played.dir.join("smaller");
         plan = block_on_local_set(shrink(plan, &report.rules(), program, &dir))?;
     }
--- a/crates/cli/tests/failover.rs
+++ b/crates/cli/tests/failover.rs
@@ -98,7 +98,7 @@
     };
     refused(&["hold", "nowhere"], "'nowhere' is none of north, south, west");
     refused(&["hold", "west", "--for", "100000"], "for_ms");
-    refused(&["hold"], "which zone");
+    refused(&["hold"], "a zone name is required");
     refused(&["explain", "nowhere"], "knows no zone");
     assert!(word(&admin, "west").is_null());
 }
