--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -4,8 +4,8 @@
 
 use paddleproxy_day::report::{report, Report};
 
-/// What the judge says of it.
-pub fn played(name: &str) -> Report {
+/// Plays the day with this file name and returns the checker's report.
+pub fn play_day(name: &str) -> Report {
     let day = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../days").join(name);
     let day = paddleproxy_settings::day::load(&day).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_paddleproxy"));
--- a/crates/cli/tests/failover.rs
+++ b/crates/cli/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Operators' words on zones, by the program: said, told, kept over a kill, refused where they are none.
+//! Operator commands for zones, sent with the program: they take effect, survive a kill of the router and are
+//! refused if invalid.
 
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -15,15 +16,17 @@
     }
 }
 
-/// One router of the days' own settings, with or without failover; where its operators reach it.
-fn serve(dir: &Path, failover: bool) -> (Router, String) {
+/// Starts one router with the settings of the days, with or without `failover`; also returns its admin
+/// address.
+fn start_router(dir: &Path, failover: bool) -> (Router, String) {
     let block = "failover {\n    region \"east\" \"north\" \"south\"\n    region \"far\" \"west\"\n}\n";
-    let own = format!(
-        "day \"d\" {{\n    length \"1s\"\n    rest \"1s\"\n    seed 1\n    routers 1\n    drain-grace \"1s\"\n}}\n{}",
+    let day_text = format!(
+        "day \"d\" {{\n    length \"1s\"\n    rest \"1s\"\n    seed 1\n    routers 1\n    \
+         drain-grace \"1s\"\n}}\n{}",
         if failover { block } else { "" }
     );
     let common = include_str!("../../../days/fellows-common.kdl").to_owned();
-    let day = parse(&[("d.kdl".into(), own), ("common.kdl".into(), common)]).unwrap();
+    let day = parse(&[("d.kdl".into(), day_text), ("common.kdl".into(), common)]).unwrap();
     let text = day.router_document(&RouterOverrides {
         number: 0,
         zone: "north",
@@ -45,18 +48,20 @@
         .unwrap();
     let mut line = String::new();
     BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let said: serde_json::Value = serde_json::from_str(&line).unwrap();
-    (Router(child), said["admin"].as_str().unwrap().to_owned())
+    let printed: serde_json::Value = serde_json::from_str(&line).unwrap();
+    (Router(child), printed["admin"].as_str().unwrap().to_owned())
 }
 
-fn says(admin: &str, words: &[&str]) -> Output {
-    let mut all = vec!["failover"];
-    all.extend(words);
-    Command::new(env!("CARGO_BIN_EXE_paddleproxy")).args(all).args(["--router", admin]).output().unwrap()
+/// Runs `paddleproxy failover` with these arguments.
+fn failover_command(admin: &str, arguments: &[&str]) -> Output {
+    let mut command = vec!["failover"];
+    command.extend(arguments);
+    Command::new(env!("CARGO_BIN_EXE_paddleproxy")).args(command).args(["--router", admin]).output().unwrap()
 }
 
-fn word(admin: &str, zone: &str) -> serde_json::Value {
-    let out = says(admin, &["plan", "--format", "json"]);
+/// The operator command in force for a zone, as the router shows it.
+fn command_in_force(admin: &str, zone: &str) -> serde_json::Value {
+    let out = failover_command(admin, &["plan", "--format", "json"]);
     assert!(out.status.success());
     let view: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
     let zones = view["failover"]["zones"].as_array().unwrap().clone();
@@ -64,50 +69,51 @@
 }
 
 #[test]
-fn a_word_is_kept_over_a_kill_and_the_newest_holds() {
+fn a_command_survives_a_kill_and_the_newest_one_is_in_force() {
     let dir = tempfile::tempdir().unwrap();
-    let (router, admin) = serve(dir.path(), true);
-    assert!(word(&admin, "west").is_null());
-    assert!(says(&admin, &["drain-zone", "west", "--for", "30"]).status.success());
-    assert!(says(&admin, &["hold", "west", "--for", "5"]).status.success());
-    assert_eq!(word(&admin, "west")["word"], "hold");
-    assert!(word(&admin, "north").is_null());
-    // Killed outright; the next process on the directory knows it, and no longer for it.
+    let (router, admin) = start_router(dir.path(), true);
+    assert!(command_in_force(&admin, "west").is_null());
+    assert!(failover_command(&admin, &["drain-zone", "west", "--for", "30"]).status.success());
+    assert!(failover_command(&admin, &["hold", "west", "--for", "5"]).status.success());
+    assert_eq!(command_in_force(&admin, "west")["word"], "hold");
+    assert!(command_in_force(&admin, "north").is_null());
+    // After SIGKILL, the next process on the same directory restores the command and does not extend its
+    // duration.
     drop(router);
-    let (_router, admin) = serve(dir.path(), true);
-    let kept = word(&admin, "west");
-    assert_eq!(kept["word"], "hold");
-    let left_ms = kept["left_ms"].as_f64().unwrap();
+    let (_router, admin) = start_router(dir.path(), true);
+    let restored = command_in_force(&admin, "west");
+    assert_eq!(restored["word"], "hold");
+    let left_ms = restored["left_ms"].as_f64().unwrap();
     assert!(left_ms > 60_000.0 && left_ms <= 300_000.0, "{left_ms}");
-    assert!(says(&admin, &["return", "west", "--for", "1"]).status.success());
-    assert_eq!(word(&admin, "west")["word"], "return");
-    // What it says to people.
-    let text = String::from_utf8(says(&admin, &["explain", "west"]).stdout).unwrap();
+    assert!(failover_command(&admin, &["return", "west", "--for", "1"]).status.success());
+    assert_eq!(command_in_force(&admin, "west")["word"], "return");
+    // The text output.
+    let text = String::from_utf8(failover_command(&admin, &["explain", "west"]).stdout).unwrap();
     assert!(text.contains("operators said return") && text.contains("seen from"), "{text}");
 }
 
 #[test]
-fn what_is_no_word_is_refused_and_changes_nothing() {
+fn an_invalid_command_is_refused_and_changes_nothing() {
     let dir = tempfile::tempdir().unwrap();
-    let (_router, admin) = serve(dir.path(), true);
-    let refused = |words: &[&str], what: &str| {
-        let out = says(&admin, words);
-        assert_eq!(out.status.code(), Some(2), "{words:?}");
+    let (_router, admin) = start_router(dir.path(), true);
+    let refused = |arguments: &[&str], expected: &str| {
+        let out = failover_command(&admin, arguments);
+        assert_eq!(out.status.code(), Some(2), "{arguments:?}");
         let text = String::from_utf8(out.stderr).unwrap();
-        assert!(text.contains(what), "{words:?}: {text}");
+        assert!(text.contains(expected), "{arguments:?}: {text}");
     };
     refused(&["hold", "nowhere"], "'nowhere' is none of north, south, west");
     refused(&["hold", "west", "--for", "100000"], "for_ms");
     refused(&["hold"], "a zone name is required");
     refused(&["explain", "nowhere"], "knows no zone");
-    assert!(word(&admin, "west").is_null());
+    assert!(command_in_force(&admin, "west").is_null());
 }
 
 #[test]
-fn without_failover_it_says_so() {
+fn a_router_without_failover_refuses_commands() {
     let dir = tempfile::tempdir().unwrap();
-    let (_router, admin) = serve(dir.path(), false);
-    let out = says(&admin, &["hold", "west"]);
+    let (_router, admin) = start_router(dir.path(), false);
+    let out = failover_command(&admin, &["hold", "west"]);
     assert_eq!(out.status.code(), Some(2));
     let text = String::from_utf8(out.stderr).unwrap();
     assert!(text.contains("no 'failover' in its settings"), "{text}");
--- a/crates/cli/tests/shapes.rs
+++ b/crates/cli/tests/shapes.rs
@@ -1,21 +1,24 @@
-//! Routers of the old shape (probes, reports, weights, second copies) and of the new (none of them) before the same
-//! stand-ins on sockets, with drains, a death and fresh servers: the rules hold and neither kind starves the other.
+//! Routers of the old shape (with probes, load reports, weights and second copies) and of the new shape
+//! (without them) share the same emulated servers on sockets, with drains, a server failure and servers in
+//! slow start: the rules are kept and neither shape starves the other.
 
 mod common;
 
-use common::played;
+use common::play_day;
 
-/// The most that the kinds' shares in target may lie apart, and the least share of either. Both serve the same clients
-/// on the same machine, so a slow machine lowers both; a kind that is crowded out falls far under the other.
-const APART: f64 = 0.15;
-const LEAST: f64 = 0.6;
+/// Largest allowed difference between the two shapes' shares of requests in target. Both serve the same
+/// clients on the same machine, so a slow machine lowers both shares; a starved shape falls far below the
+/// other.
+const MAX_SHARE_DIFFERENCE: f64 = 0.15;
+/// Smallest allowed share of requests in target for each shape.
+const MIN_SHARE: f64 = 0.6;
 
 #[test]
-fn both_shapes_before_the_same_servers_keep_the_rules_and_starve_neither() {
-    let report = played("both-shapes.kdl");
+fn both_shapes_on_the_same_servers_keep_the_rules_and_do_not_starve_each_other() {
+    let report = play_day("both-shapes.kdl");
     for rule in &report.rules {
         println!("{}: {} cases", rule.name, rule.cases);
-        assert!(rule.cases > 0, "{}: nothing was looked at", rule.name);
+        assert!(rule.cases > 0, "{}: no case was checked", rule.name);
         assert_eq!(rule.broken, Vec::<String>::new(), "{}", rule.name);
     }
     let shapes: Vec<_> = report.shapes.iter().map(|row| row.name.as_str()).collect();
@@ -23,10 +26,10 @@
     for row in &report.shapes {
         println!("{}: {} asked, {:.3} in target", row.name, row.asked, row.in_target);
         assert!(row.asked > 30, "{}: {} asked", row.name, row.asked);
-        assert!(row.in_target >= LEAST, "{}: {:.3} in target", row.name, row.in_target);
+        assert!(row.in_target >= MIN_SHARE, "{}: {:.3} in target", row.name, row.in_target);
     }
-    let apart = (report.shapes[0].in_target - report.shapes[1].in_target).abs();
-    assert!(apart <= APART, "the kinds lie {apart:.3} apart in target");
+    let difference = (report.shapes[0].in_target - report.shapes[1].in_target).abs();
+    assert!(difference <= MAX_SHARE_DIFFERENCE, "the shapes' shares in target differ by {difference:.3}");
     let notice = report.workloads.iter().find(|row| row.name == "notice").map_or(0, |row| row.asked);
     assert!(notice > 5, "{notice} non-idempotent completions");
 }
--- a/crates/cli/tests/system_calls.rs
+++ b/crates/cli/tests/system_calls.rs
@@ -1,5 +1,5 @@
-//! Routers of the platform whose system calls fail now and then, and whose wall clock is stepped, played with the soak's
-//! stand-ins.
+//! Platform routers whose system calls fail occasionally and whose wall clock is stepped, with the emulated
+//! clients and servers of `soak`.
 
 use paddleproxy_faults::Fault;
 use paddleproxy_soak::configuration::{Allowed, LONGEST_DEADLINE_S};
@@ -7,8 +7,8 @@
 use paddleproxy_soak::play::{play, Played};
 use paddleproxy_soak::report::Report;
 
-/// A play of a few routers with these troubles, each with the time at which it begins, in s.
-fn played(troubles: &[(Kind, f64)], length_s: f64) -> Played {
+/// Runs a few routers with these troubles, each with its start time in s.
+fn run_plan(troubles: &[(Kind, f64)], length_s: f64) -> Played {
     let trouble = |(kind, at_s): &(Kind, f64)| Trouble { kind: *kind, at_s: *at_s, for_s: 4.0, pick: 0 };
     let allowed = Allowed { probes: true, cancel: true, second_copies: false };
     let troubles = troubles.iter().map(trouble).collect();
@@ -21,18 +21,20 @@
     local.block_on(&runtime, play(&plan, program, dir.path())).unwrap()
 }
 
-/// A read or a write that takes less than there is says nothing of what comes next.
+/// Reads and writes may transfer fewer bytes than requested; that is neither an error nor an end of the
+/// stream.
 #[test]
 fn short_reads_and_writes_lose_nothing() {
     let troubles = [Fault::ReadShort, Fault::WriteShort].map(|fault| (Kind::System(fault), 1.0));
-    let report = Report::of(&played(&troubles, 6.0));
+    let report = Report::of(&run_plan(&troubles, 6.0));
     assert!(report.injected["write-short"] >= 5, "{:?}", report.injected);
     assert!(report.kept(), "{}", report.text());
     assert!(report.served as f64 >= 0.95 * report.requests as f64, "{}", report.text());
 }
 
-/// Requests that the server that joined got, and the mean of those that servers of its kind got meanwhile.
-fn joined_and_others(played: &Played) -> (f64, f64) {
+/// Number of requests that the joined server got, and the mean number that servers of its kind got in the
+/// same time.
+fn requests_of_joined_and_others(played: &Played) -> (f64, f64) {
     let start = played.seen.starts[0];
     let within = |at_ms: f64| (start.at_ms..start.at_ms + 6000.0).contains(&at_ms);
     let mut counts = std::collections::BTreeMap::<usize, f64>::new();
@@ -40,60 +42,69 @@
         *counts.entry(attempt.server).or_default() += 1.0;
     }
     let joined = counts.remove(&start.server).unwrap_or(0.0);
-    // Rows 2, 3 and 4 of each zone's five are of its kind.
+    // Servers 2, 3 and 4 of each zone's five are of the same kind as the joined one.
     let others: Vec<_> =
         counts.iter().filter(|(server, _)| *server % 5 >= 2).map(|(_, count)| *count).collect();
     (joined, others.iter().sum::<f64>() / others.len().max(1) as f64)
 }
 
-/// A server that starts after the wall clock was stepped is as new as it is: it begins slowly, and is warm in time.
+/// The age of a server that joins after a step of the wall clock is computed correctly: its slow start takes
+/// place and ends in time.
 #[test]
-fn a_server_that_starts_after_the_wall_clock_was_stepped_starts_slowly() {
-    let (calm, _) = joined_and_others(&played(&[(Kind::Join, 2.0)], 9.0));
+fn a_server_that_joins_after_a_wall_clock_step_is_in_slow_start() {
+    let (joined_without_step, _) = requests_of_joined_and_others(&run_plan(&[(Kind::Join, 2.0)], 9.0));
     for step in [Kind::WallBackAnHour, Kind::WallAheadAnHour] {
-        let (joined, others) = joined_and_others(&played(&[(step, 1.0), (Kind::Join, 2.0)], 9.0));
-        let expected = 0.5 * calm..=2.0 * calm + 10.0;
-        assert!(expected.contains(&joined), "{step:?}: {joined}, not about {calm}; others {others}");
+        let (joined, others) =
+            requests_of_joined_and_others(&run_plan(&[(step, 1.0), (Kind::Join, 2.0)], 9.0));
+        let expected = 0.5 * joined_without_step..=2.0 * joined_without_step + 10.0;
+        assert!(
+            expected.contains(&joined),
+            "{step:?}: {joined}, not about {joined_without_step}; others {others}"
+        );
         assert!(joined < 0.75 * others, "{step:?}: {joined} of {others}");
     }
 }
 
-/// Whoever can't be accepted for a moment waits in the listener's queue: nobody else's connection is closed for it.
+/// While accept fails, new connections wait in the listener's queue; the router closes no other connection
+/// for them.
 #[test]
-fn connections_that_can_not_be_accepted_for_a_moment_cost_nobody_an_answer() {
+fn temporary_accept_failures_lose_no_answer() {
     let faults = [Fault::AcceptAborted, Fault::AcceptNoFiles, Fault::AcceptNoBuffers].map(Kind::System);
-    // Connections come anew all the time.
+    // These troubles make clients and servers open new connections all the time.
     let breaks = [Kind::ClientsLeave, Kind::ServersBreakMidway, Kind::ServersFail];
     let troubles: Vec<_> = faults.into_iter().chain(breaks).map(|kind| (kind, 1.0)).collect();
-    let report = Report::of(&played(&troubles, 7.0));
+    let report = Report::of(&run_plan(&troubles, 7.0));
     assert!(report.injected.values().sum::<u64>() >= 10, "{:?}", report.injected);
     assert!(report.kept(), "{}", report.text());
 }
-/// An address that is still in use, or a machine short of descriptors, while a router starts.
+
+/// At the start of a router its address is still in use, or the machine is short of file descriptors.
 #[test]
-fn a_router_starts_although_listening_fails_for_a_moment() {
+fn a_router_starts_despite_temporary_listen_failures() {
     let faults = [Fault::BindFails, Fault::ListenFails, Fault::SocketFails];
     let mut troubles = faults.map(|fault| (Kind::System(fault), 1.0)).to_vec();
     troubles.push((Kind::RouterKill, 1.2));
-    let report = Report::of(&played(&troubles, 8.0));
+    let report = Report::of(&run_plan(&troubles, 8.0));
     assert!(!report.injected.is_empty(), "{:?}", report.injected);
     assert!(report.kept(), "{}", report.text());
 }
 
-/// A configuration that can't be opened for want of descriptors, at a start and with SIGHUP, is read a moment later.
+/// If the configuration can't be opened for want of file descriptors, at a start or on SIGHUP, reading it is
+/// retried.
 #[test]
-fn a_configuration_that_can_not_be_opened_for_a_moment_is_read_all_the_same() {
+fn a_configuration_that_temporarily_can_not_be_opened_is_read_later() {
     let troubles =
         [(Kind::System(Fault::OpenFails), 1.0), (Kind::RouterKill, 1.2), (Kind::RouterReload, 1.0)];
-    let report = Report::of(&played(&troubles, 8.0));
+    let report = Report::of(&run_plan(&troubles, 8.0));
     assert!(!report.injected.is_empty(), "{:?}", report.injected);
     assert!(report.kept(), "{}", report.text());
 }
 
-/// What a server wrote while its router stood still is there when the router goes on: no silence of the server's.
+/// Bytes that a server wrote while the router was paused are read when it resumes; the pause must not count
+/// as silence of the server.
 #[test]
-fn a_stream_that_was_written_while_the_router_stood_still_is_passed_on() {
+fn a_stream_written_while_the_router_was_paused_is_forwarded() {
     let troubles = [1.0, 4.5, 8.0].map(|at_s| (Kind::RouterFreeze, at_s));
-    let report = Report::of(&played(&troubles, 12.0));
+    let report = Report::of(&run_plan(&troubles, 12.0));
     assert!(report.kept(), "{}", report.text());
 }
