--- a/crates/cli/src/days.rs
+++ b/crates/cli/src/days.rs
@@ -146,11 +146,12 @@
 /// Plays random scripts; one that breaks a rule is minimized and printed.
 pub fn scripts(common: &Path, from: u64, count: u64, dir: &Path, as_json: bool) -> Result<bool> {
     let program = std::env::current_exe().context("finding this program")?;
-    let room = Room { program: &program, common, dir };
-    let cast = room.cast()?;
+    let script_runner = Room { program: &program, common, dir };
+    let targets = script_runner.cast()?;
     let mut all_kept = true;
     for seed in from..from.saturating_add(count) {
-        let played = block_on_local_set(room.play(&draw(seed, &cast), &format!("script-{seed}")))?;
+        let played =
+            block_on_local_set(script_runner.play(&draw(seed, &targets), &format!("script-{seed}")))?;
         let kept = played.report.kept;
         let troubles = played.script.troubles.len();
         match as_json {
@@ -159,7 +160,7 @@
         }
         if !kept {
             all_kept = false;
-            let minimized = block_on_local_set(room.shrink(played))?;
+            let minimized = block_on_local_set(script_runner.shrink(played))?;
             let broken = minimized.report.rules.iter().filter(|rule| !rule.broken.is_empty());
             for rule in broken {
                 println!("  {}: {}", rule.name, rule.broken.first().map_or("", String::as_str));
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -146,7 +146,7 @@
         #[arg(long)]
         config: Option<PathBuf>,
     },
-    /// Shows what routers know of their servers, and the sources of it.
+    /// Shows what routers know of their servers, and from which sources.
     Status {
         /// Admin addresses of routers.
         #[arg(long = "router", required = true)]
@@ -342,7 +342,7 @@
         #[arg(long)]
         html: Option<PathBuf>,
     },
-    /// Plays a day in virtual time with increasing numbers of servers and reports time and memory.
+    /// Plays a day in virtual time with more and more servers; reports time, events, dispatches and memory.
     Cost {
         file: PathBuf,
         /// Numbers of copies of the day's fleet, played in turn.
