--- a/crates/fleet/src/http.rs
+++ b/crates/fleet/src/http.rs
@@ -243,7 +243,7 @@
                 });
             }
             DispatchEvent::Refused(refusal) => return Ok(rejected(&server, &ids.request, refusal)),
-            DispatchEvent::Read { cached } => {
+            DispatchEvent::Read { cached_tokens } => {
                 let state = StateReference {
                     do_remote_prefill: true,
                     remote_engine_id: Some(server.name()),
@@ -252,18 +252,18 @@
                     remote_port: Some(server.address.get().port()),
                     ..StateReference::default()
                 };
-                let usage = Some(usage(tokens, cached, 1));
+                let usage = Some(usage(tokens, cached_tokens, 1));
                 let choices = vec![Choice::default()];
                 let completion =
                     Completion { id: ids.request.clone(), choices, usage, kv_transfer_params: Some(state) };
                 drop(open);
                 return Ok(json(&server, 200, serde_json::to_string(&completion).unwrap_or_default()));
             }
-            DispatchEvent::First { cached } => {
+            DispatchEvent::First { cached_tokens } => {
                 server.effect(&ids.request, &ids.key, &request.model, arrived_ms);
                 let lost = server.shared.with_probability(faults.answer_lost);
                 let (sender, chunks) = mpsc::channel(8);
-                let usage = usage(tokens, cached, answer.words.len() as u64);
+                let usage = usage(tokens, cached_tokens, answer.words.len() as u64);
                 let writer = write(guard, events, sender, usage, ids.request, lost, answer);
                 tasks.borrow_mut().spawn_local(writer);
                 let built = Response::builder()
@@ -351,11 +351,11 @@
     let _ = chunks.send(Bytes::from(last)).await;
 }
 
-fn usage(tokens: f64, cached: f64, completion_tokens: u64) -> Usage {
+fn usage(tokens: f64, cached_tokens: f64, completion_tokens: u64) -> Usage {
     Usage {
         prompt_tokens: tokens as u64,
         completion_tokens,
-        prompt_tokens_details: Some(PromptDetails { cached_tokens: cached as u64 }),
+        prompt_tokens_details: Some(PromptDetails { cached_tokens: cached_tokens as u64 }),
     }
 }
 
--- a/crates/fleet/src/server.rs
+++ b/crates/fleet/src/server.rs
@@ -66,11 +66,11 @@
     Fetch,
     /// The prompt was read and its state is held; number of cached tokens.
     Read {
-        cached: f64,
+        cached_tokens: f64,
     },
     /// The first token of the answer; number of cached tokens of the prompt.
     First {
-        cached: f64,
+        cached_tokens: f64,
     },
     /// A further token.
     Token,
@@ -271,24 +271,22 @@
                 tokio::task::yield_now().await;
             }
             // Steps to the scheduled time, not to the current one, so that timer delays don't accumulate.
-            self.update_model(|model, outcomes| model.step(at_ms, outcomes));
+            self.update_model(|model, model_events| model.step(at_ms, model_events));
         }
     }
 
     /// Applies an operation to the model and sends the resulting events to the waiting connections.
     fn update_model<T>(self: &Rc<Self>, update: impl FnOnce(&mut Model, &mut Vec<ServerEvent>) -> T) -> T {
-        let mut outcomes = Vec::new();
-        let result = update(&mut self.state.borrow_mut().model, &mut outcomes);
-        for outcome in outcomes {
-            let (id, event) = match outcome {
+        let mut model_events = Vec::new();
+        let result = update(&mut self.state.borrow_mut().model, &mut model_events);
+        for model_event in model_events {
+            let (id, event) = match model_event {
                 ServerEvent::Fetch(id) => (id, DispatchEvent::Fetch),
                 ServerEvent::Read { id, cached_tokens } => {
                     self.hold_state(id);
-                    (id, DispatchEvent::Read { cached: cached_tokens })
-                }
-                ServerEvent::First { id, cached_tokens } => {
-                    (id, DispatchEvent::First { cached: cached_tokens })
+                    (id, DispatchEvent::Read { cached_tokens })
                 }
+                ServerEvent::First { id, cached_tokens } => (id, DispatchEvent::First { cached_tokens }),
                 ServerEvent::Token(id) => (id, DispatchEvent::Token),
                 ServerEvent::Finished { id } => (id, DispatchEvent::Finished),
                 ServerEvent::Refused { id, refusal } => (id, DispatchEvent::Refused(refusal)),
@@ -342,7 +340,7 @@
             state.waiting.insert(id, (request.to_owned(), Some(sender)));
         }
         let guard = DispatchGuard { server: self.clone(), start: self.start.get(), id };
-        self.update_model(|model, outcomes| model.arrive(now_ms, work, outcomes))?;
+        self.update_model(|model, model_events| model.arrive(now_ms, work, model_events))?;
         Ok((guard, events))
     }
 
@@ -350,7 +348,7 @@
     pub fn fetched(self: &Rc<Self>, start: u64, id: u64, available: bool) {
         if self.start.get() == start {
             let now_ms = self.now_ms();
-            self.update_model(|model, outcomes| model.fetched(now_ms, id, available, outcomes));
+            self.update_model(|model, model_events| model.fetched(now_ms, id, available, model_events));
         }
     }
 
@@ -359,7 +357,7 @@
             *waiter = None;
         }
         let now_ms = self.now_ms();
-        self.update_model(|model, outcomes| model.cancel(now_ms, id, stops_work, outcomes));
+        self.update_model(|model, model_events| model.cancel(now_ms, id, stops_work, model_events));
         let mut state = self.state.borrow_mut();
         if !state.model.has_dispatch(id) {
             state.waiting.remove(&id);
@@ -410,7 +408,7 @@
         let gone = self.state.borrow_mut().states.remove(&block);
         if let Some(gone) = gone {
             let now_ms = self.now_ms();
-            self.update_model(|model, outcomes| model.release_state(now_ms, block, outcomes));
+            self.update_model(|model, model_events| model.release_state(now_ms, block, model_events));
             self.state_gone(&gone.request, why);
         }
     }
@@ -430,7 +428,7 @@
     fn release_reservation(self: &Rc<Self>, reservation: Option<u64>) {
         if let Some(reservation) = reservation {
             let now_ms = self.now_ms();
-            self.update_model(|model, outcomes| model.release_hold(now_ms, reservation, outcomes));
+            self.update_model(|model, model_events| model.release_hold(now_ms, reservation, model_events));
         }
     }
 
