--- a/crates/soak/examples/size.rs
+++ b/crates/soak/examples/size.rs
@@ -37,11 +37,15 @@
 fn cpu_and_peak_memory(process: u32) -> Result<(f64, f64)> {
     const TICKS_PER_S: f64 = 100.0;
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
-    let fields = stat.rsplit(')').next().context("no fields")?;
+    let fields = stat.rsplit(')').next().context("/proc/PID/stat has no process name in parentheses")?;
     let mut times = fields.split_whitespace().skip(11).take(2).map(str::parse::<f64>);
-    let cpu = times.next().context("no time")?? + times.next().context("no time")??;
+    let cpu = times.next().context("/proc/PID/stat has no processor times")??
+        + times.next().context("/proc/PID/stat has no processor times")??;
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).context("no peak")?;
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .context("/proc/PID/status has no VmHWM line")?;
     let kib: f64 = peak.trim().trim_end_matches(" kB").parse()?;
     Ok((cpu / TICKS_PER_S, kib / 1024.0))
 }
@@ -84,7 +88,10 @@
         longest_deadline_s: LONGEST_DEADLINE_S,
     }))?;
     router.start()?;
-    anyhow::ensure!(router.wait_until_ready(Duration::from_secs(20)).await, "the router is never ready");
+    anyhow::ensure!(
+        router.wait_until_ready(Duration::from_secs(20)).await,
+        "the router was not ready within 20 s"
+    );
     let clients = Clients::new(record.clone(), vec![listen], 1, LONGEST_DEADLINE_S);
     let client_tasks: Vec<_> = (0..CONCURRENT_REQUESTS)
         .map(|_| {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -45,7 +45,7 @@
     pub stopped: Cell<bool>,
     /// Number of open requests.
     pub open: Cell<usize>,
-    next: Cell<u64>,
+    next_request: Cell<u64>,
     pub(crate) seed: u64,
     longest_deadline_s: f64,
 }
@@ -69,8 +69,12 @@
 /// The request that a client is about to send, and how it will behave.
 pub(crate) struct PlannedRequest {
     class: RequestClass,
+    /// The client closes its connection this long after sending the request, if the response is not complete by
+    /// then.
     leaves_after_ms: Option<f64>,
+    /// Only the first half is sent.
     half: bool,
+    /// The request is sent in small pieces.
     pieces: bool,
     /// The second half of the request follows the first after this time.
     pub(crate) pause_ms: Option<f64>,
@@ -95,7 +99,7 @@
             behavior: Cell::default(),
             stopped: Cell::new(false),
             open: Cell::new(0),
-            next: Cell::new(0),
+            next_request: Cell::new(0),
             seed,
             longest_deadline_s,
         })
@@ -128,7 +132,7 @@
         let (incoming, generation) = (ReadBuffer::default(), self.record.generation(router));
         let connection = Connection { stream, incoming, responses: 0, router, generation };
         let class = CLASSES[0];
-        let session = fastrand::Rng::with_seed(self.next.get()).u64(..);
+        let session = fastrand::Rng::with_seed(self.next_request.get()).u64(..);
         let deadline_ms = self.deadline_ms(&class);
         let planned_request = PlannedRequest {
             class,
@@ -190,9 +194,9 @@
     }
 
     fn next_id(&self) -> String {
-        let next = self.next.get();
-        self.next.set(next + 1);
-        format!("{next:x}")
+        let number = self.next_request.get();
+        self.next_request.set(number + 1);
+        format!("{number:x}")
     }
 
     pub(crate) async fn send_request(
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -33,7 +33,7 @@
 const TARGET_SHARE: f64 = 0.4;
 
 /// Requests that arrive later than this after SIGTERM, in s, are refused: they must be answered before
-/// SIGKILL. It comes no earlier than this time plus the longest deadline, of which 3 s count at most.
+/// SIGKILL, which comes no earlier than this time plus the longest deadline, of which 3 s count at most.
 pub const REFUSED_AFTER_S: f64 = 0.7;
 const MAX_COUNTED_DEADLINE_S: f64 = 3.0;
 
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -189,7 +189,7 @@
     }
 
     /// Receives new versions of the list while discovery is up. The oracle counts a change as known to the
-    /// router some time after discovery had it, whether or not the router calls.
+    /// router some time after discovery had it, whether or not the router sent a request.
     async fn receive_changes(&self) {
         loop {
             let newest = *self.catalog.version.borrow();
@@ -226,7 +226,7 @@
             };
             let from = number("from");
             let until = Instant::now() + Duration::from_millis(number("hold_ms").unwrap_or(0));
-            // A call that was open while the link was silent is never answered; the next one may be.
+            // A request that was open while the link was silent is never answered; the next one may be.
             let mut never_answered = false;
             let no_changes = |agent: &Agent| from.is_some_and(|from| agent.received_version.get() <= from);
             while never_answered || self.catalog.down.get() || no_changes(self) && Instant::now() < until {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -201,7 +201,7 @@
     pub routers: usize,
     /// What the settings of the routers allow.
     pub allowed: Allowed,
-    /// The longest deadline of requests, in s: a router is killed that long (at most 3 s) and 0.7 s after
+    /// The longest deadline of requests, in s: a router is killed 0.7 s plus this time (at most 3 s) after
     /// SIGTERM.
     #[serde(default = "longest_deadline_s")]
     pub longest_deadline_s: f64,
@@ -209,7 +209,7 @@
     pub troubles: Vec<Trouble>,
 }
 
-/// No troubles occur so long after clients begin and, to let everything recover, before they end, in s.
+/// Time without troubles after the clients begin and, so that everything can recover, before they end, in s.
 const QUIET_START_S: f64 = 3.0;
 const QUIET_END_S: f64 = 4.0;
 /// Time from one group of troubles to the next, in s.
@@ -225,7 +225,8 @@
 
 /// Values of `longest_deadline_s` that a random plan draws from.
 const LONGEST_DEADLINES_S: [f64; 5] = [0.4, 0.8, 1.5, 2.5, 5.0];
-/// What servers do while routers shut down, and how often idle clients use up the descriptors as well.
+/// Troubles of which one accompanies a series of shutdowns, and the probability that idle clients use up the
+/// descriptors of routers as well.
 const SERVER_TROUBLES_AT_SHUTDOWN: [Kind; 5] =
     [Kind::ServersLong, Kind::ServersLong, Kind::ServersHangMidway, Kind::ServersSlow, Kind::ServersHang];
 const IDLE_CLIENTS_PROBABILITY: f64 = 0.35;
--- a/crates/soak/src/troubles.rs
+++ b/crates/soak/src/troubles.rs
@@ -150,12 +150,12 @@
 async fn restart_in_turn(running: &Rc<RunningPlay>, trouble: &Trouble, routers: &[usize]) {
     let mut rng = fastrand::Rng::with_seed(trouble.pick);
     let routers = claim_routers(running, routers);
-    let apart = seconds(trouble.for_s / routers.len().max(1) as f64);
+    let interval = seconds(trouble.for_s / routers.len().max(1) as f64);
     let mut restarts = Vec::new();
     for router in routers {
         let (series, seed) = (SignalSeries::draw(&mut rng), rng.u64(..));
         restarts.push(tokio::task::spawn_local(shutdown::restart(running.clone(), router, series, seed)));
-        sleep(apart).await;
+        sleep(interval).await;
     }
     for task in restarts {
         let _ = task.await;
