--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -229,11 +229,11 @@
     let downtimes = downtimes(lines);
     let spans = peer_rules::spans(lines);
     for ((op, attempt), outcome) in &attempts {
-        let never_taken = matches!(outcome.broke, Some((_, false)));
+        let never_connected = matches!(outcome.broke, Some((_, false)));
         let until_ms = outcome.broke.map_or(f64::INFINITY, |(at, _)| at + 50.0);
         let unanswered = outcome.finals.is_empty();
         let killed = unanswered && went_down_within(&downtimes, outcome.router, outcome.asked_ms, until_ms);
-        if never_taken || killed || outcome.left {
+        if never_connected || killed || outcome.left {
             continue;
         }
         rule.cases += 1;
@@ -244,9 +244,9 @@
         if outcome.more {
             broken("something came after the final answer".into());
         }
-        // A stopped process must answer as soon as it runs again. Requests that arrived meanwhile it reads
-        // only then, and it has the whole client timeout for them: it can't know how long they have already
-        // waited.
+        // A stopped process must answer as soon as it runs again. For requests that arrived while it was
+        // stopped it has the whole client timeout from then on: it reads them only then, and can't know how
+        // long they have already waited.
         let until_ms = outcome.head_ms.unwrap_or(f64::INFINITY);
         let stops = spans.iter().filter(|span| span.stopped(outcome.router, outcome.asked_ms, until_ms));
         let due = |span: &peer_rules::Span| match outcome.asked_ms >= span.from_ms - UNREAD_MS {
--- a/crates/day/src/client.rs
+++ b/crates/day/src/client.rs
@@ -33,6 +33,7 @@
         status: u16,
         retry_after_ms: f64,
     },
+    /// The first token.
     First,
     Text(String),
     /// `finished`, `rate-limited` or `aborted`.
@@ -45,23 +46,23 @@
     },
 }
 
-/// Sends one request on a new connection and passes each event to `on_event`. Gives up at `until`.
+/// Sends one request on a new connection and passes each event to `on_event`. Aborts the request at `until`.
 pub async fn send_request(
     address: SocketAddr,
     request: &ClientRequest,
     until: Instant,
-    mut report: impl FnMut(ClientEvent),
+    mut on_event: impl FnMut(ClientEvent),
 ) {
     let mut connected = false;
     let mut done = false;
-    let mut on_event = |event: ClientEvent| {
+    let mut forward = |event: ClientEvent| {
         done |= matches!(event, ClientEvent::Final(_));
-        report(event);
+        on_event(event);
     };
-    // Errors and timeouts are not told apart: what counts is whether the client saw a final answer.
-    let _ = timeout_at(until, exchange(address, request, &mut connected, &mut on_event)).await;
+    // Errors and timeouts are not distinguished: what counts is whether the client saw a final answer.
+    let _ = timeout_at(until, exchange(address, request, &mut connected, &mut forward)).await;
     if !done {
-        report(ClientEvent::Broke { connected });
+        on_event(ClientEvent::Broke { connected });
     }
 }
 
@@ -69,7 +70,7 @@
     address: SocketAddr,
     request: &ClientRequest,
     connected: &mut bool,
-    report: &mut impl FnMut(ClientEvent),
+    on_event: &mut impl FnMut(ClientEvent),
 ) -> Result<()> {
     let stream = TcpStream::connect(address).await?;
     *connected = true;
@@ -91,10 +92,10 @@
     let header =
         |name: &str| response.headers().get(name).and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
     let retry_after_ms = header("retry-after-ms").or(header("retry-after").map(|s| s * 1e3)).unwrap_or(0.0);
-    report(ClientEvent::Head { status, retry_after_ms });
+    on_event(ClientEvent::Head { status, retry_after_ms });
     if status != 200 {
         response.into_body().collect().await?;
-        report(ClientEvent::Final(if matches!(status, 429 | 503 | 529) {
+        on_event(ClientEvent::Final(if matches!(status, 429 | 503 | 529) {
             "rate-limited"
         } else {
             "aborted"
@@ -103,19 +104,19 @@
     }
     let kind = response.headers().get("content-type").map(|kind| kind.as_bytes().to_vec());
     if kind.is_some_and(|kind| kind.starts_with(b"text/event-stream")) {
-        return streamed(response, report).await;
+        return streamed(response, on_event).await;
     }
     let body = response.into_body().collect().await?.to_bytes();
     let answer: serde_json::Value = serde_json::from_slice(&body)?;
     let text = answer["content"][0]["text"].as_str().or(answer["choices"][0]["message"]["content"].as_str());
     let text = text.ok_or_else(|| anyhow!("no text in the answer"))?;
-    report(ClientEvent::First);
-    report(ClientEvent::Text(text.to_owned()));
-    report(ClientEvent::Final("finished"));
+    on_event(ClientEvent::First);
+    on_event(ClientEvent::Text(text.to_owned()));
+    on_event(ClientEvent::Final("finished"));
     Ok(())
 }
 
-async fn streamed(response: Response<Incoming>, report: &mut impl FnMut(ClientEvent)) -> Result<()> {
+async fn streamed(response: Response<Incoming>, on_event: &mut impl FnMut(ClientEvent)) -> Result<()> {
     let mut body = response.into_body();
     let mut reader = SseReader::new(1 << 20);
     let (mut first, mut done) = (false, false);
@@ -123,7 +124,7 @@
         reader.push(&frame?.into_data().unwrap_or_default());
         while let Some(data) = reader.next_event().map_err(|cause| anyhow!(cause))? {
             if done {
-                report(ClientEvent::More);
+                on_event(ClientEvent::More);
             }
             let event: serde_json::Value = match data {
                 SseData::Json(json) => serde_json::from_str(&json)?,
@@ -133,26 +134,26 @@
             let chat = event["choices"][0]["delta"]["content"].as_str().filter(|text| !text.is_empty());
             if let Some(text) = chat {
                 if !std::mem::replace(&mut first, true) {
-                    report(ClientEvent::First);
+                    on_event(ClientEvent::First);
                 }
-                report(ClientEvent::Text(text.to_owned()));
+                on_event(ClientEvent::Text(text.to_owned()));
             }
             let kind =
                 if event["error"].is_object() { "error" } else { event["type"].as_str().unwrap_or("") };
             match kind {
                 "content_block_delta" => {
                     if !std::mem::replace(&mut first, true) {
-                        report(ClientEvent::First);
+                        on_event(ClientEvent::First);
                     }
-                    report(ClientEvent::Text(event["delta"]["text"].as_str().unwrap_or("").to_owned()));
+                    on_event(ClientEvent::Text(event["delta"]["text"].as_str().unwrap_or("").to_owned()));
                 }
                 "message_stop" if !done => {
                     done = true;
-                    report(ClientEvent::Final("finished"));
+                    on_event(ClientEvent::Final("finished"));
                 }
                 "error" if !done => {
                     done = true;
-                    report(ClientEvent::Final("aborted"));
+                    on_event(ClientEvent::Final("aborted"));
                 }
                 _ => {}
             }
--- a/crates/day/src/failover_rules.rs
+++ b/crates/day/src/failover_rules.rs
@@ -60,7 +60,7 @@
         _ => None,
     });
     let routers = routers.max().unwrap_or(0);
-    let (mut down, mut times, mut reports) = (BTreeSet::new(), 0, Vec::new());
+    let (mut down, mut majority_losses, mut reports) = (BTreeSet::new(), 0, Vec::new());
     // By router: how often a majority had been down when its process started.
     let mut started: BTreeMap<usize, usize> = BTreeMap::new();
     for line in lines {
@@ -68,18 +68,18 @@
             What::RouterDown { router } => {
                 let before = 2 * down.len() > routers;
                 down.insert(*router);
-                times += usize::from(!before && 2 * down.len() > routers);
+                majority_losses += usize::from(!before && 2 * down.len() > routers);
             }
             What::RouterUp { router } => {
                 down.remove(router);
-                started.insert(*router, times);
+                started.insert(*router, majority_losses);
             }
             What::Plan { router, status, allocation, moves, capacities, .. } => {
-                let times = started.get(router).copied().unwrap_or(0);
+                let majority_losses = started.get(router).copied().unwrap_or(0);
                 reports.push(PlanReport {
                     at_ms: line.at_ms,
                     status,
-                    allocation: (times, *allocation),
+                    allocation: (majority_losses, *allocation),
                     moves,
                     zones: capacities,
                 });
@@ -143,12 +143,13 @@
     let mut before: Option<&PlanReport> = None;
     // The largest spare capacity that any router reported shortly before: estimates differ, and the proposer
     // used one of them.
-    let most = |zone: &String, at_ms: f64| {
-        let near = reports.iter().filter(|report| (at_ms - ESTIMATE_AGE_MS..=at_ms).contains(&report.at_ms));
-        let room = |report: &PlanReport| {
+    let max_spare = |zone: &String, at_ms: f64| {
+        let recent =
+            reports.iter().filter(|report| (at_ms - ESTIMATE_AGE_MS..=at_ms).contains(&report.at_ms));
+        let spare = |report: &PlanReport| {
             report.zones.iter().find(|row| row.0 == *zone).map_or(0.0, |row| row.2 - row.1)
         };
-        near.map(room).fold(0.0, f64::max)
+        recent.map(spare).fold(0.0, f64::max)
     };
     for report in allocations.values() {
         for (zone, demand, capacity) in report.zones {
@@ -157,9 +158,9 @@
                 report.moves.iter().filter(|(_, to, _)| to == zone).map(|(.., share)| share).sum()
             };
             let more = share(report) > before.map_or(0.0, share) + 1e-9;
-            let room = most(zone, report.at_ms) * (1.0 - facts.reserve) * ESTIMATE_TOLERANCE;
+            let limit = max_spare(zone, report.at_ms) * (1.0 - facts.reserve) * ESTIMATE_TOLERANCE;
             rule.cases += 1;
-            if more && received > room + 1.0 {
+            if more && received > limit + 1.0 {
                 rule.broken.push(format!(
                     "page {} at {:.0} ms gives {zone} {received:.1}/s; \
                      {capacity:.1}/s less its own {demand:.1}/s are there",
@@ -192,7 +193,8 @@
     leaves
 }
 
-/// The sessions of a zone start to move away at most a few times in any minute, whatever flaps.
+/// The sessions of a zone start to move away at most [`MAX_LEAVES_PER_MINUTE`] times in any minute, even if
+/// zones fail and recover repeatedly.
 fn leave_limit(reports: &[PlanReport]) -> Rule {
     let mut rule = Rule::new("zones leave seldom");
     rule.cases = reports.len();
--- a/crates/day/src/mesh.rs
+++ b/crates/day/src/mesh.rs
@@ -33,7 +33,7 @@
     to: Vec<EndpointSelector>,
     both: bool,
     carries: Traffic,
-    weather: LinkCondition,
+    condition: LinkCondition,
 }
 
 /// A process in the mesh. Routers come first; after them follow spare nodes for second processes with a
@@ -150,11 +150,11 @@
         to: &[EndpointSelector],
         both: bool,
         carries: Traffic,
-        weather: LinkCondition,
+        condition: LinkCondition,
     ) -> u64 {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let (from, to) = (from.to_vec(), to.to_vec());
-        self.active_faults.borrow_mut().push(ActiveFault { id, from, to, both, carries, weather });
+        self.active_faults.borrow_mut().push(ActiveFault { id, from, to, both, carries, condition });
         self.changed.notify_waiters();
         id
     }
@@ -164,9 +164,9 @@
         self.changed.notify_waiters();
     }
 
-    fn matches(&self, end: &Endpoint, who: &EndpointSelector) -> bool {
+    fn matches(&self, end: &Endpoint, selector: &EndpointSelector) -> bool {
         let zone = |router: usize| self.zones.get(router % self.routers.max(1)).map(String::as_str);
-        match (who, end) {
+        match (selector, end) {
             (EndpointSelector::All, _) => true,
             (EndpointSelector::Routers, Endpoint::Router(_))
             | (EndpointSelector::Workers, Endpoint::Worker { .. }) => true,
@@ -195,22 +195,23 @@
         }
         let affected = |router: &usize| {
             let end = Endpoint::Router(*router);
-            from.iter().chain(to).any(|who| self.matches(&end, who))
+            from.iter().chain(to).any(|selector| self.matches(&end, selector))
         };
         (0..self.routers).filter(affected).collect()
     }
 
     /// Combined effect of all active faults on this kind of traffic of a link.
-    pub fn link_conditions(&self, from: &Endpoint, to: &Endpoint, what: Traffic) -> LinkCondition {
-        let any_matches =
-            |ends: &[EndpointSelector], end: &Endpoint| ends.iter().any(|who| self.matches(end, who));
+    pub fn link_conditions(&self, from: &Endpoint, to: &Endpoint, traffic: Traffic) -> LinkCondition {
+        let any_matches = |ends: &[EndpointSelector], end: &Endpoint| {
+            ends.iter().any(|selector| self.matches(end, selector))
+        };
         let faults = self.active_faults.borrow();
         let applies = |fault: &&ActiveFault| {
             let forward = any_matches(&fault.from, from) && any_matches(&fault.to, to);
             let backward = fault.both && any_matches(&fault.from, to) && any_matches(&fault.to, from);
-            (fault.carries == Traffic::All || fault.carries == what) && (forward || backward)
+            (fault.carries == Traffic::All || fault.carries == traffic) && (forward || backward)
         };
-        faults.iter().filter(applies).fold(LinkCondition::default(), |sum, fault| sum.and(fault.weather))
+        faults.iter().filter(applies).fold(LinkCondition::default(), |sum, fault| sum.and(fault.condition))
     }
 
     fn node_of(&self, address: SocketAddr) -> Option<usize> {
@@ -222,8 +223,8 @@
         share > 0.0 && self.rng.borrow_mut().f64() < share
     }
 
-    fn random_delay_ms(&self, weather: &LinkCondition) -> f64 {
-        weather.delay_ms + weather.jitter_ms * self.rng.borrow_mut().f64()
+    fn random_delay_ms(&self, condition: &LinkCondition) -> f64 {
+        condition.delay_ms + condition.jitter_ms * self.rng.borrow_mut().f64()
     }
 
     async fn relay_datagrams(self: Rc<Self>, to: usize) {
@@ -235,30 +236,30 @@
                 continue;
             };
             let Some(from) = self.node_of(source) else { continue };
-            let weather =
+            let condition =
                 self.link_conditions(&Endpoint::Router(from), &Endpoint::Router(to), Traffic::Datagrams);
-            if weather.cut.is_some() || self.happens(weather.loss) {
+            if condition.cut.is_some() || self.happens(condition.loss) {
                 continue;
             }
             let mut packet = bytes[..count].to_vec();
-            if self.happens(weather.corrupted) && !packet.is_empty() {
+            if self.happens(condition.corrupted) && !packet.is_empty() {
                 let at = self.rng.borrow_mut().usize(..packet.len());
                 packet[at] ^= 1 << self.rng.borrow_mut().u8(..8);
             }
-            let mut wait_ms = self.random_delay_ms(&weather);
-            if let Some(per_s) = weather.bytes_per_s {
+            let mut wait_ms = self.random_delay_ms(&condition);
+            if let Some(per_s) = condition.bytes_per_s {
                 let mut busy_until = self.nodes[to].busy_until.borrow_mut();
                 let free_at = busy_until.get(&from).copied().unwrap_or_else(Instant::now).max(Instant::now());
                 let until = free_at + duration(count as f64 / per_s * 1e3);
                 busy_until.insert(from, until);
                 wait_ms += until.duration_since(Instant::now()).as_secs_f64() * 1e3;
             }
-            let copies = 1 + usize::from(self.happens(weather.duplicated));
+            let copies = 1 + usize::from(self.happens(condition.duplicated));
             for copy in 0..copies {
                 // Forwarded from the sender's relay address, so that the reply goes through the relays too.
                 let relay = self.nodes[from].relay.clone();
                 let Some(target) = self.nodes[to].target.get() else { continue };
-                let wait_ms = if copy == 0 { wait_ms } else { wait_ms + self.random_delay_ms(&weather) };
+                let wait_ms = if copy == 0 { wait_ms } else { wait_ms + self.random_delay_ms(&condition) };
                 if wait_ms <= 0.0 {
                     let _ = relay.try_send_to(&packet, target);
                     continue;
@@ -293,7 +294,7 @@
         from: Endpoint,
         to: Endpoint,
         target: SocketAddr,
-        what: Traffic,
+        traffic: Traffic,
     ) -> Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await.context("binding the TCP port of a relay")?;
         let address = listener.local_addr()?;
@@ -302,17 +303,17 @@
             loop {
                 let Ok((stream, _)) = listener.accept().await else { continue };
                 let ends = (from.clone(), to.clone());
-                tokio::task::spawn_local(mesh.clone().relay_connection(stream, target, ends, what));
+                tokio::task::spawn_local(mesh.clone().relay_connection(stream, target, ends, traffic));
             }
         });
         Ok(address)
     }
 
     /// Waits while a link silently drops traffic; false if it resets connections.
-    async fn wait_until_passing(&self, from: &Endpoint, to: &Endpoint, what: Traffic) -> bool {
+    async fn wait_until_passing(&self, from: &Endpoint, to: &Endpoint, traffic: Traffic) -> bool {
         loop {
             let changed = self.changed.notified();
-            match self.link_conditions(from, to, what).cut {
+            match self.link_conditions(from, to, traffic).cut {
                 None => return true,
                 Some(Cut::Reset) => return false,
                 Some(Cut::Silent) => changed.await,
@@ -321,10 +322,11 @@
     }
 
     /// Returns once either direction of a link resets connections.
-    async fn wait_for_reset(&self, from: &Endpoint, to: &Endpoint, what: Traffic) {
+    async fn wait_for_reset(&self, from: &Endpoint, to: &Endpoint, traffic: Traffic) {
         loop {
             let changed = self.changed.notified();
-            let cut = |a: &Endpoint, b: &Endpoint| self.link_conditions(a, b, what).cut == Some(Cut::Reset);
+            let cut =
+                |a: &Endpoint, b: &Endpoint| self.link_conditions(a, b, traffic).cut == Some(Cut::Reset);
             if cut(from, to) || cut(to, from) {
                 return;
             }
@@ -337,7 +339,7 @@
         client: TcpStream,
         target: SocketAddr,
         ends: (Endpoint, Endpoint),
-        what: Traffic,
+        traffic: Traffic,
     ) {
         let (from, to) = ends;
         let _ = client.set_nodelay(true);
@@ -346,8 +348,8 @@
         };
         let upstream = async {
             // A TCP handshake needs both directions.
-            (self.wait_until_passing(&from, &to, what).await
-                && self.wait_until_passing(&to, &from, what).await)
+            (self.wait_until_passing(&from, &to, traffic).await
+                && self.wait_until_passing(&to, &from, traffic).await)
                 .then_some(())?;
             TcpStream::connect(target).await.ok()
         };
@@ -366,8 +368,8 @@
         reset(&client);
         reset(&server);
         let ((client_in, client_out), (server_in, server_out)) = (client.into_split(), server.into_split());
-        let forward = self.copy_direction(client_in, server_out, &from, &to, what);
-        let backward = self.copy_direction(server_in, client_out, &to, &from, what);
+        let forward = self.copy_direction(client_in, server_out, &from, &to, traffic);
+        let backward = self.copy_direction(server_in, client_out, &to, &from, traffic);
         // An error in one direction drops both connections; an orderly end of one direction lets the other
         // continue.
         let both = async {
@@ -375,7 +377,7 @@
         };
         tokio::select! {
             () = both => {}
-            () = self.wait_for_reset(&from, &to, what) => {}
+            () = self.wait_for_reset(&from, &to, traffic) => {}
         }
     }
 
@@ -385,13 +387,13 @@
         mut sink: OwnedWriteHalf,
         from: &Endpoint,
         to: &Endpoint,
-        what: Traffic,
+        traffic: Traffic,
     ) -> std::io::Result<()> {
         let reset_error = || std::io::Error::from(std::io::ErrorKind::ConnectionReset);
         let mut bytes = vec![0; 16 << 10];
         loop {
             let count = source.read(&mut bytes).await?;
-            if !self.wait_until_passing(from, to, what).await {
+            if !self.wait_until_passing(from, to, traffic).await {
                 return Err(reset_error());
             }
             if count == 0 {
@@ -399,15 +401,15 @@
                 let _ = socket2::SockRef::from(sink.as_ref()).set_linger(None);
                 return sink.shutdown().await;
             }
-            let weather = self.link_conditions(from, to, what);
-            let mut wait_ms = self.random_delay_ms(&weather);
-            if self.happens(weather.loss) {
+            let condition = self.link_conditions(from, to, traffic);
+            let mut wait_ms = self.random_delay_ms(&condition);
+            if self.happens(condition.loss) {
                 wait_ms += RETRANSMIT_DELAY_MS;
             }
-            wait_ms += weather.bytes_per_s.map_or(0.0, |per_s| count as f64 / per_s * 1e3);
+            wait_ms += condition.bytes_per_s.map_or(0.0, |per_s| count as f64 / per_s * 1e3);
             if wait_ms > 0.0 {
                 sleep(duration(wait_ms)).await;
-                if !self.wait_until_passing(from, to, what).await {
+                if !self.wait_until_passing(from, to, traffic).await {
                     return Err(reset_error());
                 }
             }
--- a/crates/day/src/peer_rules.rs
+++ b/crates/day/src/peer_rules.rs
@@ -125,8 +125,8 @@
         let before = known_failed.insert(report.router, now.clone()).unwrap_or_default();
         for (of, generation) in now.difference(&before) {
             let touches = |span: &&Span| {
-                let there = span.routers.contains(of) || span.routers.contains(&report.router);
-                there && span.name != "noise" && span.from_ms <= report.received_ms
+                let affected = span.routers.contains(of) || span.routers.contains(&report.router);
+                affected && span.name != "noise" && span.from_ms <= report.received_ms
             };
             let close = |span: &Span| report.asked_ms <= span.to_ms + facts.blamed_ms;
             if !spans.iter().filter(touches).any(close) {
--- a/crates/day/src/process_faults.rs
+++ b/crates/day/src/process_faults.rs
@@ -88,7 +88,7 @@
             sleep_until(end).await;
         }
         Fault::DuplicateRouter { router } => {
-            let second_process = scenario.start_namesake(*router).await;
+            let second_process = scenario.start_duplicate_router(*router).await;
             sleep_until(end).await;
             drop(second_process);
         }
@@ -224,7 +224,7 @@
     let alive = |row: &&Value| row["state"] == "alive" || row["state"] == "suspect";
     let router_indices = |name: &str| {
         let rows = status[name].as_array().into_iter().flatten();
-        rows.filter_map(|place| Some(place.as_u64()? as usize)).collect()
+        rows.filter_map(|index| Some(index.as_u64()? as usize)).collect()
     };
     Some(RecordWhat::PeerStatus {
         router,
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -160,7 +160,7 @@
     }
 
     /// Starts a second process with the index of a router that is already running; dropping it kills it.
-    pub async fn start_namesake(&self, router: usize) -> Option<Child> {
+    pub async fn start_duplicate_router(&self, router: usize) -> Option<Child> {
         let mesh = self.mesh.as_ref()?;
         match self.spawn_process(router, mesh.spare_node(), &format!("namesake-{router}")).await {
             Ok((child, startup)) => {
@@ -171,7 +171,7 @@
                 Some(child)
             }
             Err(cause) => {
-                self.record_failure(format!("namesake of router {router}: {cause:#}"));
+                self.record_failure(format!("duplicate of router {router}: {cause:#}"));
                 None
             }
         }
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -21,7 +21,7 @@
     sleep_until(scenario.record.at(trouble.at_ms)).await;
     let name = match &trouble.kind {
         TroubleKind::Dead { how: FailureMode::Unreachable, .. } => "unreachable",
-        what => what.name(),
+        kind => kind.name(),
     };
     let record_trouble = |begins| scenario.record.add(RecordWhat::Trouble { name: name.to_owned(), begins });
     record_trouble(true);
@@ -49,30 +49,30 @@
             }
         }
         TroubleKind::Silent { servers } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.silent = true))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.silent = true))
         }
         TroubleKind::Slow { servers, factor } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.slow = *factor))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.slow = *factor))
         }
         TroubleKind::Ageing { servers, factor } => on_each_server(scenario, servers, |s| {
-            s.change_model_faults(|t| t.ageing = Some((now_ms, *factor)))
+            s.change_model_faults(|faults| faults.ageing = Some((now_ms, *factor)))
         }),
         TroubleKind::Erring { servers, share, model } => on_each_server(scenario, servers, |s| {
-            s.change_response_faults(|t| (t.erring, t.erring_model) = (*share, model.clone()));
+            s.change_response_faults(|faults| (faults.erring, faults.erring_model) = (*share, model.clone()));
+        }),
+        TroubleKind::AnswerLost { servers, share } => on_each_server(scenario, servers, |s| {
+            s.change_response_faults(|faults| faults.answer_lost = *share)
         }),
-        TroubleKind::AnswerLost { servers, share } => {
-            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.answer_lost = *share))
-        }
         TroubleKind::Pausing { servers, pause_ms, every_ms } => {
             on_each_server(scenario, servers, |s| {
-                s.change_model_faults(|t| t.pausing = Some((*pause_ms, *every_ms)))
+                s.change_model_faults(|faults| faults.pausing = Some((*pause_ms, *every_ms)))
             });
         }
         TroubleKind::Flush { servers } => {
             servers.iter().filter_map(|name| scenario.fleet.server(name)).for_each(|server| server.flush());
         }
         TroubleKind::Drain { servers, notice_ms } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.draining = true));
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.draining = true));
             servers
                 .iter()
                 .filter_map(|name| scenario.fleet.server(name))
@@ -133,22 +133,22 @@
             }
         }
         TroubleKind::Silent { servers } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.silent = false))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.silent = false))
         }
         TroubleKind::Slow { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.slow = 1.0))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.slow = 1.0))
         }
         TroubleKind::Ageing { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.ageing = None))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.ageing = None))
         }
         TroubleKind::Erring { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.erring = 0.0))
+            on_each_server(scenario, servers, |s| s.change_response_faults(|faults| faults.erring = 0.0))
         }
         TroubleKind::AnswerLost { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_response_faults(|t| t.answer_lost = 0.0))
+            on_each_server(scenario, servers, |s| s.change_response_faults(|faults| faults.answer_lost = 0.0))
         }
         TroubleKind::Pausing { servers, .. } => {
-            on_each_server(scenario, servers, |s| s.change_model_faults(|t| t.pausing = None))
+            on_each_server(scenario, servers, |s| s.change_model_faults(|faults| faults.pausing = None))
         }
         TroubleKind::Flush { .. } => {}
         TroubleKind::Links { cell, .. } => {
--- a/crates/day/tests/checker.rs
+++ b/crates/day/tests/checker.rs
@@ -250,7 +250,7 @@
 /// The report of one of three routers, polled at that time.
 fn peer_report(router: usize, asked_ms: f64, digest: u32) -> (f64, What) {
     let others = (0..3).filter(|other| *other != router).collect();
-    let said = What::PeerStatus {
+    let status = What::PeerStatus {
         router,
         asked_ms,
         generation: 1,
@@ -263,7 +263,7 @@
         not_hearing: Vec::new(),
         not_heard_by: Vec::new(),
     };
-    (asked_ms + 1.0, said)
+    (asked_ms + 1.0, status)
 }
 
 #[test]
