--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -111,7 +111,10 @@
         let dir = tempfile::tempdir()?;
         let fleet =
             Program::start(program, "fleet", &process::fleet_config(servers, token_ms), dir.path()).await?;
-        let list: SocketAddr = fleet.startup["list"].as_str().context("no list")?.parse()?;
+        let list: SocketAddr = fleet.startup["list"]
+            .as_str()
+            .context("the startup line of the fleet has no list address")?
+            .parse()?;
         let router = Program::start(
             program,
             "serve",
@@ -119,8 +122,14 @@
             dir.path(),
         )
         .await?;
-        let clients = router.startup["listening"].as_str().context("no address")?.parse()?;
-        let admin = router.startup["admin"].as_str().context("no admin address")?.parse()?;
+        let clients = router.startup["listening"]
+            .as_str()
+            .context("the startup line of the router has no client address")?
+            .parse()?;
+        let admin = router.startup["admin"]
+            .as_str()
+            .context("the startup line of the router has no admin address")?
+            .parse()?;
         process::wait_until_ready(admin).await?;
         let server = process::first_server(list).await?;
         Ok(Deployment { router, fleet, clients, admin, server, _dir: dir })
--- a/crates/bench/src/process.rs
+++ b/crates/bench/src/process.rs
@@ -51,7 +51,7 @@
     /// Resident memory, in MiB.
     pub fn memory_mib(&self) -> Result<f64> {
         let pid = self.child.id().context("the process has ended")?;
-        paddleproxy_day::resident_mib(&pid.to_string()).context("no VmRSS")
+        paddleproxy_day::resident_mib(&pid.to_string()).context("/proc/PID/status has no VmRSS line")
     }
 
     pub async fn stop(mut self) {
@@ -110,7 +110,7 @@
     Ok(body.to_owned())
 }
 
-/// Waits until a router is ready, that is has received its list.
+/// Waits until a router is ready, that is, has received its list.
 pub async fn wait_until_ready(admin: SocketAddr) -> Result<()> {
     for _ in 0..1000 {
         if get(admin, "/healthz").await.is_ok() {
--- a/crates/bench/src/report.rs
+++ b/crates/bench/src/report.rs
@@ -13,17 +13,21 @@
 pub struct Report {
     pub schema: &'static str,
     pub added: Option<AddedLatency>,
+    /// Added latency at rising rates.
     pub ramp: Vec<AddedLatency>,
     /// CPU time of the router for one completion of few events, and for each further event, in microseconds.
     pub completion_us: f64,
     pub event_us: f64,
+    /// By API.
     pub forms: Vec<ApiCost>,
     pub refusals: Option<RejectionRate>,
     pub memory: Vec<Memory>,
+    /// By number of listed servers.
     pub module: Vec<DecisionCost>,
     pub stores: Vec<StoreCost>,
     pub durable: Vec<DurableWrites>,
     pub drains: Option<DrainDelay>,
+    /// Cost of list updates, by number of listed servers.
     pub changes: Vec<ListUpdateCost>,
 }
 
--- a/crates/fleet/src/links/tests.rs
+++ b/crates/fleet/src/links/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the module `links`.
+
 use super::*;
 
 #[tokio::test(start_paused = true)]
--- a/crates/rehearsal/src/cost.rs
+++ b/crates/rehearsal/src/cost.rs
@@ -25,8 +25,8 @@
     pub memory_mib: Option<f64>,
 }
 
-/// Plays the day once for each number of copies of its fleet, smallest first; `report` gets each result.
-pub fn sizes(day: &Rc<DaySettings>, fleets: &[usize], routers: usize, report: impl Fn(&Size)) -> Vec<Size> {
+/// Plays the day once for each number of copies of its fleet, smallest first; `on_size` gets each result.
+pub fn sizes(day: &Rc<DaySettings>, fleets: &[usize], routers: usize, on_size: impl Fn(&Size)) -> Vec<Size> {
     let mut all = Vec::new();
     for fleets in fleets {
         let options = Options {
@@ -47,7 +47,7 @@
             took_s: started.elapsed().as_secs_f64(),
             memory_mib: resident_mib("self"),
         };
-        report(&size);
+        on_size(&size);
         all.push(size);
     }
     all
--- a/crates/rehearsal/src/phases.rs
+++ b/crates/rehearsal/src/phases.rs
@@ -1,3 +1,5 @@
+//! Service over time and around each trouble, computed from the record of a day.
+
 use std::collections::BTreeMap;
 
 use paddleproxy_day::checker::Facts;
