--- a/crates/day/src/checker.rs
+++ b/crates/day/src/checker.rs
@@ -268,7 +268,7 @@
     server: &'a str,
 }
 
-/// Rule 2: no effect happens twice, and no client is told "rate-limited" after its completion may have run,
+/// Rule 2: no effect happens twice, and no client gets "rate-limited" after its completion may have run,
 /// unless a retry is harmless.
 fn effects(facts: &Facts, lines: &[Line]) -> Rule {
     let mut rule = Rule::new("no effect twice");
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -69,8 +69,8 @@
 /// The request that a client is about to send, and how it will behave.
 pub(crate) struct PlannedRequest {
     class: RequestClass,
-    /// The client closes its connection this long after sending the request, if the response is not complete by
-    /// then.
+    /// The client closes its connection this long after sending the request, unless the response is complete
+    /// by then.
     leaves_after_ms: Option<f64>,
     /// Only the first half is sent.
     half: bool,
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,5 +1,5 @@
 //! The record of a play: what the sockets carried, on one clock, and the signals and exits of processes. The
-//! oracle uses nothing else.
+//! oracle uses nothing else. Times without another reference are in ms since the start of the play.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
