--- a/crates/router/src/admin.rs
+++ b/crates/router/src/admin.rs
@@ -67,8 +67,8 @@
                 );
                 let (sender, receiver) = oneshot::channel();
                 let sent = peer_sender.send(peers::PeerRequest::Failover(sender)).await;
-                let plan = if sent.is_ok() { receiver.await.ok().flatten() } else { None };
-                text.push_str(&plan.map(|plan| failover_metrics(&plan)).unwrap_or_default());
+                let view = if sent.is_ok() { receiver.await.ok().flatten() } else { None };
+                text.push_str(&view.map(|view| failover_metrics(&view)).unwrap_or_default());
             }
             (StatusCode::OK, text)
         }
@@ -82,8 +82,8 @@
     Ok(response)
 }
 
-/// LostReply operator requests: `GET /status`, `GET /peers`, `/failover`, `POST
-/// /workers/drain|undrain|quarantine?name=...` and `POST /list/accept`; `None` for any other path.
+/// Answers operator requests: `GET /status`, `GET /peers`, `/failover` and the paths below it,
+/// `POST /workers/drain|undrain|quarantine?name=...` and `POST /list/accept`; `None` for any other path.
 async fn operator_request(
     front: &Front,
     request: &Request<hyper::body::Incoming>,
@@ -238,7 +238,7 @@
     text
 }
 
-/// Metrics of failover; the plan's number is 0 if none is in force.
+/// Metrics of failover, from the view of `/failover`; the plan's number is 0 if none is in force.
 fn failover_metrics(view: &serde_json::Value) -> String {
     let mut text = String::new();
     let number = |value: &serde_json::Value| value.as_f64().unwrap_or(0.0);
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -1,5 +1,6 @@
-//! The final answer of a completion, given exactly once. Every way to answer consumes `PendingReply`, so that
-//! a second answer does not compile; a reply that is dropped unanswered is aborted and counted.
+//! The final answer of a completion, sent exactly once. Every way to answer consumes `PendingReply`, so that
+//! a second answer does not compile. If a `PendingReply` is dropped without an answer, the client receives an
+//! error, and the drop is counted.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -91,7 +92,7 @@
         PendingReply { pending: Some(pending), guard, encoder, max_pieces, dropped_answers }
     }
 
-    fn give(&mut self, reply: Reply) {
+    fn send(&mut self, reply: Reply) {
         if let Some(pending) = self.pending.take() {
             pending.send(reply);
         }
@@ -101,19 +102,19 @@
         if let Some(guard) = self.guard.take() {
             guard.answered(answer.clone());
         }
-        self.give(Reply::Whole(answer));
+        self.send(Reply::Whole(answer));
     }
 
     /// Rate-limited: a retry is safe.
     pub fn rate_limit(mut self, error: ApiError) {
         self.guard.take().into_iter().for_each(IdempotencyGuard::rate_limited);
-        self.give(Reply::Error(error));
+        self.send(Reply::Error(error));
     }
 
     /// Aborted: the request may or may not have run.
     pub fn abort(mut self, error: ApiError) {
         self.guard.take().into_iter().for_each(IdempotencyGuard::lost);
-        self.give(Reply::Error(error));
+        self.send(Reply::Error(error));
     }
 
     /// The client has disconnected: no answer is sent.
@@ -125,7 +126,7 @@
     pub fn start_stream(mut self) -> AnswerStream {
         let (sender, pieces) = mpsc::channel(self.max_pieces);
         let ended = Rc::new(Cell::new(false));
-        self.give(Reply::Stream(AnswerPieces { pieces, ended: ended.clone() }));
+        self.send(Reply::Stream(AnswerPieces { pieces, ended: ended.clone() }));
         AnswerStream {
             pieces: Some(sender),
             ended,
--- a/crates/router/src/core.rs
+++ b/crates/router/src/core.rs
@@ -130,7 +130,7 @@
     /// Restores the list and the cache entries of an earlier run, if there are any. Returns the list position
     /// from which to continue polling. The decision core always gets a saved list, even an empty one: it
     /// starts with that input, and subscribes to changes where the settings require it.
-    pub fn recover(&mut self, saved: Option<SavedList>, left: &RecoveredState) -> ListPosition {
+    pub fn recover(&mut self, saved: Option<SavedList>, recovered_state: &RecoveredState) -> ListPosition {
         let mut rows: std::sync::Arc<[Listing]> = [].into();
         if let Some(saved) = saved {
             match self.membership.recover(
@@ -149,7 +149,7 @@
         }
         self.handle_input(Input::Listed { kind: ListKind::Saved, rows });
         let cache_entries =
-            left.usable_cache_entries(self.state.steady_clock.now_ms(), &self.membership.starts());
+            recovered_state.usable_cache_entries(self.state.steady_clock.now_ms(), &self.membership.starts());
         info!(entries = cache_entries.len(), "cache entries of the earlier run restored");
         self.handle_input(Input::Recovered(cache_entries));
         self.membership.known_version(SourceId::Service)
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Gives up the granted shares if the lease has ended by the router's own clock. Runs before any queued
-    /// event is handled, so that a process that was suspended sends nothing under an expired lease.
+    /// Returns to the floor of the shares if the lease has ended by the router's own clock. Runs before any
+    /// queued event is handled, so that a process that was suspended sends nothing under an expired lease.
     fn end_expired_lease(&mut self) {
         if self.lease_end.is_some_and(|at| Instant::now() >= at) {
             self.lease_end = None;
@@ -377,16 +377,16 @@
     /// Reports the result of a probe to the failover controller.
     fn record_probe(&self, worker: &WorkerId, answered: bool) {
         if let Some(controller) = &self.controller {
-            let met = if answered { DispatchOutcome::ProbeAnswered } else { DispatchOutcome::TimedOut };
-            controller.borrow_mut().record_outcome(self.ledger.clock.now_ms(), worker, met);
+            let outcome = if answered { DispatchOutcome::ProbeAnswered } else { DispatchOutcome::TimedOut };
+            controller.borrow_mut().record_outcome(self.ledger.clock.now_ms(), worker, outcome);
         }
     }
 
     /// Reports the outcome of a dispatch to the failover controller.
-    fn record_zone_outcome(&mut self, completion: CompletionId, seq: Seq, met: Option<DispatchOutcome>) {
-        let (Some(controller), Some(met)) = (&self.controller, met) else { return };
+    fn record_zone_outcome(&mut self, completion: CompletionId, seq: Seq, outcome: Option<DispatchOutcome>) {
+        let (Some(controller), Some(outcome)) = (&self.controller, outcome) else { return };
         if let Some(worker) = self.ledger.worker(completion, seq) {
-            controller.borrow_mut().record_outcome(self.ledger.clock.now_ms(), worker, met);
+            controller.borrow_mut().record_outcome(self.ledger.clock.now_ms(), worker, outcome);
         }
     }
 
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -102,7 +102,8 @@
 
     /// Sends a request on an idle or a new connection and waits for the head of the response.
     ///
-    /// # Errors How the socket ended, or why the request must not be written although the connection is
+    /// # Errors
+    /// How the socket ended, or why the request must not be written although the connection is
     /// established. Only a request that hyper returns unwritten is retried on a new connection.
     pub async fn send(
         &self,
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -298,7 +298,7 @@
         "schema": "paddleproxy.failover.v1",
         "name": info.name, "zone": zone(Zone(info.zone)), "mind": report.status.name(), "why": report.reason,
         "page": controller.allocation_number(), "plan": agreed.map(|agreed| agreed.plan.number),
-        "speaking": last.reporting_zones.iter().map(|speaking| zone(*speaking)).collect::<Vec<_>>(),
+        "speaking": last.reporting_zones.iter().map(|reporting| zone(*reporting)).collect::<Vec<_>>(),
         "completions": controller.completions_total, "moved": controller.moved_total, "zones": rows,
     })
 }
--- a/crates/router/src/files.rs
+++ b/crates/router/src/files.rs
@@ -8,7 +8,6 @@
 use notify::{RecommendedWatcher, RecursiveMode, Watcher};
 use paddleproxy_membership::{reload, SourceId};
 use paddleproxy_routing::AdmissionLimits;
-use paddleproxy_settings as documents;
 use paddleproxy_settings::router::RouterSettings;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
@@ -63,7 +62,7 @@
     async fn read(&self) -> ReadResult {
         let path = self.path.clone();
         // On a blocking thread: a disk that hangs must not block the router.
-        let read = tokio::task::spawn_blocking(move || documents::read_text(&path)).await;
+        let read = tokio::task::spawn_blocking(move || paddleproxy_settings::read_text(&path)).await;
         let text = read.map_err(|cause| cause.to_string())?.map_err(|cause| cause.to_string())?;
         let fingerprint = xxh3_64(text.as_bytes());
         Ok((text, fingerprint))
@@ -103,7 +102,7 @@
             None => continue,
             // The file may be missing for a moment during a rename; the current list stays in force.
             Some(Err(why)) => CoreEvent::ListInvalid { source: SourceId::File, why },
-            Some(Ok((text, fingerprint))) => match documents::servers::parse(&name, &text) {
+            Some(Ok((text, fingerprint))) => match paddleproxy_settings::servers::parse(&name, &text) {
                 Err(problems) => CoreEvent::ListInvalid { source: SourceId::File, why: problems.to_string() },
                 Ok(list) => {
                     let (next, _) = oneshot::channel();
@@ -125,7 +124,7 @@
 /// Applies changes of the settings file as long as the router runs.
 pub async fn watch_settings(watched: WatchedSettings, started: Rc<RouterSettings>, front: Rc<Front>) {
     let name = watched.file.display().to_string();
-    let good_file = started.state_dir.join("router.good.kdl");
+    let last_valid_file = started.state_dir.join("router.good.kdl");
     let (mut in_force, mut decisions) = ((*started).clone(), started.decisions.clone());
     let mut file = WatchedFile::new(watched.file);
     loop {
@@ -135,7 +134,7 @@
             let mut rejected = front.settings_rejected.borrow_mut();
             *rejected = (rejected.0 + 1, Some(why));
         };
-        let new = match documents::router::parse(&name, &text) {
+        let new = match paddleproxy_settings::router::parse(&name, &text) {
             Ok(new) => new,
             Err(problems) => {
                 reject(problems.to_string());
@@ -169,8 +168,9 @@
             info!("settings applied");
             (in_force, decisions) = (applied.settings, applied.decisions);
         }
-        let good_file = good_file.clone();
-        let saved = tokio::task::spawn_blocking(move || write_atomic(&good_file, text.as_bytes())).await;
+        let last_valid_file = last_valid_file.clone();
+        let saved =
+            tokio::task::spawn_blocking(move || write_atomic(&last_valid_file, text.as_bytes())).await;
         if let Ok(Err(cause)) = saved {
             warn!(%cause, "the settings could not be saved for the next start");
         }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// The rules of the protocol, and what this router may use before any peer was heard.
+/// The rules of the protocol, and what this router may use before it has heard from any peer.
 pub fn initial_grant(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
     let router_count = decisions.routers;
--- a/crates/router/tests/clients.rs
+++ b/crates/router/tests/clients.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use common::{asking, finals, local, raw, start, Bench};
+use common::{client_request, finals, run_local, send_raw, start, Bench};
 use paddleproxy_day::client::ClientEvent;
 use paddleproxy_fleet::record::What;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -35,8 +35,8 @@
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Waits until nothing is open at the router and checks that no answer was dropped and no stand-in holds a
-/// state.
+/// Waits until nothing is open at the router and checks that no answer was dropped and no emulated server
+/// holds a state.
 async fn assert_idle(bench: &Bench) {
     for line in ["completions_open 0\n", "places_open 0\n"] {
         bench.until("/metrics", line).await;
@@ -49,13 +49,14 @@
 
 /// How many times the effect of a key was carried out; duplicates that servers dropped don't count.
 fn effects(bench: &Bench, key: &str) -> usize {
-    let of = |what: &What| matches!(what, What::Effect { key: of, repeat: false, .. } if of.ends_with(key));
-    bench.record.lines().iter().filter(|line| of(&line.what)).count()
+    let is_effect =
+        |what: &What| matches!(what, What::Effect { key: of, repeat: false, .. } if of.ends_with(key));
+    bench.record.lines().iter().filter(|line| is_effect(&line.what)).count()
 }
 
 #[test]
 fn requests_on_one_connection_are_answered_in_order() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         let mut stream = TcpStream::connect(bench.clients).await.unwrap();
         // Pipelined: all three are sent before the first is answered.
@@ -75,7 +76,7 @@
 
 #[test]
 fn a_connection_with_an_incomplete_request_is_closed_and_new_ones_work() {
-    local(async {
+    run_local(async {
         let bench = start(&[("body-time \"5s\"", "body-time \"100ms\"")]).await;
         let mut stream = TcpStream::connect(bench.clients).await.unwrap();
         let incomplete = post(&body("a", 2, false), "");
@@ -86,21 +87,21 @@
         let _ = stream.write_all(post(&body("b", 2, false), "").as_bytes()).await;
         let rest = read_until(&mut stream, "end_turn").await;
         assert!(!rest.contains("end_turn"), "{rest}");
-        assert_eq!(finals(&bench.ask(&asking("c", "chat-large", 5, true)).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&client_request("c", "chat-large", 5, true)).await), ["finished"]);
         assert_idle(&bench).await;
     });
 }
 
 #[test]
 fn concurrent_requests_with_one_key_run_once() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let request = asking("k", "chat-large", 5, true);
-        let (first, second) = tokio::join!(bench.ask(&request), bench.ask(&request));
+        let request = client_request("k", "chat-large", 5, true);
+        let (first, second) = tokio::join!(bench.send(&request), bench.send(&request));
         let mut both = [finals(&first), finals(&second)];
         both.sort();
         assert_eq!(both, [["aborted"], ["finished"]]);
-        let third = bench.ask(&request).await;
+        let third = bench.send(&request).await;
         assert_eq!(finals(&third), ["finished"]);
         assert_eq!((effects(&bench, "k"), bench.metric("answers_again_total").await), (1, 1));
         assert_idle(&bench).await;
@@ -109,13 +110,13 @@
 
 #[test]
 fn a_retry_after_a_client_disconnect_has_one_effect() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let mut request = asking("k", "chat-large", 5, true);
+        let mut request = client_request("k", "chat-large", 5, true);
         request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
-        assert!(tokio::time::timeout(Duration::from_millis(250), bench.ask(&request)).await.is_err());
+        assert!(tokio::time::timeout(Duration::from_millis(250), bench.send(&request)).await.is_err());
         sleep(Duration::from_millis(100)).await;
-        assert_eq!(finals(&bench.ask(&request).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&request).await), ["finished"]);
         assert_eq!(effects(&bench, "k"), 1);
         assert_idle(&bench).await;
     });
@@ -123,13 +124,13 @@
 
 #[test]
 fn a_non_idempotent_key_of_unknown_outcome_is_refused_and_not_run() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let mut request = asking("k", "notice", 5, true);
+        let mut request = client_request("k", "notice", 5, true);
         request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":60");
-        bench.ask_and_leave(&request).await;
+        bench.send_and_disconnect(&request).await;
         bench.until("/metrics", "completions_left_total 1").await;
-        let retry = bench.ask(&request).await;
+        let retry = bench.send(&request).await;
         assert_eq!(retry[0], ClientEvent::Head { status: 409, retry_after_ms: 0.0 });
         assert_eq!(effects(&bench, "k"), 1);
         assert_idle(&bench).await;
@@ -138,13 +139,13 @@
 
 #[test]
 fn a_client_that_reads_nothing_is_disconnected_and_its_completion_cancelled() {
-    local(async {
+    run_local(async {
         let slow = [
             ("slow-client \"5s\"", "slow-client \"300ms\""),
             ("answer-bytes 1000000", "answer-bytes 100000000"),
         ];
         let bench = start(&slow).await;
-        // A stand-in whose answer is larger than all buffers between it and the client, written without
+        // A server whose answer is larger than all buffers between it and the client, written without
         // pauses.
         let large_answer = "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n\r\n".to_owned()
             + &format!("data: {{\"choices\":[{{\"text\":\"{}\"}}]}}\n\n", "w".repeat(30_000)).repeat(600);
@@ -166,7 +167,7 @@
 
 #[test]
 fn slow_readers_do_not_delay_other_clients() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         let mut slow = Vec::new();
         for number in 0..50 {
@@ -176,7 +177,7 @@
         }
         sleep(Duration::from_millis(100)).await;
         for number in 0..10 {
-            let seen = bench.ask(&asking(&format!("f{number}"), "chat-large", 5, true)).await;
+            let seen = bench.send(&client_request(&format!("f{number}"), "chat-large", 5, true)).await;
             assert_eq!(finals(&seen), ["finished"]);
         }
         drop(slow);
@@ -186,7 +187,7 @@
 
 #[test]
 fn two_thousand_incomplete_request_heads_do_not_block_other_clients() {
-    local(async {
+    run_local(async {
         let bench = start(&[("header-time \"5s\"", "header-time \"600ms\"")]).await;
         let mut trickling = Vec::new();
         for _ in 0..2000 {
@@ -195,7 +196,7 @@
             trickling.push(stream);
         }
         for id in ["a", "b", "c"] {
-            assert_eq!(finals(&bench.ask(&asking(id, "chat-large", 5, true)).await), ["finished"]);
+            assert_eq!(finals(&bench.send(&client_request(id, "chat-large", 5, true)).await), ["finished"]);
         }
         bench.until("/metrics", "connections_open 0\n").await;
         drop(trickling);
@@ -205,21 +206,21 @@
 
 #[test]
 fn a_burst_of_one_customer_is_limited_and_others_are_served() {
-    local(async {
+    run_local(async {
         let limits = "requests-per-s 2000\n        open 20 //";
         let bench = start(&[("requests-per-s 2000", limits), ("open 3000", "")]).await;
         let burst = async {
             let requests: Vec<_> =
-                (0..200).map(|number| asking(&format!("b{number}"), "chat-large", 5, true)).collect();
+                (0..200).map(|number| client_request(&format!("b{number}"), "chat-large", 5, true)).collect();
             let seen =
-                futures_util::future::join_all(requests.iter().map(|request| bench.ask(request))).await;
+                futures_util::future::join_all(requests.iter().map(|request| bench.send(request))).await;
             seen.iter().map(|seen| finals(seen)).collect::<Vec<_>>()
         };
         let other_customer = async {
             sleep(Duration::from_millis(5)).await;
-            let mut request = asking("d", "chat-large", 5, true);
+            let mut request = client_request("d", "chat-large", 5, true);
             request.key = "desk-key".into();
-            finals(&bench.ask(&request).await)
+            finals(&bench.send(&request).await)
         };
         let (burst, other) = tokio::join!(burst, other_customer);
         assert_eq!(other, ["finished"]);
@@ -232,13 +233,13 @@
 
 #[test]
 fn deadlines_before_at_and_after_the_first_token_give_one_answer() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         // The first token takes about 20 ms; once an answer has begun it has no deadline.
         for timeout_ms in [1.0, 5.0, 10.0, 15.0, 20.0, 22.0, 25.0, 30.0, 50.0, 100.0] {
-            let mut request = asking(&format!("t{timeout_ms}"), "chat-large", 5, true);
+            let mut request = client_request(&format!("t{timeout_ms}"), "chat-large", 5, true);
             request.timeout_ms = timeout_ms;
-            let seen = bench.ask(&request).await;
+            let seen = bench.send(&request).await;
             assert_eq!(finals(&seen).len(), 1, "{timeout_ms}: {seen:?}");
         }
         assert_eq!(bench.metric("answers_overdue_total").await, 0);
@@ -248,22 +249,22 @@
 
 #[test]
 fn all_dialects_are_served() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let ask = |path: &str, text: &str| {
+        let send = |path: &str, text: &str| {
             let request = post(&body(text, 4, true), "connection: close\r\n").replace("/v1/messages", path);
             let clients = bench.clients;
-            async move { raw(clients, request.as_bytes()).await }
+            async move { send_raw(clients, request.as_bytes()).await }
         };
-        let messages = ask("/v1/messages", "a").await;
+        let messages = send("/v1/messages", "a").await;
         assert!(messages.contains("event: message_start\n") && messages.contains("event: message_stop\n"));
-        let desk = ask("/desk/messages", "b").await;
+        let desk = send("/desk/messages", "b").await;
         assert!(desk.contains("event: answer.begin\n") && desk.contains("event: answer.text\n"), "{desk}");
         assert!(desk.contains("event: answer.end\n") && !desk.contains("content_block_start"), "{desk}");
-        let chat = ask("/v1/chat/completions", "c").await;
+        let chat = send("/v1/chat/completions", "c").await;
         assert!(chat.contains("chat.completion.chunk") && chat.contains("data: [DONE]\n"), "{chat}");
-        assert!(ask("/v1/embeddings", "d").await.starts_with("HTTP/1.1 404 "));
-        let count = raw(
+        assert!(send("/v1/embeddings", "d").await.starts_with("HTTP/1.1 404 "));
+        let count = send_raw(
             bench.clients,
             post(&body(&"x".repeat(40), 1, false), "connection: close\r\n")
                 .replace("/v1/messages", "/v1/messages/count_tokens")
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -33,11 +33,11 @@
 }
 
 /// Runs a test on a current-thread runtime with a `LocalSet`; fails a test that hangs after a minute.
-pub fn local(test: impl Future<Output = ()>) {
-    local_for(Duration::from_secs(60), test);
+pub fn run_local(test: impl Future<Output = ()>) {
+    run_local_for(Duration::from_secs(60), test);
 }
 
-pub fn local_for(limit: Duration, test: impl Future<Output = ()>) {
+pub fn run_local_for(limit: Duration, test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let limited =
         async { tokio::time::timeout(limit, test).await.expect("the test must end within its time limit") };
@@ -85,11 +85,15 @@
     let file = dir.path().join("router.kdl");
     std::fs::write(&file, &text).unwrap();
     let watched = paddleproxy_router::WatchedSettings { file, log: Box::new(|_| Ok(())) };
-    let serving =
-        paddleproxy_router::serve(settings, Some(watched), move |at| sender.send(at).unwrap(), stopped);
+    let serving = paddleproxy_router::serve(
+        settings,
+        Some(watched),
+        move |addresses| sender.send(addresses).unwrap(),
+        stopped,
+    );
     let router = tokio::task::spawn_local(serving);
-    let at = ready.await.unwrap();
-    (at.clients, at.admin.unwrap(), stop, router, dir)
+    let addresses = ready.await.unwrap();
+    (addresses.clients, addresses.admin.unwrap(), stop, router, dir)
 }
 
 impl Bench {
@@ -112,43 +116,47 @@
     }
 
     /// Sends a request and returns everything that the client saw.
-    pub async fn ask(&self, asking: &ClientRequest) -> Vec<ClientEvent> {
-        self.ask_and(asking, std::future::ready(())).await
+    pub async fn send(&self, request: &ClientRequest) -> Vec<ClientEvent> {
+        self.send_and(request, std::future::ready(())).await
     }
 
-    /// Like `ask`, and runs `then` as soon as the first text of the answer has arrived.
-    pub async fn ask_and(&self, asking: &ClientRequest, then: impl Future<Output = ()>) -> Vec<ClientEvent> {
+    /// Like `send`, and runs `then` as soon as the first text of the answer has arrived.
+    pub async fn send_and(
+        &self,
+        request: &ClientRequest,
+        then: impl Future<Output = ()>,
+    ) -> Vec<ClientEvent> {
         let seen = Rc::new(RefCell::new(Vec::new()));
         let (recorded, (started, start)) = (seen.clone(), tokio::sync::oneshot::channel());
         let mut started = Some(started);
         let until = Instant::now() + Duration::from_secs(20);
-        let asks = send_request(self.clients, asking, until, move |what| {
-            if matches!(what, ClientEvent::Text(_)) {
+        let exchange = send_request(self.clients, request, until, move |event| {
+            if matches!(event, ClientEvent::Text(_)) {
                 started.take().into_iter().for_each(|started| _ = started.send(()));
             }
-            recorded.borrow_mut().push(what);
+            recorded.borrow_mut().push(event);
         });
         let then = async {
             if start.await.is_ok() {
                 then.await;
             }
         };
-        tokio::join!(asks, then);
+        tokio::join!(exchange, then);
         seen.take()
     }
 
     /// Sends a request and disconnects once the first text of the answer has arrived.
-    pub async fn ask_and_leave(&self, asking: &ClientRequest) {
+    pub async fn send_and_disconnect(&self, request: &ClientRequest) {
         let (started, start) = tokio::sync::oneshot::channel();
-        let asks = self.ask_and(asking, async { _ = started.send(()) });
+        let exchange = self.send_and(request, async { _ = started.send(()) });
         tokio::select! {
-            seen = asks => panic!("the answer ended too early: {seen:?}"),
+            seen = exchange => panic!("the answer ended too early: {seen:?}"),
             _ = start => {}
         }
     }
 }
 
-pub fn asking(id: &str, model: &str, tokens: usize, streamed: bool) -> ClientRequest {
+pub fn client_request(id: &str, model: &str, tokens: usize, streamed: bool) -> ClientRequest {
     let content = format!("{id} {}", "abc ".repeat(tokens));
     let turn = serde_json::json!({ "role": "user", "content": content });
     let body = serde_json::json!({ "model": model, "max_tokens": 8, "stream": streamed, "messages": [turn] });
@@ -165,7 +173,7 @@
 
 pub fn finals(seen: &[ClientEvent]) -> Vec<&'static str> {
     seen.iter()
-        .filter_map(|what| match what {
+        .filter_map(|event| match event {
             ClientEvent::Final(how) => Some(*how),
             _ => None,
         })
@@ -173,11 +181,11 @@
 }
 
 pub async fn get(address: SocketAddr, path: &str) -> String {
-    raw(address, format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes()).await
+    send_raw(address, format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes()).await
 }
 
 /// Sends raw bytes and returns what arrives until the connection closes.
-pub async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
+pub async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).await.unwrap();
     // The router may answer and close the connection before it has read everything.
     let _ = stream.write_all(bytes).await;
--- a/crates/router/tests/files.rs
+++ b/crates/router/tests/files.rs
@@ -1,5 +1,5 @@
 //! Changes of the servers file and the settings under traffic, and operator commands on the admin port.
-//! Checked by the requests that the stand-ins received.
+//! Checked by the requests that the emulated servers received.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{asking, finals, get, local, raw, start, Bench};
+use common::{client_request, finals, get, run_local, send_raw, start, Bench};
 use paddleproxy_fleet::record::What;
 use tokio::time::sleep;
 
@@ -72,7 +72,8 @@
         clients.spawn_local(async move {
             let mut sent = 0;
             while !stop.get() {
-                let seen = bench.ask(&asking(&format!("c{client}n{sent}"), "chat-large", 40, true)).await;
+                let seen =
+                    bench.send(&client_request(&format!("c{client}n{sent}"), "chat-large", 40, true)).await;
                 assert_eq!(finals(&seen), ["finished"], "{seen:?}");
                 sent += 1;
                 sleep(Duration::from_millis(5)).await;
@@ -84,9 +85,9 @@
 }
 
 fn dispatches(bench: &Bench, name: &str, from_ms: f64, to_ms: f64) -> usize {
-    let of = |what: &What| matches!(what, What::Dispatch { server, .. } if server == name);
+    let is_dispatch = |what: &What| matches!(what, What::Dispatch { server, .. } if server == name);
     let lines = bench.record.lines();
-    lines.iter().filter(|line| of(&line.what) && line.at_ms > from_ms && line.at_ms < to_ms).count()
+    lines.iter().filter(|line| is_dispatch(&line.what) && line.at_ms > from_ms && line.at_ms < to_ms).count()
 }
 
 /// Writes a file in one of the ways that editors use: in place, by rename, by a replaced symlink, by deletion
@@ -123,7 +124,7 @@
 
 #[test]
 fn alternating_invalid_and_valid_lists_lose_no_request_and_drains_hold() {
-    local(async {
+    run_local(async {
         let bench = Rc::new(start(&[WITH_FILE]).await);
         let path = bench.dir.path().join("servers.kdl");
         std::fs::write(&path, list(&bench, 1, &[])).unwrap();
@@ -184,13 +185,13 @@
             (file_source(&gone)["version"].as_u64(), file_source(&gone)["leads"] == true),
             (Some(version), true)
         );
-        assert_eq!(finals(&bench.ask(&asking("after", "chat-large", 40, true)).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&client_request("after", "chat-large", 40, true)).await), ["finished"]);
     });
 }
 
 #[test]
 fn a_mass_removal_by_the_file_is_held_until_an_operator_accepts_it() {
-    local(async {
+    run_local(async {
         let bench = Rc::new(start(&[WITH_FILE]).await);
         let path = bench.dir.path().join("servers.kdl");
         let whole = list(&bench, 1, &[]);
@@ -206,13 +207,13 @@
         let why = held["list"]["held"][0].as_str().unwrap();
         assert!(why.starts_with("file version 0.2: it takes away"), "{why}");
         assert_eq!(held["list"]["servers"].as_array().unwrap().len(), servers);
-        assert_eq!(finals(&bench.ask(&asking("one", "chat-large", 40, true)).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&client_request("one", "chat-large", 40, true)).await), ["finished"]);
         let accept =
             "POST /list/accept HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
-        assert!(raw(bench.admin, accept.as_bytes()).await.contains("\"revision\":"));
+        assert!(send_raw(bench.admin, accept.as_bytes()).await.contains("\"revision\":"));
         let accepted = until(&bench, "accepted", |status| status["list"]["held"].is_null()).await;
         assert_eq!(accepted["list"]["servers"].as_array().unwrap().len(), 1);
-        assert!(raw(bench.admin, accept.as_bytes()).await.contains("no version is held"));
+        assert!(send_raw(bench.admin, accept.as_bytes()).await.contains("no version is held"));
     });
 }
 
@@ -220,12 +221,12 @@
     let text = format!(
         "POST /workers/{command}?name={name} HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\nconnection: close\r\n\r\n"
     );
-    raw(bench.admin, text.as_bytes()).await
+    send_raw(bench.admin, text.as_bytes()).await
 }
 
 #[test]
 fn operator_commands_act_at_once_although_the_list_cannot_be_saved() {
-    local(async {
+    run_local(async {
         let bench = Rc::new(start(&[]).await);
         let name = bench.fleet.names().find(|name| name.contains("-m")).unwrap().clone();
         // The list can't be saved because a directory has the name of its temporary file; commands act all
@@ -262,27 +263,27 @@
 
 #[test]
 fn settings_change_under_traffic_completely_or_not_at_all() {
-    local(async {
+    run_local(async {
         let bench = Rc::new(start(&[]).await);
         let path = bench.dir.path().join("router.kdl");
         let text = std::fs::read_to_string(&path).unwrap();
         let with_key = |key: &str| {
-            let mut request = asking("k", "chat-large", 40, true);
+            let mut request = client_request("k", "chat-large", 40, true);
             request.key = key.into();
             request
         };
         let applied = |status: &serde_json::Value| status["settings"]["taken"].as_u64().unwrap();
         let refused = |status: &serde_json::Value| status["settings"]["refused"].as_u64().unwrap();
-        assert_eq!(finals(&bench.ask(&with_key("new-key")).await), ["aborted"]);
+        assert_eq!(finals(&bench.send(&with_key("new-key")).await), ["aborted"]);
         // Reading the settings that the router was started with counts as no change.
-        let good_file = bench.dir.path().join("router.good.kdl");
+        let last_valid_file = bench.dir.path().join("router.good.kdl");
         for _ in 0..400 {
-            if good_file.exists() {
+            if last_valid_file.exists() {
                 break;
             }
             sleep(Duration::from_millis(5)).await;
         }
-        assert!(good_file.exists() && applied(&status(&bench).await) == 0);
+        assert!(last_valid_file.exists() && applied(&status(&bench).await) == 0);
         let stop = Rc::new(Cell::new(false));
         let mut clients = traffic(&bench, &stop);
         // A new key and another latency target are applied.
@@ -291,7 +292,7 @@
         assert_ne!(changed, text);
         write(&path, &changed, 1);
         until(&bench, "applied", |status| applied(status) == 1).await;
-        assert_eq!(finals(&bench.ask(&with_key("new-key")).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&with_key("new-key")).await), ["finished"]);
         // A truncated file and settings that can't change are refused with the reason; the current ones stay
         // in force.
         for (wrong, why) in [
@@ -310,12 +311,12 @@
             let last = seen["settings"]["last_refused"].as_str().unwrap();
             assert!(last.contains(why), "{last}");
             assert_eq!(applied(&seen), 1);
-            assert_eq!(finals(&bench.ask(&with_key("new-key")).await), ["finished"]);
+            assert_eq!(finals(&bench.send(&with_key("new-key")).await), ["finished"]);
         }
         // Back to the first text: the new key is invalid again, and open completions are not affected.
         write(&path, &text, 1);
         until(&bench, "applied", |status| applied(status) == 2).await;
-        assert_eq!(finals(&bench.ask(&with_key("new-key")).await), ["aborted"]);
+        assert_eq!(finals(&bench.send(&with_key("new-key")).await), ["aborted"]);
         stop.set(true);
         let mut sent = 0;
         while let Some(client) = clients.join_next().await {
@@ -323,9 +324,9 @@
         }
         assert!(sent > 10);
         // The last valid text is saved for the next start.
-        let good_file = bench.dir.path().join("router.good.kdl");
+        let last_valid_file = bench.dir.path().join("router.good.kdl");
         for _ in 0..200 {
-            if std::fs::read_to_string(&good_file).is_ok_and(|saved| saved == text) {
+            if std::fs::read_to_string(&last_valid_file).is_ok_and(|saved| saved == text) {
                 return;
             }
             sleep(Duration::from_millis(10)).await;
--- a/crates/router/tests/matrix.rs
+++ b/crates/router/tests/matrix.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use common::{local_for, raw, start_router, WITH_PROBES};
+use common::{run_local_for, send_raw, start_router, WITH_PROBES};
 use paddleproxy_engine::{Refusal, ServerEntry, ServerList, StateReference};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -281,7 +281,7 @@
         }
     }
     let count = if requested_count > 0 { requested_count } else { cases.len() };
-    local_for(Duration::from_secs(60 + count as u64 / 20), async move {
+    run_local_for(Duration::from_secs(60 + count as u64 / 20), async move {
         let held = HeldStates::default();
         let mut servers = Vec::new();
         for (name, role) in [("r", "reader"), ("w", "writer"), ("m", "mixed"), ("n", "mixed")] {
@@ -309,7 +309,7 @@
             [("stall \"3s\"", "stall \"150ms\""), ("memory \"200k\"", "memory \"200M\""), WITH_PROBES];
         let (router, admin, stop, serving, _dir) = start_router(service, &changes).await;
         let get = |path: &'static str| async move {
-            raw(admin, format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes())
+            send_raw(admin, format!("GET {path} HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").as_bytes())
                 .await
         };
         while !get("/healthz").await.contains("ok") {
--- a/crates/router/tests/paths.rs
+++ b/crates/router/tests/paths.rs
@@ -5,14 +5,14 @@
 
 use std::time::Duration;
 
-use common::{asking, finals, local, raw, start, start_router, WITH_PROBES};
+use common::{client_request, finals, run_local, send_raw, start, start_router, WITH_PROBES};
 use paddleproxy_day::client::ClientEvent;
 use paddleproxy_fleet::record::What;
 use paddleproxy_settings::day::FailureMode;
 
 fn text(seen: &[ClientEvent]) -> String {
     seen.iter()
-        .filter_map(|what| match what {
+        .filter_map(|event| match event {
             ClientEvent::Text(text) => Some(text.as_str()),
             _ => None,
         })
@@ -29,15 +29,15 @@
 
 #[test]
 fn streamed_and_complete_answers_have_the_same_text() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         for tokens in [10, 4000] {
-            let mut request = asking("a", "chat-large", tokens, true);
+            let mut request = client_request("a", "chat-large", tokens, true);
             request.effect_key = format!("streamed {tokens}");
-            let streamed = bench.ask(&request).await;
+            let streamed = bench.send(&request).await;
             request.effect_key = format!("plain {tokens}");
             request.body = request.body.replace("\"stream\":true", "\"stream\":false");
-            let plain = bench.ask(&request).await;
+            let plain = bench.send(&request).await;
             assert_eq!((finals(&streamed), finals(&plain)), (vec!["finished"], vec!["finished"]));
             assert!(text(&streamed).starts_with(" wort"));
             assert_eq!(text(&streamed), text(&plain));
@@ -51,11 +51,11 @@
 
 #[test]
 fn a_server_that_answers_probes_is_used() {
-    local(async {
+    run_local(async {
         let bench = start(&[WITH_PROBES]).await;
         // On a busy machine the probe may take too long; the client then retries, as the rate limit permits.
         for number in 0..20 {
-            let seen = bench.ask(&asking(&format!("a{number}"), "chat-large", 40, true)).await;
+            let seen = bench.send(&client_request(&format!("a{number}"), "chat-large", 40, true)).await;
             match finals(&seen)[..] {
                 ["finished"] => break,
                 ["rate-limited"] if number < 19 => continue,
@@ -67,7 +67,7 @@
 
 #[test]
 fn invalid_requests_get_a_clear_error_and_affect_no_other() {
-    local(async {
+    run_local(async {
         let bench = start(&[("body-bytes 4000000", "body-bytes 100000")]).await;
         let turn = "\"messages\":[{\"role\":\"user\",\"content\":\"a\"}]";
         let valid = format!("{{\"model\":\"chat-large\",\"max_tokens\":3,{turn}}}");
@@ -100,17 +100,17 @@
             ("wrong key", post(valid.as_bytes(), "").replace_key("x-api-key: none\r\n"), "401", "not known"),
         ];
         for (name, bytes, status, expected) in invalid {
-            let answer = raw(bench.clients, &bytes).await;
+            let answer = send_raw(bench.clients, &bytes).await;
             assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{name}: {answer}");
             assert!(answer.contains(expected) && answer.contains("\"type\":\"error\""), "{name}: {answer}");
         }
         let many_headers = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(500));
         for bytes in ["BREW /v1/messages\r\n\r\n", "\u{1}\u{2}\r\n\r\n", &many_headers] {
-            let malformed = raw(bench.clients, bytes.as_bytes()).await;
+            let malformed = send_raw(bench.clients, bytes.as_bytes()).await;
             assert!(malformed.starts_with("HTTP/1.1 400 "), "{malformed}");
             assert!(malformed.contains("\"type\":\"invalid_request_error\""), "{malformed}");
         }
-        assert!(raw(bench.clients, &post(valid.as_bytes(), "")).await.contains("end_turn"));
+        assert!(send_raw(bench.clients, &post(valid.as_bytes(), "")).await.contains("end_turn"));
         assert_eq!(bench.metric("completions_arrived_total").await, 1);
     });
 }
@@ -127,32 +127,32 @@
 
 #[test]
 fn slowly_sent_heads_and_bodies_time_out() {
-    local(async {
+    run_local(async {
         let changes =
             [("header-time \"5s\"", "header-time \"150ms\""), ("body-time \"5s\"", "body-time \"150ms\"")];
         let bench = start(&changes).await;
-        let head = raw(bench.clients, b"POST /v1/messages HTTP/1.1\r\nhost:").await;
+        let head = send_raw(bench.clients, b"POST /v1/messages HTTP/1.1\r\nhost:").await;
         assert!(head.is_empty() || head.starts_with("HTTP/1.1 408"), "{head}");
         let mut body = post(b"{\"model\":", "");
         let length =
             String::from_utf8(body.clone()).unwrap().replace("content-length: 9", "content-length: 99");
         body = length.into_bytes();
-        let response = raw(bench.clients, &body).await;
+        let response = send_raw(bench.clients, &body).await;
         assert!(response.starts_with("HTTP/1.1 504 ") && response.contains("timeout_error"), "{response}");
-        assert_eq!(finals(&bench.ask(&asking("a", "chat-large", 5, true)).await), ["finished"]);
+        assert_eq!(finals(&bench.send(&client_request("a", "chat-large", 5, true)).await), ["finished"]);
     });
 }
 
 #[test]
 fn a_server_that_dies_mid_stream_aborts_once_and_is_avoided() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let mut request = asking("a", "chat-large", 5, true);
+        let mut request = client_request("a", "chat-large", 5, true);
         request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":400");
-        let seen = bench.ask_and(&request, bench.fleet.kill("n-mixed1", FailureMode::Reset)).await;
+        let seen = bench.send_and(&request, bench.fleet.kill("n-mixed1", FailureMode::Reset)).await;
         assert!(text(&seen).starts_with(" wort"));
         assert_eq!(finals(&seen), ["aborted"]);
-        let next = bench.ask(&asking("b", "chat-large", 5, true)).await;
+        let next = bench.send(&client_request("b", "chat-large", 5, true)).await;
         assert_eq!(finals(&next), ["finished"]);
         assert_eq!(bench.metric("streams_lost_total").await, 1);
     });
@@ -160,11 +160,11 @@
 
 #[test]
 fn a_client_who_leaves_mid_stream_ends_the_work() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let mut request = asking("a", "chat-large", 5, true);
+        let mut request = client_request("a", "chat-large", 5, true);
         request.body = request.body.replace("\"max_tokens\":8", "\"max_tokens\":4000");
-        bench.ask_and_leave(&request).await;
+        bench.send_and_disconnect(&request).await;
         bench.until("/metrics", "completions_open 0").await;
         assert_eq!(bench.metric("completions_left_total").await, 1);
         for _ in 0..200 {
@@ -179,11 +179,11 @@
 
 #[test]
 fn a_stopping_router_finishes_its_answers() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
-        let mut long = asking("a", "chat-large", 5, true);
+        let mut long = client_request("a", "chat-large", 5, true);
         long.body = long.body.replace("\"max_tokens\":8", "\"max_tokens\":40");
-        let seen = bench.ask_and(&long, async { _ = bench.stop.send_replace(true) }).await;
+        let seen = bench.send_and(&long, async { _ = bench.stop.send_replace(true) }).await;
         assert_eq!(finals(&seen), ["finished"]);
         bench.router.await.unwrap().unwrap();
     });
@@ -191,11 +191,11 @@
 
 #[test]
 fn a_stop_aborts_answers_that_exceed_the_time_limit() {
-    local(async {
+    run_local(async {
         let bench = start(&[("stop-within \"3s\"", "stop-within \"200ms\"")]).await;
-        let mut long = asking("a", "chat-large", 5, true);
+        let mut long = client_request("a", "chat-large", 5, true);
         long.body = long.body.replace("\"max_tokens\":8", "\"max_tokens\":4000");
-        let seen = bench.ask_and(&long, async { _ = bench.stop.send_replace(true) }).await;
+        let seen = bench.send_and(&long, async { _ = bench.stop.send_replace(true) }).await;
         assert_eq!(finals(&seen), ["aborted"]);
         bench.router.await.unwrap().unwrap();
     });
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_server_that_sends_garbage_affects_no_completion() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -218,7 +218,11 @@
         bench.fleet.server("n-mixed1").unwrap().list("ready");
         bench.until("/metrics", "list_version 4").await;
         for id in ["a", "b", "c"] {
-            assert_eq!(finals(&bench.ask(&asking(id, "chat-large", 5, false)).await), ["finished"], "{id}");
+            assert_eq!(
+                finals(&bench.send(&client_request(id, "chat-large", 5, false)).await),
+                ["finished"],
+                "{id}"
+            );
         }
         assert_eq!(bench.metric("answers_dropped_total").await, 0);
     });
@@ -226,7 +230,7 @@
 
 #[test]
 fn the_saved_list_serves_the_next_start() {
-    local(async {
+    run_local(async {
         let bench = start(&[]).await;
         let dir = tempfile::tempdir().unwrap();
         let state = dir.path().display().to_string();
@@ -247,15 +251,15 @@
         router.await.unwrap().unwrap();
         // The list service is unreachable: this start depends on the saved list alone.
         let (clients, _admin, _stop, _router, _dir) = run_router(unreachable).await;
-        let request = asking("a", "chat-large", 5, false);
+        let request = client_request("a", "chat-large", 5, false);
         let body = request.body.as_bytes();
-        assert!(raw(clients, &post(body, "")).await.contains("end_turn"));
+        assert!(send_raw(clients, &post(body, "")).await.contains("end_turn"));
     });
 }
 
 #[test]
 fn a_broken_subscription_is_renewed() {
-    local(async {
+    run_local(async {
         let subscribe = "list {\n    changes \"subscribe\"\n    must-ask-in \"500ms\"";
         let bench = start(&[("list {", subscribe), ("poll \"20s\"", "poll \"300ms\"")]).await;
         bench.until("/metrics", "list_version 3").await;
