--- a/crates/membership/src/backoff.rs
+++ b/crates/membership/src/backoff.rs
@@ -1,8 +1,8 @@
 //! Delays between retries of a request to a source.
 
 /// Exponential backoff with jitter: each delay is drawn uniformly from the upper half of a limit that doubles
-/// up to a maximum. Prevents all routers from asking at once when the service returns. The cost is that the
-/// last router is updated up to the maximum delay later.
+/// up to a maximum. Prevents all routers from sending requests at once when the service is reachable again. The
+/// cost is that the last router is updated up to the maximum delay later.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first_ms: f64,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -390,7 +390,7 @@
             file,
             fingerprint: source_id
                 .and_then(|source_id| self.sources.get(&source_id))
-                .and_then(|source_id| source_id.fingerprint)
+                .and_then(|source| source.fingerprint)
                 .filter(|_| file.is_some()),
         })
     }
--- a/crates/membership/tests/histories.rs
+++ b/crates/membership/tests/histories.rs
@@ -369,8 +369,8 @@
     }
 }
 
-/// A random history that broke rule 3: a held version omits a draining server, a restart loses that version,
-/// an operator ends the drain, and the source reports the drain again.
+/// A random history after which a drained server was ready: a held version omits a draining server, a restart
+/// loses that version, an operator ends the drain, and the source reports the drain again.
 #[test]
 fn a_drain_reported_again_after_a_restart_lost_the_held_version_counts_as_new() {
     for held in [[2, 0, 2, 0], [2, 3, 2, 0]] {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -23,7 +23,7 @@
 
 /// The configuration as it is written in the file.
 #[derive(Deserialize)]
-struct Wire {
+struct ConfigFile {
     name: String,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -52,23 +52,23 @@
     /// # Errors
     /// The path to the field that is missing or invalid, and the reason.
     pub fn parse(text: &[u8], start_times: &mut StartTimes, now_ms: f64) -> Result<Config, String> {
-        let wire: Wire = crate::parse_json("configuration", text)?;
+        let file: ConfigFile = crate::parse_json("configuration", text)?;
         let invalid = |field: &str, what: &str| Err(format!("configuration: {field}: {what}"));
-        if !(wire.limits.memory_mb.is_finite() && wire.limits.memory_mb >= 1.0) {
+        if !(file.limits.memory_mb.is_finite() && file.limits.memory_mb >= 1.0) {
             return invalid("limits.memory_mb", "must be a finite number of MB, at least 1");
         }
-        if wire.limits.sockets < MIN_SOCKETS {
+        if file.limits.sockets < MIN_SOCKETS {
             return invalid(
                 "limits.sockets",
                 &format!("at least {MIN_SOCKETS} descriptors are needed to serve clients"),
             );
         }
         // A seed that is not a hexadecimal number is hashed: any value can seed the random generator.
-        let seed = u64::from_str_radix(&wire.seed, 16)
-            .unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(wire.seed.as_bytes()));
-        let settings = convert(wire.settings).map_err(|cause| format!("configuration: {cause}"))?;
-        let known = wire.known.unwrap_or_default().list(&settings, start_times, now_ms);
-        let (name, listen, discovery, limits) = (wire.name, wire.listen, wire.discovery, wire.limits);
+        let seed = u64::from_str_radix(&file.seed, 16)
+            .unwrap_or_else(|_| xxhash_rust::xxh3::xxh3_64(file.seed.as_bytes()));
+        let settings = convert(file.settings).map_err(|cause| format!("configuration: {cause}"))?;
+        let known = file.known.unwrap_or_default().list(&settings, start_times, now_ms);
+        let (name, listen, discovery, limits) = (file.name, file.listen, file.discovery, file.limits);
         Ok(Config { name, listen, discovery, seed, limits, known, settings })
     }
 }
--- a/crates/store/src/retention/tests.rs
+++ b/crates/store/src/retention/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-const CACHE_RECOVERY_LIMITS: CacheRecoveryLimits =
+const LIMITS: CacheRecoveryLimits =
     CacheRecoveryLimits { max_age_ms: 600_000.0, half_life_ms: 120_000.0, max_entries: 3 };
 
 fn entry(text: Text, server: &str, tokens: f64, at_ms: f64, start: u64) -> (Box<[u8]>, Vec<u8>) {
@@ -25,7 +25,7 @@
     let starts = [("a".to_owned(), 5), ("b".to_owned(), 6)].into();
     let recovered = recover_cache_entries(
         now_ms,
-        &CACHE_RECOVERY_LIMITS,
+        &LIMITS,
         &starts,
         stored_cache_entries(entries.iter().map(|(key, value)| (&**key, &**value))),
     );
@@ -40,13 +40,12 @@
 
 #[test]
 fn expired_entries_are_deleted() {
-    let tokened = |until_ms| serde_json::to_vec(&IdempotencyRecord { request_hash: 7, until_ms }).unwrap();
+    let record = |until_ms| serde_json::to_vec(&IdempotencyRecord { request_hash: 7, until_ms }).unwrap();
     let rows = [
-        (Key::new(Kind::Tokened, b"old"), tokened(99.0)),
-        (Key::new(Kind::Tokened, b"new"), tokened(101.0)),
+        (Key::new(Kind::Tokened, b"old"), record(99.0)),
+        (Key::new(Kind::Tokened, b"new"), record(101.0)),
         (Key::new(Kind::Word, b"a"), b"anything".to_vec()),
     ];
-    let deletions =
-        expired(100.0, &CACHE_RECOVERY_LIMITS, rows.iter().map(|(key, value)| (key, value.as_slice())));
+    let deletions = expired(100.0, &LIMITS, rows.iter().map(|(key, value)| (key, value.as_slice())));
     assert_eq!(deletions, [Op::Delete { key: rows[0].0.clone() }]);
 }
--- a/crates/store/tests/crashes.rs
+++ b/crates/store/tests/crashes.rs
@@ -15,8 +15,9 @@
 
 fn state<M: Medium>(store: &Store<M>) -> State {
     let kinds = [Kind::List, Kind::Kept, Kind::Tokened, Kind::Word];
-    let of = |kind| store.entries_of(kind).map(move |(key, value)| (Key::new(kind, key), value.to_vec()));
-    kinds.into_iter().flat_map(of).collect()
+    let entries_of =
+        |kind| store.entries_of(kind).map(move |(key, value)| (Key::new(kind, key), value.to_vec()));
+    kinds.into_iter().flat_map(entries_of).collect()
 }
 
 fn apply(state: &mut State, op: &Op) {
