--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -51,8 +51,7 @@
         self.idempotency_keys.borrow_mut().lost(&self.key);
     }
 
-    /// A rate limit tells the client that a retry is safe: the request never ran, or servers drop the
-    /// duplicate.
+    /// A rate-limited client may retry safely: the request never ran, or servers drop the duplicate.
     fn rate_limited(self) {
         if self.may_repeat {
             self.lost();
--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -85,7 +85,7 @@
                 return Err(match cause.kind() {
                     ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => SocketEnd::ConnectRefused,
                     ErrorKind::TimedOut => SocketEnd::ConnectTimedOut,
-                    // The shortage is local, so the server is not to blame.
+                    // The shortage is on this machine and doesn't count against the server.
                     _ if Shortage::of(&cause).is_some() => SocketEnd::NoRoom,
                     _ => SocketEnd::Unreachable,
                 });
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -56,15 +56,16 @@
         .map_or(f64::INFINITY, |row| row.latency_target_ms + row.target_per_token_ms * arrival.prompt_tokens)
 }
 
-/// What a dispatch's first event says about the zone of its server.
+/// The outcome that a dispatch's first event records for the zone of its server.
 pub fn first_event_outcome(target_ms: Option<&f64>, took_ms: f64) -> Option<DispatchOutcome> {
     target_ms.map(
         |target_ms| if took_ms <= *target_ms { DispatchOutcome::InTarget } else { DispatchOutcome::Late },
     )
 }
 
-/// What the end of a dispatch says about the zone of its server. A finished answer was counted at its first
-/// event, and a dispatch that we cancelled says nothing.
+/// The outcome that the end of a dispatch records for the zone of its server. None for a finished answer,
+/// which was counted at its first event, and for an end that shows nothing about the zone, such as a
+/// cancellation by this router.
 pub fn end_outcome(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<DispatchOutcome> {
     use SocketEnd::*;
     match end {
--- a/crates/router/src/front.rs
+++ b/crates/router/src/front.rs
@@ -189,7 +189,7 @@
 }
 
 /// Connections are still accepted for this time after shutdown begins, then those in the listen backlog: each
-/// gets an answer that says that this router stops.
+/// request on them is rejected, because this router stops.
 const ACCEPT_AFTER_STOP_MS: f64 = 50.0;
 
 /// Path that counts the tokens of a messages request.
@@ -243,7 +243,7 @@
             async move { Ok::<_, Infallible>(front.answer(request).await) }
         });
         let mut builder = hyper::server::conn::http1::Builder::new();
-        // A connection accepted during shutdown gets one answer, that this router stops, and is closed.
+        // A connection accepted during shutdown gets one response, a rejection, and is closed.
         builder.keep_alive(!*stop.borrow());
         builder
             .timer(TokioTimer::new())
