--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -156,7 +156,9 @@
     last_granted: Option<Granted>,
     rejected_logged_ms: f64,
     rejected_logged: u64,
+    /// Time and result of the last count of requests: those without a key, then those of each customer.
     request_counts: (f64, Vec<u64>),
+    /// Completions per second as a moving average: in total, then of each customer.
     demand: Vec<f64>,
     outgoing_calls: Rc<std::cell::Cell<usize>>,
     controller: Option<SharedController>,
