--- a/crates/router/src/engines.rs
+++ b/crates/router/src/engines.rs
@@ -85,7 +85,7 @@
                 return Err(match cause.kind() {
                     ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset => SocketEnd::ConnectRefused,
                     ErrorKind::TimedOut => SocketEnd::ConnectTimedOut,
-                    // The shortage is local, so the server is not to blame.
+                    // The shortage is on this machine and doesn't count against the server.
                     _ if Shortage::of(&cause).is_some() => SocketEnd::NoRoom,
                     _ => SocketEnd::Unreachable,
                 });
@@ -102,7 +102,8 @@
 
     /// Sends a request on an idle or a new connection and waits for the head of the response.
     ///
-    /// # Errors How the socket ended, or why the request must not be written although the connection is
+    /// # Errors
+    /// How the socket ended, or why the request must not be written although the connection is
     /// established. Only a request that hyper returns unwritten is retried on a new connection.
     pub async fn send(
         &self,
--- a/crates/router/src/failover.rs
+++ b/crates/router/src/failover.rs
@@ -56,15 +56,16 @@
         .map_or(f64::INFINITY, |row| row.latency_target_ms + row.target_per_token_ms * arrival.prompt_tokens)
 }
 
-/// What a dispatch's first event says about the zone of its server.
+/// The outcome that a dispatch's first event records for the zone of its server.
 pub fn first_event_outcome(target_ms: Option<&f64>, took_ms: f64) -> Option<DispatchOutcome> {
     target_ms.map(
         |target_ms| if took_ms <= *target_ms { DispatchOutcome::InTarget } else { DispatchOutcome::Late },
     )
 }
 
-/// What the end of a dispatch says about the zone of its server. A finished answer was counted at its first
-/// event, and a dispatch that we cancelled says nothing.
+/// The outcome that the end of a dispatch records for the zone of its server. None for a finished answer,
+/// which was counted at its first event, and for an end that shows nothing about the zone, such as a
+/// cancellation by this router.
 pub fn end_outcome(target_ms: Option<&f64>, took_ms: f64, end: &SocketEnd) -> Option<DispatchOutcome> {
     use SocketEnd::*;
     match end {
@@ -298,7 +299,7 @@
         "schema": "paddleproxy.failover.v1",
         "name": info.name, "zone": zone(Zone(info.zone)), "mind": report.status.name(), "why": report.reason,
         "page": controller.allocation_number(), "plan": agreed.map(|agreed| agreed.plan.number),
-        "speaking": last.reporting_zones.iter().map(|speaking| zone(*speaking)).collect::<Vec<_>>(),
+        "speaking": last.reporting_zones.iter().map(|reporting| zone(*reporting)).collect::<Vec<_>>(),
         "completions": controller.completions_total, "moved": controller.moved_total, "zones": rows,
     })
 }
--- a/crates/router/src/peers.rs
+++ b/crates/router/src/peers.rs
@@ -86,7 +86,7 @@
     }
 }
 
-/// The rules of the protocol, and what this router may use before any peer was heard.
+/// The rules of the protocol, and what this router may use before it has heard from any peer.
 pub fn initial_grant(settings: &RouterSettings, peers: &PeerSettings) -> (Rules, Granted) {
     let decisions = &settings.decisions;
     let router_count = decisions.routers;
@@ -156,7 +156,9 @@
     last_granted: Option<Granted>,
     rejected_logged_ms: f64,
     rejected_logged: u64,
+    /// Time and result of the last count of requests: those without a key, then those of each customer.
     request_counts: (f64, Vec<u64>),
+    /// Completions per second as a moving average: in total, then of each customer.
     demand: Vec<f64>,
     outgoing_calls: Rc<std::cell::Cell<usize>>,
     controller: Option<SharedController>,
