--- a/crates/failover/src/controller.rs
+++ b/crates/failover/src/controller.rs
@@ -66,10 +66,10 @@
 }
 
 /// Leases for which a zone has to be healthy without interruption before its sessions come back; doubles
-/// with each flap, up to [`MAX_STEADY_LEASES`]. Keeps sessions from following a flapping zone back and
+/// with each flap, up to [`MAX_STABLE_LEASES`]. Keeps sessions from following a flapping zone back and
 /// forth; the price is that they stay away longer.
-const STEADY_LEASES: f64 = 4.0;
-const MAX_STEADY_LEASES: f64 = 32.0;
+const STABLE_LEASES: f64 = 4.0;
+const MAX_STABLE_LEASES: f64 = 32.0;
 /// Leases after which the flaps of a zone that returned and stayed healthy are forgotten.
 const FORGIVE_LEASES: f64 = 64.0;
 /// Leases after which a row is published again although it hardly changed.
@@ -268,9 +268,9 @@
         [Role::Reader, Role::Writer, Role::Mixed].into_iter().map(of).fold(0.0, f32::max)
     }
 
-    /// The row of this router to publish now; the one published before as long as it hardly differs.
-    /// `represented_routers`: number of routers that the row stands for; none if other routers of the zone
-    /// report, in which case the row only passes on operator commands.
+    /// The row that this router publishes now: the one published before as long as the new one hardly
+    /// differs. `represented_routers`: number of routers that the row stands for; none if other routers of
+    /// the zone report, in which case the row only passes on operator commands.
     pub fn own_row(&mut self, now_ms: f64, represented_routers: Option<f32>) -> EvidenceRow {
         self.decay(now_ms);
         let Some(represented_routers) = represented_routers else {
@@ -415,7 +415,7 @@
             let since_ms = *self.healthy_since_ms.entry(zone).or_insert(now_ms);
             let flaps = history.flaps.get(&zone.0).copied().unwrap_or(0);
             let leases =
-                STEADY_LEASES * 2f64.powi(flaps.min(30) as i32).min(MAX_STEADY_LEASES / STEADY_LEASES);
+                STABLE_LEASES * 2f64.powi(flaps.min(30) as i32).min(MAX_STABLE_LEASES / STABLE_LEASES);
             if plan.moved(zone) > 0 && now_ms < since_ms + leases * lease_ms {
                 return Verdict::Unknown;
             }
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -25,7 +25,7 @@
     pub broken: f32,
     /// Rejections for lack of capacity.
     pub full: f32,
-    /// Answers to probes, which go where no dispatch goes.
+    /// Answers to probes, which are sent to zones that get no dispatches.
     pub probe_answers: f32,
     /// Share of its capacity in use, as reported by its workers, of the role that has least left; 0 without
     /// reports.
@@ -188,7 +188,7 @@
 pub struct EvidenceError;
 
 impl EvidenceRow {
-    /// Encodes the row. Writing plain values to memory can't fail; a reader would refuse an empty result.
+    /// Encodes the row. Writing plain values to memory can't fail; a reader rejects an empty result.
     pub fn bytes(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
@@ -222,7 +222,7 @@
     pub observations: BTreeMap<(Zone, Zone), ZoneObservation>,
     /// Recent completions by the origin zone of their sessions.
     pub completions_by_home: BTreeMap<Zone, f64>,
-    /// Load of each zone, as the median of the rows has it.
+    /// Load of each zone: the median over the rows.
     pub loads: BTreeMap<Zone, f64>,
     /// Zones of which most of the routers that know workers there have none on their list.
     pub unlisted: BTreeSet<Zone>,
--- a/crates/failover/src/verdict.rs
+++ b/crates/failover/src/verdict.rs
@@ -71,8 +71,8 @@
 
 fn judge_zone(topology: &Topology, matrix: &Matrix, reporting_zones: &[Zone], zone: Zone) -> Verdict {
     let from = |observer: Zone| matrix.observations.get(&(observer, zone));
-    // The list, as corrected by what connections to workers show, contains none of the zone's workers any
-    // more.
+    // The worker list, corrected by the results of connections to workers, no longer contains any worker of
+    // the zone.
     if matrix.unlisted.contains(&zone) {
         return Verdict::Lost;
     }
@@ -115,8 +115,8 @@
         others.iter().chain([&zone]).filter_map(|observer| shares(*observer)).collect();
     let own_missing = reporting_zones.contains(&zone) && shares(zone).is_none();
     if all.is_empty() {
-        // Probes were answered and hardly any dispatch went there: it is reachable, and nothing speaks
-        // against it.
+        // Probes were answered and hardly any dispatch went there: it is reachable, and there is
+        // no evidence against it.
         Verdict::Healthy
     } else if all.iter().all(|(_, full)| *full >= FULL_REJECTED_SHARE) {
         Verdict::Full
--- a/crates/failover/tests/controllers.rs
+++ b/crates/failover/tests/controllers.rs
@@ -206,7 +206,7 @@
         (0..6).for_each(|_| cluster.step(zone_2_lost));
         (0..6).for_each(|_| cluster.step(healthy));
     }
-    // One minute of flapping: the two steps out are expected, three change_times_ms are tolerated.
+    // One minute of flapping: the two steps out are expected, a third change is tolerated.
     assert!(cluster.change_times_ms.len() <= 3, "{:?}", cluster.change_times_ms);
     assert!(cluster.moved(2) >= WHOLE_SHARE / 2);
 }
@@ -312,8 +312,8 @@
     b.merge(6010.0, one, 1e6);
     assert_eq!(a.commands(6020.0), b.commands(6020.0));
     assert_eq!(a.commands(6020.0), BTreeMap::from([(1, OperatorCommand::Hold)]));
-    let bad = StampedCommand { for_ms: f32::NAN, ..one };
-    assert!(!CommandRegister::default().merge(0.0, bad, 5.0));
+    let invalid = StampedCommand { for_ms: f32::NAN, ..one };
+    assert!(!CommandRegister::default().merge(0.0, invalid, 5.0));
 }
 
 /// Bytes of an allocation come from a quorum of voters. Whatever they are, sessions have a home and the
@@ -331,10 +331,10 @@
         flaps: BTreeMap::from([(2, 3)]),
         returning: BTreeMap::from([(2, true)]),
     };
-    let good = postcard::to_stdvec(&paddleproxy_failover::AgreedPlan { plan, history }).unwrap();
+    let valid = postcard::to_stdvec(&paddleproxy_failover::AgreedPlan { plan, history }).unwrap();
     let mut plans = 0;
     for round in 0..20_000u64 {
-        let mut bytes = good.clone();
+        let mut bytes = valid.clone();
         for _ in 0..rng.usize(..4) {
             let at = rng.usize(..bytes.len());
             bytes[at] = rng.u8(..);
--- a/crates/failover/tests/plans.rs
+++ b/crates/failover/tests/plans.rs
@@ -94,9 +94,9 @@
         &mut FlapHistory::default(),
     );
     assert!(ALL.iter().all(|zone| plan.moved(*zone) == 0), "{plan:?}");
-    for bad in [f32::NAN, -1.0, f32::INFINITY, 1e9] {
-        let bad = EvidenceRow { completions_by_home: vec![(0, bad)], ..EvidenceRow::default() };
-        assert!(EvidenceRow::read(&bad.bytes()).is_err());
+    for count in [f32::NAN, -1.0, f32::INFINITY, 1e9] {
+        let invalid = EvidenceRow { completions_by_home: vec![(0, count)], ..EvidenceRow::default() };
+        assert!(EvidenceRow::read(&invalid.bytes()).is_err());
     }
     let wide = EvidenceRow {
         from: 7,
--- a/crates/peers/src/consensus.rs
+++ b/crates/peers/src/consensus.rs
@@ -31,8 +31,8 @@
 const CLOCK_DRIFT_FACTOR: f64 = 1.25;
 /// Renewal requests within one lease.
 const RENEWALS_PER_LEASE: f64 = 2.0;
-/// Renewal requests whose send time is remembered.
-const RENEWALS_KEPT: u32 = 8;
+/// Most renewal requests whose send time is remembered.
+const MAX_REMEMBERED_RENEWALS: u32 = 8;
 
 pub fn voters(router_count: usize) -> impl Iterator<Item = RouterIndex> {
     (0..router_count.min(MAX_VOTERS)).map(|router| RouterIndex(router as u16))
@@ -222,7 +222,7 @@
         self.next_renewal = self.next_renewal.wrapping_add(1);
         let renewal = self.next_renewal;
         self.renewals.insert(renewal, now_ms);
-        self.renewals.retain(|old, _| renewal.wrapping_sub(*old) < RENEWALS_KEPT);
+        self.renewals.retain(|old, _| renewal.wrapping_sub(*old) < MAX_REMEMBERED_RENEWALS);
         self.renew_ms = now_ms + self.lease_ms / RENEWALS_PER_LEASE;
         renewal
     }
@@ -238,7 +238,8 @@
         }
     }
 
-    /// The voters to ask: a quorum of those that confirmed the previous request; all voters where fewer did.
+    /// The voters to send a renewal request to: a quorum of those that confirmed the previous request; all
+    /// voters if fewer did.
     pub fn renewal_targets(&self) -> Vec<RouterIndex> {
         let all = || voters(self.router_count).filter(|router| *router != self.own);
         let requested_ms =
--- a/crates/peers/src/member.rs
+++ b/crates/peers/src/member.rs
@@ -64,8 +64,8 @@
     pub reporters: BTreeSet<RouterIndex>,
 }
 
-/// Changes kept for each member.
-const HISTORY: usize = 12;
+/// Most changes kept for each member.
+const MAX_HISTORY: usize = 12;
 
 /// Kept as long as the router is remembered.
 #[derive(Clone, Debug)]
@@ -124,7 +124,7 @@
     }
 
     pub fn record_change(&mut self, now_ms: f64, from: Option<State>, reporter: RouterIndex) {
-        if self.history.len() == HISTORY {
+        if self.history.len() == MAX_HISTORY {
             self.history.pop_front();
         }
         let (generation, incarnation, to) = (self.generation, self.incarnation, self.state);
--- a/crates/peers/src/view/allocate.rs
+++ b/crates/peers/src/view/allocate.rs
@@ -171,7 +171,8 @@
                 _ => floor / router_count as f64 + (1.0 - floor) * f64::from(part) / f64::from(TOTAL_PARTS),
             }
         };
-        // Routers in the last allocation count as running until a new one is agreed, heard or not.
+        // Routers in the last allocation count as running until a new one is agreed, even if they are not
+        // heard.
         let ranked = self
             .consensus
             .allocation()
--- a/crates/peers/src/view/exchange.rs
+++ b/crates/peers/src/view/exchange.rs
@@ -4,19 +4,19 @@
 
 impl Peers {
     pub(super) fn exchange(&mut self, to: SocketAddr) {
-        if self.free_to_call() {
+        if self.no_call_pending() {
             self.pending_call = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
             let packets = self.full_view(true);
             self.call(to, packets);
         }
     }
 
-    pub(super) fn free_to_call(&self) -> bool {
+    pub(super) fn no_call_pending(&self) -> bool {
         self.pending_call.is_none_or(|(_, until)| self.now_ms >= until)
     }
 
     pub(super) fn fetch_allocation(&mut self, to: SocketAddr) {
-        if self.free_to_call() {
+        if self.no_call_pending() {
             self.pending_call = Some((to, self.now_ms + self.rules.probe_ms * 10.0));
             let above = self.consensus.number();
             let packets = vec![self.encode_packet(vec![Message::FetchAllocation { above }])];
--- a/crates/peers/src/view/probe.rs
+++ b/crates/peers/src/view/probe.rs
@@ -215,7 +215,7 @@
         self.send(to, vec![message], false);
     }
 
-    /// Pings a router that is held to be failed, so that both sides notice when a partition has healed.
+    /// Pings a router that is considered failed, so that both sides notice when a partition has healed.
     pub(super) fn probe_failed(&mut self) {
         self.next_failed_probe_ms =
             self.now_ms + self.rules.probe_ms * PROBE_FAILED_EVERY_PROBES * (0.5 + self.rng.f64());
--- a/crates/peers/src/view/receive.rs
+++ b/crates/peers/src/view/receive.rs
@@ -198,7 +198,7 @@
         }
     }
 
-    /// What the sender of a packet should learn about itself: that it is suspected or held to be failed.
+    /// What the sender of a packet should learn about itself: that it is suspected or considered failed.
     pub(super) fn correction(&self, packet: &Packet) -> Option<Message> {
         let member = self.members.get(&packet.from)?;
         let outdated = member.generation > packet.generation
--- a/crates/peers/src/wire.rs
+++ b/crates/peers/src/wire.rs
@@ -1,6 +1,6 @@
 //! Messages between routers and their encoding: a header of ten bytes (magic byte, format version,
-//! deployment, checksum), then the packet encoded with `postcard`. `docs/operators/peers.md` describes it for
-//! other readers.
+//! deployment, checksum), then the packet encoded with `postcard`. `docs/operators/peers.md` describes the
+//! format for other programs that read it.
 
 use std::net::SocketAddr;
 
@@ -186,7 +186,7 @@
     let mut bytes = vec![MAGIC, FORMAT_VERSION];
     bytes.extend(deployment.to_le_bytes());
     bytes.extend([0; 4]);
-    // Writing plain values to memory can't fail; its reader would refuse an empty packet.
+    // Writing plain values to memory can't fail; a reader rejects an empty packet.
     let mut bytes = postcard::to_extend(packet, bytes).unwrap_or_default();
     let extras: Vec<&Vec<u8>> =
         packet.messages.iter().filter_map(Message::allocation).map(|allocation| &allocation.extra).collect();
