--- a/crates/peerlab/src/lib.rs
+++ b/crates/peerlab/src/lib.rs
@@ -1,5 +1,5 @@
 //! Simulates a cluster of routers in virtual time. The routers run the unmodified state machine of
-//! `paddleproxy-peers`, with clocks that differ, links that lose, duplicate, delay and drop datagrams, and
+//! `paddleproxy-peers`, with clocks that differ, links that lose, duplicate, corrupt and delay datagrams, and
 //! processes that are paused, resumed, killed and restarted. Invariants are checked at every step; cost and
 //! detection times are measured against baseline protocols.
 
--- a/crates/peerlab/src/simulation.rs
+++ b/crates/peerlab/src/simulation.rs
@@ -545,9 +545,9 @@
         for node in (0..self.nodes.len()).filter(|node| self.running(*node) && !self.nodes[*node].paused) {
             let Some(peers) = self.peers(node) else { continue };
             for subject in (0..self.nodes.len()).filter(|subject| *subject != node) {
-                let truth = self.peers(subject).map(|peers| (peers.generation(), peers.incarnation()));
+                let actual = self.peers(subject).map(|peers| (peers.generation(), peers.incarnation()));
                 let held = peers.members().find(|m| usize::from(m.router.0) == subject);
-                let same = match (truth, held) {
+                let same = match (actual, held) {
                     (Some((generation, _)), Some(m)) => m.state.is_running() && m.generation == generation,
                     (None, held) => held.is_none_or(|m| !m.state.is_running()),
                     (Some(_), None) => false,
@@ -555,7 +555,7 @@
                 if !same {
                     let held = held.map(|m| (m.state, m.generation, m.incarnation));
                     differences.push(format!(
-                        "router {node} ({:?}) sees router {subject} as {held:?}; actual state: {truth:?}",
+                        "router {node} ({:?}) sees router {subject} as {held:?}; actual state: {actual:?}",
                         peers.cluster_report().status
                     ));
                 }
@@ -577,10 +577,10 @@
 
     /// Bytes that each running router sent in datagrams, headers included, and in calls.
     pub fn sent_bytes(&self) -> BTreeMap<usize, (u64, u64)> {
-        let subject = |node: usize| {
+        let bytes_of = |node: usize| {
             let counts = &self.peers(node)?.counts;
             Some((node, (counts.sent_bytes + DATAGRAM_HEADER_BYTES * counts.sent, counts.call_bytes)))
         };
-        (0..self.nodes.len()).filter_map(subject).collect()
+        (0..self.nodes.len()).filter_map(bytes_of).collect()
     }
 }
--- a/crates/peerlab/src/zones.rs
+++ b/crates/peerlab/src/zones.rs
@@ -41,7 +41,7 @@
     Flap { zone: usize, every_ms: f64 },
     /// The demand of the zone's sessions grows by a factor.
     Burst { zone: usize, factor: f64 },
-    /// The first `routers` routers report every dispatch as timed out.
+    /// The first `routers` routers record the outcome of every dispatch as timed out.
     FalseReporters { routers: usize },
 }
 
@@ -440,7 +440,7 @@
                 outcome.over_time.push((now_ms / 1e3, share(second.0, second.1), share(second.3, second.2)));
                 second = (0.0, 0.0, 0.0, 0.0);
             }
-            // Capacity is counted per tick: `served` is reset, the moving average keeps what is measured.
+            // Capacity applies per tick: `served` is reset after it entered the moving average `served_mean`.
             for zone in 0..zones {
                 let mean = &mut served_mean[zone];
                 *mean += 0.05 * (served[zone] / TICK_MS * 1e3 - *mean);
@@ -513,14 +513,14 @@
         self.workers[zone + zones * self.rng.usize(..each)].clone()
     }
 
-    /// Sends evidence rows, delivers the delayed ones, and lets the lowest running router propose the next
-    /// allocation.
+    /// Sends evidence rows, delivers the delayed ones, and lets the running router with the lowest
+    /// index propose the next allocation.
     fn exchange(&mut self, now_ms: f64, mode: DecisionMode, delay_ms: f64, down: &impl Fn(usize) -> bool) {
         if mode == DecisionMode::Off {
             return;
         }
         let zones = self.scenario.zones;
-        // Probes go to every zone that a router sees as dead or whose sessions are moved.
+        // Each router probes the zones that some zone finds unreachable or whose sessions moved away.
         for router in 0..self.scenario.routers {
             if down(router) {
                 continue;
--- a/crates/settings/src/router.rs
+++ b/crates/settings/src/router.rs
@@ -47,7 +47,7 @@
 pub(crate) type Switch = fn(&mut RouterSettings) -> &mut bool;
 
 /// The rules in which routers of one day may differ. All other rules are the same for all routers, because
-/// the checker judges every router by the same values.
+/// the checker applies the same values to every router.
 pub(crate) const SWITCHES: [(&str, Switch); 5] = [
     ("probes", |router| &mut router.decisions.probes_allowed),
     ("reports", |router| &mut router.reports),
