--- a/crates/drill/src/wire.rs
+++ b/crates/drill/src/wire.rs
@@ -16,7 +16,7 @@
 /// One router: its decision module and the protocol's names for the rows of its settings.
 struct Instance {
     control: Control,
-    provision: PlatformSettings,
+    platform_settings: PlatformSettings,
 }
 
 /// A list of workers as sent. It serves several instances, so names of zones and kinds are resolved for each
@@ -228,9 +228,9 @@
                 let seed: u64 = fields.number("random_seed")?;
                 let conf = fields.rest.ok_or_else(|| anyhow!("field conf: missing"))?;
                 match settings::parse(conf) {
-                    Ok(provision) => {
-                        let control = Control::new(provision.settings.clone(), seed);
-                        self.instances.insert(router, Some(Instance { control, provision }));
+                    Ok(platform_settings) => {
+                        let control = Control::new(platform_settings.settings.clone(), seed);
+                        self.instances.insert(router, Some(Instance { control, platform_settings }));
                     }
                     Err(cause) => {
                         self.instances.insert(router, None);
@@ -300,7 +300,7 @@
                 let rows =
                     self.lists.get(&set_id).ok_or_else(|| anyhow!("field set_id: no list {set_id}"))?;
                 let Some(instance) = instance else { return Ok(None) };
-                Event::Listed { kind, rows: resolve_listings(rows, &instance.provision)? }
+                Event::Listed { kind, rows: resolve_listings(rows, &instance.platform_settings)? }
             }
             "NEW_REQUEST" => {
                 let completion = CompletionId(fields.number("call")?);
@@ -314,10 +314,10 @@
                 let customer = fields.optional();
                 let flags: u32 = fields.optional_number("bitmap")?.unwrap_or(0);
                 let prefix_tokens = fields.optional_number("prefix_tokens")?.unwrap_or(0.0);
-                let Some(provision) = instance.map(|instance| &instance.provision) else {
+                let Some(platform_settings) = instance.map(|instance| &instance.platform_settings) else {
                     return Ok(None);
                 };
-                let workload = provision.workloads.iter().position(|known| known == workload);
+                let workload = platform_settings.workloads.iter().position(|known| known == workload);
                 let workload = workload.ok_or_else(|| anyhow!("field tier_class: not in the settings"))?;
                 Event::Arrived(Arrival {
                     completion,
@@ -325,7 +325,9 @@
                     session,
                     prefix,
                     customer: customer
-                        .and_then(|customer| provision.customers.iter().position(|known| known == customer))
+                        .and_then(|customer| {
+                            platform_settings.customers.iter().position(|known| known == customer)
+                        })
                         .map(CustomerId),
                     client_timeout_ms,
                     prompt_tokens,
@@ -402,7 +404,7 @@
     }
 }
 
-fn resolve_listings(rows: &Rows, provision: &PlatformSettings) -> Result<Arc<[Listing]>> {
+fn resolve_listings(rows: &Rows, platform_settings: &PlatformSettings) -> Result<Arc<[Listing]>> {
     let position = |known: &[String], name: &str, field: &str| {
         known
             .iter()
@@ -413,8 +415,8 @@
         .map(|row| {
             Ok(Listing {
                 worker: row.worker.clone(),
-                zone: ZoneId(position(&provision.zones, &row.zone, "zone")?),
-                kind: KindId(position(&provision.kinds, &row.kind, "sku")?),
+                zone: ZoneId(position(&platform_settings.zones, &row.zone, "zone")?),
+                kind: KindId(position(&platform_settings.kinds, &row.kind, "sku")?),
                 cell: row.cell,
                 readiness: row.readiness,
                 weight: row.weight,
--- a/crates/emulator/src/policies.rs
+++ b/crates/emulator/src/policies.rs
@@ -129,7 +129,8 @@
         }
     }
 
-    fn plan(&mut self, id: CompletionId, actions: &mut Vec<Action>) {
+    /// Sends the next dispatch of a completion; without a worker or an attempt left, ends the completion.
+    fn dispatch_or_end(&mut self, id: CompletionId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&id) else { return };
         let attempts_left = open.dispatched.len() < self.settings.max_dispatches;
         let chosen = match open.state_at.clone() {
@@ -150,11 +151,11 @@
                 actions.push(Action::Dispatch { completion: id, worker, timeout_ms: 0.0 });
             }
             None => {
-                let idempotent = self.settings.workloads[open.arrival.workload.0].effect
+                let retry_is_safe = self.settings.workloads[open.arrival.workload.0].effect
                     == Effect::Idempotent
                     || !open.may_have_run;
                 let retry_after_ms = self.settings.max_retry_after_ms;
-                actions.push(if idempotent {
+                actions.push(if retry_is_safe {
                     Action::RateLimit { completion: id, retry_after_ms }
                 } else {
                     Action::Abort { completion: id }
@@ -203,7 +204,7 @@
                     },
                 );
                 actions.push(Action::Arm { in_ms, timer: Timer::Completion(id) });
-                self.plan(id, actions);
+                self.dispatch_or_end(id, actions);
             }
             Event::Reported { worker, load } => {
                 if let Some(worker) = self.workers.get_mut(worker) {
@@ -241,10 +242,11 @@
                 if *done || *outcome == Outcome::Finished {
                     self.open.remove(completion);
                 } else if not_run || effect == Effect::Idempotent {
-                    self.plan(*completion, actions);
+                    self.dispatch_or_end(*completion, actions);
                 } else {
+                    // Another attempt could have a second effect: without attempts left, the completion ends.
                     open.dispatched.resize(self.settings.max_dispatches, None);
-                    self.plan(*completion, actions);
+                    self.dispatch_or_end(*completion, actions);
                 }
             }
             Event::Expired { completion } => {
--- a/crates/emulator/src/record.rs
+++ b/crates/emulator/src/record.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum What {
-    /// A server process started; `cold` if it is not warm yet.
+    /// A server process started; `cold` if it is in slow start.
     Started {
         server: String,
         zone: String,
@@ -25,7 +25,7 @@
     Died {
         server: String,
     },
-    /// A cold server hung under too much work.
+    /// A server in slow start hung under too much work.
     FellOver {
         server: String,
     },
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -25,11 +25,11 @@
     pub token_ms: f64,
     /// Share of the capacity that a server has right after its start.
     pub cold_share: f64,
-    /// A cold server is warm after this time, or earlier after this much work, in ms of a warm server's time.
+    /// Slow start ends after this time, or earlier after this much work, in ms of a warm server's time.
     pub cold_ms: f64,
     pub cold_work_ms: f64,
-    /// A cold server falls over (hangs) if the work that arrives within `fall_ms` exceeds this multiple of
-    /// its capacity.
+    /// A server in slow start falls over (hangs) if the work that arrives within `fall_ms` exceeds this
+    /// multiple of its capacity.
     pub fall_multiple: f64,
     pub fall_ms: f64,
 }
@@ -55,7 +55,7 @@
 /// Time that reading prompts may take in a step beside answers, as a share of the token time.
 const READ_STEP_SHARE: f64 = 0.5;
 /// Longest step that only reads prompts.
-const READ_STEP_MS: f64 = 20.0;
+const MAX_READ_STEP_MS: f64 = 20.0;
 
 /// A prompt as its prefixes, in ascending order: the key of each and its end in tokens. Two prompts with a
 /// key in common share the text up to its end.
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Starts a new process, cold and with empty memory. Returns the ids of the states lost with the old
-    /// process.
+    /// Starts a new process, in slow start and with empty memory. Returns the ids of the states lost with the
+    /// old process.
     pub fn restart(&mut self, now_ms: f64) -> Vec<u64> {
         let lost = self.states.keys().copied().collect();
         let faults = ActiveFaults { draining: false, silent: false, ..self.faults.clone() };
@@ -226,8 +226,8 @@
         read + if self.kind.role == Role::Reader { 0.0 } else { write }
     }
 
-    /// Records arriving work, whether it is accepted or not. Returns true if a cold server falls over under
-    /// the load.
+    /// Records arriving work, whether it is accepted or not. Returns true if a server in slow start
+    /// falls over under the load.
     pub fn record_arrival(&mut self, now_ms: f64, work_ms: f64) -> bool {
         if self.started_ms.is_none() {
             return false;
@@ -403,7 +403,7 @@
             return;
         }
         let writing = self.running.values().any(|running| matches!(running.phase, Phase::Writing { .. }));
-        let budget_ms = if writing { self.kind.token_ms * READ_STEP_SHARE } else { READ_STEP_MS };
+        let budget_ms = if writing { self.kind.token_ms * READ_STEP_SHARE } else { MAX_READ_STEP_MS };
         let mut budget_tokens = budget_ms * self.kind.read_tokens_per_ms;
         self.reads.clear();
         let mut read = 0.0;
--- a/crates/emulator/src/world/clients.rs
+++ b/crates/emulator/src/world/clients.rs
@@ -63,7 +63,7 @@
 }
 
 /// New sessions are skipped while this many are open.
-const SESSIONS_MAX: usize = 200_000;
+const MAX_OPEN_SESSIONS: usize = 200_000;
 
 impl World {
     pub(crate) fn session_rate(&self, load: usize) -> f64 {
@@ -81,7 +81,7 @@
         if next_ms <= self.day.length_ms {
             self.queue.push(next_ms, SimEvent::SessionArrival { load });
         }
-        if self.now_ms > self.day.length_ms || self.open_sessions >= SESSIONS_MAX {
+        if self.now_ms > self.day.length_ms || self.open_sessions >= MAX_OPEN_SESSIONS {
             return;
         }
         let key = self.load_rngs[load].next_u64() >> 11;
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -16,9 +16,10 @@
 
 /// Finished answers per first attempt.
 fn finished(run: &Run) -> f64 {
-    let asked = run.lines.iter().filter(|line| matches!(line.what, What::Asked { attempt: 0, .. })).count();
+    let first_attempts =
+        run.lines.iter().filter(|line| matches!(line.what, What::Asked { attempt: 0, .. })).count();
     let done = |what: &What| matches!(what, What::Final { how, .. } if how == "finished");
-    run.lines.iter().filter(|line| done(&line.what)).count() as f64 / asked.max(1) as f64
+    run.lines.iter().filter(|line| done(&line.what)).count() as f64 / first_attempts.max(1) as f64
 }
 
 #[test]
@@ -96,10 +97,10 @@
 fn every_policy_ends_each_attempt_once() {
     for (name, policy) in Policy::ALL {
         let run = run(&day("fast-errors"), &Options { policy, ..Options::default() });
-        let asked = run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
+        let attempts = run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
         let ended = |what: &What| matches!(what, What::Final { .. } | What::Broke { .. } | What::Left { .. });
         let ended = run.lines.iter().filter(|line| ended(&line.what)).count();
-        assert_eq!((asked, run.overdue), (ended, 0), "{name}");
+        assert_eq!((attempts, run.overdue), (ended, 0), "{name}");
     }
 }
 
@@ -115,13 +116,14 @@
         change(&mut day);
         Rc::new(day)
     };
-    let asked = |run: &Run| run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
+    let attempts =
+        |run: &Run| run.lines.iter().filter(|line| matches!(line.what, What::Asked { .. })).count();
     let calm = run(&with(&|_| {}), &Options::default());
     let trouble = |kind| Trouble { at_ms: 0.0, for_ms: base.length_ms, every_ms: None, kind };
     // A ramp to twice the rate means 1.5 times the sessions of that key over the day.
     let ramp = trouble(TroubleKind::Ramp { key: "app-key".into(), factor: 2.0 });
     let grown = run(&with(&|day| day.troubles = vec![ramp.clone()]), &Options::default());
-    let ratio = asked(&grown) as f64 / asked(&calm) as f64;
+    let ratio = attempts(&grown) as f64 / attempts(&calm) as f64;
     assert!((1.15..1.7).contains(&ratio), "{ratio}");
     // A recurring trouble occurs about as often as its mean interval says and never overlaps itself.
     let short = Trouble {
