--- a/crates/day/src/load.rs
+++ b/crates/day/src/load.rs
@@ -9,7 +9,7 @@
 use paddleproxy_emulator::troubles::Ramp;
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_settings::day::{ClientLoad, DaySettings};
-use paddleproxy_settings::rig::Traffic;
+use paddleproxy_settings::process_faults::Traffic;
 use serde_json::json;
 use tokio::time::{sleep, sleep_until};
 
--- a/crates/day/src/mesh.rs
+++ b/crates/day/src/mesh.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use anyhow::{Context, Result};
-use paddleproxy_settings::rig::{Cut, EndpointSelector, LinkCondition, Traffic};
+use paddleproxy_settings::process_faults::{Cut, EndpointSelector, LinkCondition, Traffic};
 use tokio::io::Interest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/day/src/process_faults.rs
+++ b/crates/day/src/process_faults.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use paddleproxy_fleet::record::What as RecordWhat;
 use paddleproxy_settings::day::Trouble;
-use paddleproxy_settings::rig::{Fault, RestartState};
+use paddleproxy_settings::process_faults::{Fault, RestartState};
 use rustix::process::Signal;
 use serde_json::Value;
 use tokio::net::{TcpStream, UdpSocket};
--- a/crates/day/src/scenario.rs
+++ b/crates/day/src/scenario.rs
@@ -12,7 +12,7 @@
 use paddleproxy_fleet::record::{Record, What};
 use paddleproxy_fleet::Fleet;
 use paddleproxy_settings::day::{DaySettings, RouterOverrides};
-use paddleproxy_settings::rig::Traffic;
+use paddleproxy_settings::process_faults::Traffic;
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout};
--- a/crates/day/src/troubles.rs
+++ b/crates/day/src/troubles.rs
@@ -25,7 +25,7 @@
     };
     let record_trouble = |begins| scenario.record.add(RecordWhat::Trouble { name: name.to_owned(), begins });
     record_trouble(true);
-    if let TroubleKind::Rig(fault) = &trouble.kind {
+    if let TroubleKind::ProcessFault(fault) = &trouble.kind {
         process_faults::run_fault(&scenario, &trouble, fault).await;
         record_trouble(false);
         return;
@@ -109,7 +109,7 @@
         TroubleKind::LongPrompts { share, factor } => scenario.conditions.long.set(Some((*share, *factor))),
         TroubleKind::HotPrefix { share, tokens } => scenario.conditions.hot.set(Some((*share, *tokens))),
         TroubleKind::GiveUp { share } => scenario.conditions.leave_share.set(*share),
-        TroubleKind::Rig(_) => {}
+        TroubleKind::ProcessFault(_) => {}
     }
 }
 
@@ -165,6 +165,6 @@
         TroubleKind::LongPrompts { .. } => scenario.conditions.long.set(None),
         TroubleKind::HotPrefix { .. } => scenario.conditions.hot.set(None),
         TroubleKind::GiveUp { .. } => scenario.conditions.leave_share.set(0.0),
-        TroubleKind::Rig(_) => {}
+        TroubleKind::ProcessFault(_) => {}
     }
 }
--- a/crates/emulator/src/world/troubles.rs
+++ b/crates/emulator/src/world/troubles.rs
@@ -95,7 +95,7 @@
             }
             TroubleKind::GiveUp { share } => self.conditions.leaving_share = *share,
             // Faults of router processes and of the connections between them need real processes.
-            TroubleKind::Rig(_) => {}
+            TroubleKind::ProcessFault(_) => {}
         }
     }
 
@@ -177,7 +177,7 @@
             TroubleKind::LongPrompts { .. } => self.conditions.long_prompts = None,
             TroubleKind::HotPrefix { .. } => self.conditions.hot_prefix = None,
             TroubleKind::GiveUp { .. } => self.conditions.leaving_share = 0.0,
-            TroubleKind::Rig(_) => {}
+            TroubleKind::ProcessFault(_) => {}
         }
     }
 
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -8,8 +8,8 @@
 use crate::day_failover::{self, ExpectedPlan, FailoverMode};
 use crate::failover;
 use crate::fleet::{fleet, FleetSettings};
+use crate::process_faults::{self, Fault};
 use crate::reader::{Block, Count, Millis, Problems, Share, Source};
-use crate::rig::{self, Fault};
 use crate::router::{router, RouterSettings, Switch, SWITCHES};
 use crate::{read_text, Error};
 
@@ -218,7 +218,7 @@
         share: f64,
     },
     /// A fault of links or router processes; played on real processes only.
-    Rig(Fault),
+    ProcessFault(Fault),
 }
 
 impl TroubleKind {
@@ -246,7 +246,7 @@
             TroubleKind::LongPrompts { .. } => "long-prompts",
             TroubleKind::HotPrefix { .. } => "hot-beginning",
             TroubleKind::GiveUp { .. } => "give-up",
-            TroubleKind::Rig(fault) => fault.name(),
+            TroubleKind::ProcessFault(fault) => fault.name(),
         }
     }
 }
@@ -341,7 +341,12 @@
         let command_at = |zone: &String, at_ms: f64, command: &str| {
             let fault =
                 Fault::OperatorCommand { zone: zone.clone(), command: command.to_owned(), for_ms: 600_000.0 };
-            Trouble { at_ms: at_ms + EXCHANGE_MS, for_ms: 0.0, every_ms: None, kind: TroubleKind::Rig(fault) }
+            Trouble {
+                at_ms: at_ms + EXCHANGE_MS,
+                for_ms: 0.0,
+                every_ms: None,
+                kind: TroubleKind::ProcessFault(fault),
+            }
         };
         let zones = self.router.names.zones.iter().filter(|zone| affects_all(zone));
         let commands = zones.flat_map(|zone| {
@@ -551,7 +556,7 @@
                 ));
                 continue;
             }
-            TroubleKind::Rig(fault) => {
+            TroubleKind::ProcessFault(fault) => {
                 check_fault_references(top, day, fault);
                 continue;
             }
@@ -587,11 +592,11 @@
         for end in from.iter().chain(to) {
             let zone = |zone: &String| day.router.names.zones.contains(zone);
             let exists = match end {
-                rig::EndpointSelector::Router(router) => *router < day.routers,
-                rig::EndpointSelector::Zone(of)
-                | rig::EndpointSelector::RoutersOf(of)
-                | rig::EndpointSelector::WorkersOf(of) => zone(of),
-                rig::EndpointSelector::Server(server) => {
+                process_faults::EndpointSelector::Router(router) => *router < day.routers,
+                process_faults::EndpointSelector::Zone(of)
+                | process_faults::EndpointSelector::RoutersOf(of)
+                | process_faults::EndpointSelector::WorkersOf(of) => zone(of),
+                process_faults::EndpointSelector::Server(server) => {
                     day.fleet.servers.iter().any(|row| row.name == *server)
                 }
                 _ => true,
@@ -693,7 +698,9 @@
             tokens: block.need_property::<Count>("tokens").0 as usize,
         },
         "give-up" => TroubleKind::GiveUp { share: share() },
-        other if rig::FAULT_NAMES.contains(&other) => TroubleKind::Rig(rig::read(&block, other)?),
+        other if process_faults::FAULT_NAMES.contains(&other) => {
+            TroubleKind::ProcessFault(process_faults::read(&block, other)?)
+        }
         other => {
             block.problem(format!("trouble \"{other}\" is not known; known are {TROUBLE_NAMES}"));
             return None;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,8 +8,8 @@
 pub mod failover;
 pub mod fleet;
 pub mod peers;
+pub mod process_faults;
 pub mod reader;
-pub mod rig;
 pub mod router;
 pub mod servers;
 
