--- a/crates/failover/tests/plans.rs
+++ b/crates/failover/tests/plans.rs
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn one_router_with_wrong_figures_moves_nothing_and_invalid_rows_are_refused() {
+fn one_router_with_wrong_figures_moves_nothing_and_invalid_rows_are_rejected() {
     let correct = row(0, [Some(healthy()), Some(healthy()), Some(healthy())]);
     let huge = ZoneCounts { timed_out: 900_000.0, listed: 8, ..ZoneCounts::default() };
     let faulty = row(0, [Some(huge), Some(huge), Some(huge)]);
@@ -250,7 +250,7 @@
         prop_assert_eq!(first, Matrix::from_rows(&rows));
     }
 
-    /// Arbitrary bytes are refused, or decode to a row with bounded counts that is the same after another
+    /// Arbitrary bytes are rejected, or decode to a row with bounded counts that is the same after another
     /// encoding.
     #[test]
     fn random_bytes_never_decode_to_an_invalid_row(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
--- a/crates/settings/src/day.rs
+++ b/crates/settings/src/day.rs
@@ -106,7 +106,7 @@
     pub kind: TroubleKind,
 }
 
-/// What a client meets at the address of a dead server.
+/// How connections to a dead server fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureMode {
     /// Connections are refused.
@@ -189,7 +189,7 @@
     RouterKilled {
         router: usize,
     },
-    /// A router is asked to stop, and stops in order.
+    /// A router is requested to stop and shuts down gracefully.
     RouterStopped {
         router: usize,
     },
--- a/crates/settings/src/process_faults.rs
+++ b/crates/settings/src/process_faults.rs
@@ -105,7 +105,7 @@
     Paused { routers: Vec<usize> },
     /// Routers run only for `runs_ms` in every `of_ms`.
     Starved { routers: Vec<usize>, runs_ms: f64, of_ms: f64 },
-    /// Routers are stopped in order and started again, one after the other, with `router_count` in their
+    /// Routers are shut down gracefully and started again, one after the other, with `router_count` in their
     /// settings if it is given.
     Restarted { routers: Vec<usize>, every_ms: f64, router_count: Option<usize> },
     /// A second process with the number of a running router, in another directory.
