--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -172,7 +172,7 @@
                 let granted = self.request_grant(started).await?;
                 stream = Some((granted, StallDetector::new(self.clock.now_ms(), STREAM_IDLE_TIMEOUT_MS)));
             }
-            if let Some((parts, pace)) = stream.as_mut().filter(|_| !complete_events.is_empty()) {
+            if let Some((parts, stall_detector)) = stream.as_mut().filter(|_| !complete_events.is_empty()) {
                 // Time spent waiting for a slow client doesn't count as the server's silence.
                 let sent = tokio::select! {
                     biased;
@@ -180,9 +180,9 @@
                     sent = parts.send(StreamPart::Events(complete_events)) => sent,
                 };
                 sent.map_err(|_| SocketEnd::Stopped)?;
-                // The pace started with the first event, so that event ends no gap.
+                // The stall detector started with the first event, so that event ends no gap.
                 if !first {
-                    pace.record_event(self.clock.now_ms());
+                    stall_detector.record_event(self.clock.now_ms());
                 }
             }
             if done {
@@ -194,7 +194,9 @@
                 }
                 return Ok((SocketEnd::AnswerDone, None));
             }
-            let limit = stream.as_ref().map_or(deadline, |(_, pace)| self.clock.at(pace.deadline_ms()));
+            let limit = stream
+                .as_ref()
+                .map_or(deadline, |(_, stall_detector)| self.clock.at(stall_detector.deadline_ms()));
             let read = tokio::select! {
                 biased;
                 _ = self.commands.recv() => return Err(SocketEnd::Stopped),
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -120,9 +120,9 @@
         };
         let received = match received {
             Ok(received) => received,
-            Err(fault) => {
-                self.frontend.endings.rejected_unread(fault.status);
-                self.reject(stream, fault, true).await?;
+            Err(error) => {
+                self.frontend.endings.rejected_unread(error.status);
+                self.reject(stream, error, true).await?;
                 return Err(ConnectionClose::Graceful(ConnectionEnd::BadRequest));
             }
         };
@@ -169,10 +169,10 @@
         };
         match answered {
             Ok(end) => Ok(end),
-            Err(fault) => {
-                self.reject(stream, fault, close || self.closes(stream, inbound)).await?;
-                let stopping = fault == SHUTTING_DOWN;
-                Ok(if stopping { RequestEnd::RefusedShutdown } else { RequestEnd::Refused(fault.status) })
+            Err(error) => {
+                self.reject(stream, error, close || self.closes(stream, inbound)).await?;
+                let stopping = error == SHUTTING_DOWN;
+                Ok(if stopping { RequestEnd::RefusedShutdown } else { RequestEnd::Refused(error.status) })
             }
         }
     }
@@ -212,7 +212,7 @@
         if !inbound.is_empty() {
             return Ok(());
         }
-        let idle_ms = self.frontend.provision.borrow().server_idle_timeout_ms * CLIENT_IDLE_FACTOR;
+        let idle_ms = self.frontend.platform_settings.borrow().server_idle_timeout_ms * CLIENT_IDLE_FACTOR;
         let until = connected
             .map_or(Instant::now() + duration(idle_ms), |since| since + duration(REQUEST_READ_TIMEOUT_MS));
         let mut lifecycle = self.frontend.lifecycle.clone();
@@ -245,7 +245,7 @@
             match head::parse_request(inbound) {
                 Ok(Some(head)) => break head,
                 Ok(None) => {}
-                Err(fault) => return Ok(Err(fault)),
+                Err(error) => return Ok(Err(error)),
             }
             if !inbound.read(stream).await.is_ok_and(|read| read > 0) {
                 return Err(ConnectionClose::CLIENT_LEFT);
@@ -315,19 +315,20 @@
         let close = head.close;
         let id: Rc<str> = match request::id(&head.fields) {
             Ok(id) => id.into(),
-            Err(fault) => return Ok(Err(fault)),
+            Err(error) => return Ok(Err(error)),
         };
         let completion = CompletionId(frontend.next_completion.get());
-        let provision = frontend.provision.borrow().clone();
-        let arrival = match request::arrival(&provision, &head.fields, &body, completion, received_ms) {
+        let platform_settings = frontend.platform_settings.borrow().clone();
+        let arrival = match request::arrival(&platform_settings, &head.fields, &body, completion, received_ms)
+        {
             Ok(arrival) => arrival,
-            Err(fault) => return Ok(Err(fault)),
+            Err(error) => return Ok(Err(error)),
         };
         let Some(_open) = frontend.open_id(&id) else {
             return Ok(Err(RequestError::new(400, "Req-Id is that of a request that is open")));
         };
         frontend.next_completion.set(completion.0.wrapping_add(1));
-        let (duty, mut reply) = PendingAnswer::new(frontend.dropped.clone());
+        let (pending_answer, mut reply) = PendingAnswer::new(frontend.dropped.clone());
         let client = Rc::new(ClientPresence::default());
         let RequestHead { method, target, fields, .. } = head;
         let idempotency_key = fields.idempotency_key;
@@ -342,7 +343,7 @@
         };
         if frontend
             .core
-            .send(CoreEvent::Arrived { arrival, request: Rc::new(request), pending_answer: duty })
+            .send(CoreEvent::Arrived { arrival, request: Rc::new(request), pending_answer })
             .await
             .is_err()
         {
@@ -426,19 +427,19 @@
     async fn reject(
         &self,
         stream: &mut Stream,
-        fault: RequestError,
+        error: RequestError,
         close: bool,
     ) -> Result<(), ConnectionClose> {
-        let retry_after = if fault == SHUTTING_DOWN { self.retry_after_field() } else { String::new() };
-        self.answer(stream, fault.status, "Refused", &retry_after, &error_body(fault.why), close).await
+        let retry_after = if error == SHUTTING_DOWN { self.retry_after_field() } else { String::new() };
+        self.answer(stream, error.status, "Refused", &retry_after, &error_body(error.why), close).await
     }
 
     /// The `Retry-After` field for a client that is rejected because the router shuts down.
     fn retry_after_field(&self) -> String {
-        let provision = self.frontend.provision.borrow();
+        let platform_settings = self.frontend.platform_settings.borrow();
         retry_after_header(retry_after_ms(
-            provision.settings.retry_after,
-            provision.settings.max_retry_after_ms,
+            platform_settings.settings.retry_after,
+            platform_settings.settings.max_retry_after_ms,
         ))
     }
 
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -12,9 +12,11 @@
 
 use crate::discovery::SharedStartTimes;
 
-fn read(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
+fn read(path: &Path, start_times: &SharedStartTimes) -> Result<Config> {
     let text = std::fs::read(path).with_context(|| format!("configuration {}", path.display()))?;
-    starts.with_current(|starts, now_ms| Config::parse(&text, starts, now_ms)).map_err(|cause| anyhow!(cause))
+    start_times
+        .with_current(|start_times, now_ms| Config::parse(&text, start_times, now_ms))
+        .map_err(|cause| anyhow!(cause))
 }
 
 /// How long reading the configuration is retried at start, in ms: nothing can run without it.
@@ -36,13 +38,13 @@
 /// The error of the last attempt.
 async fn read_with_retries(
     path: &Path,
-    starts: &SharedStartTimes,
+    start_times: &SharedStartTimes,
     within_ms: f64,
     is_transient: impl Fn(&anyhow::Error) -> bool,
 ) -> Result<Config> {
     let until = Instant::now() + duration(within_ms);
     loop {
-        match read(path, starts) {
+        match read(path, start_times) {
             Err(cause) if is_transient(&cause) && Instant::now() < until => {
                 sleep(duration(RETRY_DELAY_MS)).await
             }
@@ -55,8 +57,8 @@
 ///
 /// # Errors
 /// A configuration that can't be read or is incomplete, or an address that can't be bound.
-pub async fn listen(path: &Path, starts: &SharedStartTimes) -> Result<(Config, TcpListener)> {
-    let config = read_with_retries(path, starts, START_RETRY_LIMIT_MS, is_transient).await?;
+pub async fn listen(path: &Path, start_times: &SharedStartTimes) -> Result<(Config, TcpListener)> {
+    let config = read_with_retries(path, start_times, START_RETRY_LIMIT_MS, is_transient).await?;
     let listen = config.listen;
     let listener = bind(listen).await.with_context(|| format!("listening on {listen}"))?;
     Ok((config, listener))
@@ -66,6 +68,6 @@
 ///
 /// # Errors
 /// The error of the last attempt.
-pub async fn reload(path: &Path, starts: &SharedStartTimes) -> Result<Config> {
-    read_with_retries(path, starts, RELOAD_RETRY_LIMIT_MS, |_| true).await
+pub async fn reload(path: &Path, start_times: &SharedStartTimes) -> Result<Config> {
+    read_with_retries(path, start_times, RELOAD_RETRY_LIMIT_MS, |_| true).await
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! The core: a single task that owns the ledger of requests and the addresses of the workers. All other tasks
+//! The core: a single task that owns the ledger of requests and the addresses of the servers. All other tasks
 //! send it events over one bounded channel; it carries out the effects that the ledger returns by starting
 //! attempts, probes and releases and by answering clients.
 
@@ -27,14 +27,14 @@
 /// Lives as long as the router.
 pub struct Core {
     ledger: TimedLedger,
-    provision: Rc<PlatformSettings>,
+    platform_settings: Rc<PlatformSettings>,
     pool: Rc<Pool>,
     /// Answers that clients wait for. Each is consumed by giving it.
     pending_answers: BTreeMap<CompletionId, PendingAnswer<Reply>>,
     requests: BTreeMap<CompletionId, Rc<ClientRequest>>,
     /// Commands to the running attempts.
     commands: BTreeMap<(CompletionId, Seq), mpsc::Sender<AttemptCommand>>,
-    /// Addresses of the listed workers, and which of them answered recently.
+    /// Addresses of the listed servers, and which of them answered recently.
     directory: Rc<RefCell<ServerDirectory>>,
     /// How many attempts ended in each way.
     attempt_ends: BTreeMap<&'static str, u64>,
@@ -47,19 +47,19 @@
 
 impl Core {
     pub fn new(
-        provision: Rc<PlatformSettings>,
+        platform_settings: Rc<PlatformSettings>,
         clock: Clock,
         seed: u64,
         pool: Rc<Pool>,
         events: CoreSender,
         refetches: mpsc::Sender<Refetch>,
     ) -> Self {
-        let ledger = Ledger::new(provision.settings.clone(), provision.answer_slack_ms, seed);
-        let directory = Rc::new(RefCell::new(ServerDirectory::new(provision.settings.zone)));
+        let ledger = Ledger::new(platform_settings.settings.clone(), platform_settings.answer_slack_ms, seed);
+        let directory = Rc::new(RefCell::new(ServerDirectory::new(platform_settings.settings.zone)));
         let releases = Rc::new(Releases::new(pool.clone(), directory.clone(), clock, seed));
         Core {
             ledger: TimedLedger::new(clock, ledger),
-            provision,
+            platform_settings,
             pool,
             pending_answers: BTreeMap::new(),
             requests: BTreeMap::new(),
@@ -127,7 +127,7 @@
                 self.handle_input(Input::Probed { worker, answered, took_ms });
             }
             CoreEvent::HoldAnswered { completion, seq, worker, request, held } => {
-                // A place that is no longer wanted is released under the same request id, so the request is
+                // A slot that is no longer wanted is released under the same request id, so the request is
                 // kept until the ledger has handled the answer.
                 let finished = !self.requests.contains_key(&completion);
                 self.requests.entry(completion).or_insert(request);
@@ -140,11 +140,11 @@
                 let kind = if list.whole { ListKind::Whole } else { ListKind::Changes };
                 self.apply_list(list, kind);
             }
-            CoreEvent::Settings(provision) => {
-                self.provision = provision;
-                self.directory.borrow_mut().reachability.set_own_zone(self.provision.settings.zone);
-                let settings = Box::new(self.provision.settings.clone());
-                let answer_slack_ms = self.provision.answer_slack_ms;
+            CoreEvent::Settings(platform_settings) => {
+                self.platform_settings = platform_settings;
+                self.directory.borrow_mut().reachability.set_own_zone(self.platform_settings.settings.zone);
+                let settings = Box::new(self.platform_settings.settings.clone());
+                let answer_slack_ms = self.platform_settings.answer_slack_ms;
                 self.handle_input(Input::Settings { settings, answer_slack_ms });
             }
             CoreEvent::LastAnswers => self.handle_input(Input::Stop { streams: false }),
@@ -204,13 +204,13 @@
             );
             self.report_load(&worker, load);
         }
-        // Workers identify a state by its request id alone, so the reference carries no data.
+        // Servers identify a state by its request id alone, so the reference carries no data.
         let state = (end == SocketEnd::ReadDone).then(StateReference::default);
         self.handle_input(Input::Ended { completion, seq, took_ms, end, cached_tokens, state });
     }
 
     fn report_load(&mut self, worker: &WorkerId, load: Option<LoadReport>) {
-        if let Some(load) = load.filter(|_| self.provision.reports) {
+        if let Some(load) = load.filter(|_| self.platform_settings.reports) {
             self.handle_input(Input::Reported { worker: worker.clone(), load });
         }
     }
@@ -260,7 +260,7 @@
             Effect::Release { worker, completion, .. }
             | Effect::ReleaseUnclaimed { worker, completion, .. } => {
                 if let Some(request) = self.requests.get(&completion) {
-                    self.releases.begin(worker, &request.id, self.provision.settings.pin_limit_ms);
+                    self.releases.begin(worker, &request.id, self.platform_settings.settings.pin_limit_ms);
                 }
             }
             Effect::Hold { worker, completion, seq, .. } => self.request_hold(worker, completion, seq),
@@ -311,14 +311,14 @@
         let Some(request) = self.requests.get(&completion).cloned() else { return };
         let Some(address) = self.address(&worker) else { return };
         let (pool, core) = (self.pool.clone(), self.events.clone());
-        let timeout_ms = self.provision.settings.pin_limit_ms;
+        let timeout_ms = self.platform_settings.settings.pin_limit_ms;
         tokio::task::spawn_local(async move {
             let status = pool
                 .call(address, "POST", &hold_path(&request.id), timeout_ms)
                 .await
                 .map(|(head, _)| head.status);
-            // A hold for an id that the worker does not know counts as granted. Where no usable answer comes,
-            // as from a worker that can't be reached, none is reported.
+            // A hold for an id that the server does not know counts as granted. Where no usable answer comes,
+            // as from a server that can't be reached, none is reported.
             let held = match status {
                 Ok(200 | 204) => true,
                 Ok(409) => false,
@@ -330,7 +330,7 @@
 
     fn probe(&self, worker: WorkerId) {
         let address = self.address(&worker);
-        let path = if self.provision.reports { "/_load" } else { "/ping" };
+        let path = if self.platform_settings.reports { "/_load" } else { "/ping" };
         let (pool, core) = (self.pool.clone(), self.events.clone());
         tokio::task::spawn_local(async move {
             let started = Instant::now();
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,5 +1,5 @@
 //! Follows discovery: fetches the whole list, then watches for changes by one long poll after the other.
-//! After a timeout, a broken connection or an invalid answer the last good list stays, and the calls
+//! After a timeout, a broken connection or an invalid answer the last valid list stays, and the calls
 //! continue.
 
 use std::cell::RefCell;
@@ -21,14 +21,14 @@
 use crate::pool::{read_body, read_head};
 use crate::progress::{ListUpdate, Progress};
 
-/// The decision modules need the whole list at once.
+/// A request of the decision modules to fetch the whole list at once.
 pub struct Refetch;
 
 /// The address of discovery, and the settings by which its lists are parsed.
 #[derive(Clone)]
 pub struct Source {
     pub address: SocketAddr,
-    pub provision: Rc<PlatformSettings>,
+    pub platform_settings: Rc<PlatformSettings>,
     /// The maximum size of a list, in bytes.
     pub list_bytes: usize,
 }
@@ -87,7 +87,7 @@
 /// Follows discovery until the core has ended. `first` is notified of the first usable list.
 pub async fn follow(
     mut sources: watch::Receiver<Source>,
-    starts: SharedStartTimes,
+    start_times: SharedStartTimes,
     core: CoreSender,
     mut refetches: mpsc::Receiver<Refetch>,
     first: oneshot::Sender<()>,
@@ -144,8 +144,9 @@
                 return Err(format!("status {status}"));
             }
             // If an answer can't be parsed, the whole list is fetched, which contains its changes.
-            let parsed =
-                starts.with_current(|starts, now_ms| List::parse(&body, &source.provision, starts, now_ms));
+            let parsed = start_times.with_current(|start_times, now_ms| {
+                List::parse(&body, &source.platform_settings, start_times, now_ms)
+            });
             let list = parsed.inspect_err(|_| progress.mark_unreadable())?;
             if reusable {
                 stream = Some(open);
--- a/crates/gateway/src/frontend.rs
+++ b/crates/gateway/src/frontend.rs
@@ -96,7 +96,7 @@
 pub struct Frontend {
     pub clock: Clock,
     pub core: CoreSender,
-    pub provision: RefCell<Rc<PlatformSettings>>,
+    pub platform_settings: RefCell<Rc<PlatformSettings>>,
     /// The current division of descriptors and memory; a reload replaces it.
     pub shares: Cell<Shares>,
     pub lifecycle: watch::Receiver<Lifecycle>,
@@ -184,14 +184,14 @@
     pub fn new(
         clock: Clock,
         core: CoreSender,
-        provision: Rc<PlatformSettings>,
+        platform_settings: Rc<PlatformSettings>,
         shares: Shares,
         lifecycle: watch::Receiver<Lifecycle>,
     ) -> Self {
         Frontend {
             clock,
             core,
-            provision: RefCell::new(provision),
+            platform_settings: RefCell::new(platform_settings),
             shares: Cell::new(shares),
             lifecycle,
             shutdown: Cell::new(None),
--- a/crates/gateway/src/frontend/tests.rs
+++ b/crates/gateway/src/frontend/tests.rs
@@ -38,7 +38,7 @@
 
 impl Fixture {
     async fn start(sockets: usize) -> Fixture {
-        let provision = Rc::new(paddleproxy_platform::settings::parse(SETTINGS).unwrap());
+        let platform_settings = Rc::new(paddleproxy_platform::settings::parse(SETTINGS).unwrap());
         let shares = Shares::of(&Limits { cores: 1.0, memory_mb: 64.0, sockets });
         let (core, mut events) = mpsc::channel(64);
         let (lifecycle, lifecycle_changes) = watch::channel(Lifecycle::Ready);
@@ -53,7 +53,8 @@
                 pending_answer.send(Reply::RateLimited { retry_after_ms: 100.0 });
             }
         });
-        let frontend = Rc::new(Frontend::new(Clock::start(), core, provision, shares, lifecycle_changes));
+        let frontend =
+            Rc::new(Frontend::new(Clock::start(), core, platform_settings, shares, lifecycle_changes));
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(frontend.clone().accept_connections(listener));
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -74,19 +74,19 @@
     ready: impl FnOnce(SocketAddr),
 ) -> Result<()> {
     let clock = Clock::start();
-    let starts = SharedStartTimes::new(clock);
+    let start_times = SharedStartTimes::new(clock);
     let (config, listener) = tokio::select! {
         biased;
         () = stop_requested(&mut signals) => {
             info!("stop signal received before the router listened");
             return Ok(());
         }
-        listening = configuration::listen(path, &starts) => listening?,
+        listening = configuration::listen(path, &start_times) => listening?,
     };
     let listen = listener.local_addr()?;
-    let router = Running::start(config, listener, listen, clock, starts.clone());
+    let router = Running::start(config, listener, listen, clock, start_times.clone());
     ready(listen);
-    router.reload_until_stopped(path, &starts, &mut signals).await;
+    router.reload_until_stopped(path, &start_times, &mut signals).await;
     router.shut_down().await;
     Ok(())
 }
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -5,28 +5,28 @@
 use paddleproxy_platform::config::Limits;
 use paddleproxy_platform::MAX_BODY_BYTES;
 
-/// Descriptors for other uses than connections of clients and to workers: the runtime, standard streams, a
+/// Descriptors for other uses than connections of clients and to servers: the runtime, standard streams, a
 /// file being read, the listener, the discovery connection and its replacement.
 const RESERVED_DESCRIPTORS: usize = 16;
 /// Share of the remaining descriptors that stays free for connections being accepted or closed.
 const SPARE_SHARE: f64 = 0.08;
-/// Share of the remaining descriptors for client connections. Connections to workers get the rest.
+/// Share of the remaining descriptors for client connections. Connections to servers get the rest.
 const CLIENT_SHARE: f64 = 0.45;
 /// Share of the memory that bodies of open completions may use.
 const BODY_MEMORY_SHARE: f64 = 0.2;
 
-/// Most bytes that one worker takes in a list: three names of 128 bytes, each escaped and indented, its
+/// Most bytes that one server takes in a list: three names of 128 bytes, each escaped and indented, its
 /// address and numbers.
-const MAX_LISTED_WORKER_BYTES: usize = 4 * 1024;
-/// Number of workers that a list always has room for.
-const MIN_LISTED_WORKERS: usize = 1024;
+const MAX_LISTED_SERVER_BYTES: usize = 4 * 1024;
+/// Number of servers that a list always has room for.
+const MIN_LISTED_SERVERS: usize = 1024;
 /// Share of the memory that a list may use if that is more.
 const LIST_MEMORY_SHARE: f64 = 1.0 / 16.0;
 
 /// Time for a client to send a complete request, in ms, from its connect or its first byte. The platform
 /// allows 3 s.
 pub const REQUEST_READ_TIMEOUT_MS: f64 = 2000.0;
-/// Idle timeout of client connections, as a multiple of the workers' idle timeout.
+/// Idle timeout of client connections, as a multiple of the servers' idle timeout.
 pub const CLIENT_IDLE_FACTOR: f64 = 0.5;
 /// A client that does not accept an answer within this time, in ms, is disconnected.
 pub const CLIENT_WRITE_TIMEOUT_MS: f64 = 5000.0;
@@ -37,17 +37,17 @@
 pub const EVICTED_LINGER_MS: f64 = 50.0;
 /// Limit of the pipelined bytes that are read while an earlier request is being answered.
 pub const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
-/// A stream whose worker has sent nothing for this time, in ms, is aborted. The platform allows 5 s; what the
+/// A stream whose server has sent nothing for this time, in ms, is aborted. The platform allows 5 s; what the
 /// router forwards in the meantime is not lost.
 pub const STREAM_IDLE_TIMEOUT_MS: f64 = 4000.0;
-/// Capacity of the queue from a worker's stream to its client, in parts.
+/// Capacity of the queue from a server's stream to its client, in parts.
 pub const STREAM_QUEUE_PARTS: usize = 8;
-/// Idle timeout of connections to workers, as a fraction of the workers' own idle timeout.
-pub const WORKER_IDLE_FACTOR: f64 = 0.6;
+/// Idle timeout of connections to servers, as a fraction of the servers' own idle timeout.
+pub const SERVER_IDLE_FACTOR: f64 = 0.6;
 /// Time for which a connection stays idle before it is reused, in ms, so that unexpected bytes after an
 /// answer are noticed.
 pub const MIN_IDLE_BEFORE_REUSE_MS: f64 = 2.0;
-/// Time limit for reading the rest of a worker's rejection after its head, in ms, so that the connection can
+/// Time limit for reading the rest of a server's rejection after its head, in ms, so that the connection can
 /// be reused.
 pub const REJECTION_BODY_TIMEOUT_MS: f64 = 1000.0;
 /// How long discovery may hold a watch open, in ms.
@@ -84,11 +84,11 @@
 pub struct Shares {
     /// Connections of clients.
     pub clients: usize,
-    /// Connections to workers.
+    /// Connections to servers.
     pub workers: usize,
     /// Total size of the bodies of open completions, in bytes.
     pub body_bytes: usize,
-    /// Size of one list of workers, in bytes; used only while it is read.
+    /// Size of one list of servers, in bytes; used only while it is read.
     pub list_bytes: usize,
 }
 
@@ -103,7 +103,7 @@
             // Two requests of the largest size always fit.
             body_bytes: body_bytes.max(2 * MAX_BODY_BYTES),
             list_bytes: ((limits.memory_mb * LIST_MEMORY_SHARE * 1048576.0) as usize)
-                .max(MIN_LISTED_WORKERS * MAX_LISTED_WORKER_BYTES),
+                .max(MIN_LISTED_SERVERS * MAX_LISTED_SERVER_BYTES),
         }
     }
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -23,7 +23,7 @@
     Left { completion: CompletionId },
     /// A probe of a server has ended.
     Probed { worker: WorkerId, load: Option<LoadReport>, answered: bool, took_ms: f64 },
-    /// A server has answered a request to hold a place.
+    /// A server has answered a request to reserve a slot.
     HoldAnswered {
         completion: CompletionId,
         seq: Seq,
@@ -38,7 +38,7 @@
     /// The router shuts down: every request without an answer gets its final one now; running streams
     /// continue.
     LastAnswers,
-    /// Asks for the number of open requests and releases, and for statistics for the log.
+    /// Requests the number of open requests and releases, and statistics for the log.
     QueryStats(oneshot::Sender<(usize, String)>),
 }
 
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -16,7 +16,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::{timeout, Instant};
 
-use crate::limits::{MIN_IDLE_BEFORE_REUSE_MS, WORKER_IDLE_FACTOR};
+use crate::limits::{MIN_IDLE_BEFORE_REUSE_MS, SERVER_IDLE_FACTOR};
 
 struct Idle {
     stream: Stream,
@@ -210,7 +210,7 @@
 
     /// How long a connection to a server may be idle and still be reused, in ms.
     fn max_idle_ms(&self, address: SocketAddr) -> f64 {
-        let default_ms = self.idle_ms.get() * WORKER_IDLE_FACTOR;
+        let default_ms = self.idle_ms.get() * SERVER_IDLE_FACTOR;
         self.reduced_idle
             .borrow()
             .get(&address)
@@ -316,7 +316,7 @@
     pub fn sweep(&self) {
         let expiry = duration(self.idle_ms.get());
         self.reduced_idle.borrow_mut().retain(|_, (_, since)| since.elapsed() < expiry);
-        let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * WORKER_IDLE_FACTOR));
+        let oldest = Instant::now().checked_sub(duration(self.idle_ms.get() * SERVER_IDLE_FACTOR));
         self.idle.borrow_mut().retain(|_, pooled| {
             pooled.retain(|idle| idle.stream.is_idle() && oldest.is_none_or(|oldest| idle.since >= oldest));
             !pooled.is_empty()
--- a/crates/gateway/src/progress/tests.rs
+++ b/crates/gateway/src/progress/tests.rs
@@ -65,9 +65,9 @@
     }
 }
 
-/// After any sequence of four responses, one good answer brings the router up to date.
+/// After any sequence of four responses, one valid answer brings the router up to date.
 #[test]
-fn after_any_four_responses_one_good_answer_brings_the_router_up_to_date() {
+fn after_any_four_responses_one_valid_answer_brings_the_router_up_to_date() {
     for case in 0..ALL.len().pow(4) {
         let mut simulation = Simulation::default();
         for position in 0..4 {
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -40,46 +40,48 @@
 }
 
 impl Running {
-    /// SharedStartTimes all tasks. Must run on a `LocalSet`.
+    /// Starts all tasks. Must run on a `LocalSet`.
     pub fn start(
         config: Config,
         listener: TcpListener,
         listen: SocketAddr,
         clock: Clock,
-        starts: SharedStartTimes,
+        start_times: SharedStartTimes,
     ) -> Running {
-        let Config { name, discovery, seed, limits, known, settings: provision, .. } = config;
+        let Config { name, discovery, seed, limits, known, settings: platform_settings, .. } = config;
         let shares = Shares::of(&limits);
         info!(name, %listen, %discovery, ?limits, ?shares, known = known.rows.len(), "starting");
 
         let pool = Rc::new(Pool::new(
             shares.workers,
-            provision.connect_timeout_ms,
-            provision.server_idle_timeout_ms,
+            platform_settings.connect_timeout_ms,
+            platform_settings.server_idle_timeout_ms,
         ));
         let (core, events) = mpsc::channel(CORE_QUEUE_EVENTS);
-        let (lists, refetches) = mpsc::channel(2);
-        let provision = Rc::new(provision);
-        let mut core_task = Core::new(provision.clone(), clock, seed, pool.clone(), core.clone(), lists);
-        let connect_ms = provision.connect_timeout_ms;
+        let (refetch_sender, refetches) = mpsc::channel(2);
+        let platform_settings = Rc::new(platform_settings);
+        let mut core_task =
+            Core::new(platform_settings.clone(), clock, seed, pool.clone(), core.clone(), refetch_sender);
+        let connect_timeout_ms = platform_settings.connect_timeout_ms;
         core_task.apply_list(known, ListKind::Saved);
         tokio::task::spawn_local(core_task.run(events));
         let list_bytes = shares.list_bytes;
-        let source = Source { address: discovery, provision: provision.clone(), list_bytes };
+        let source = Source { address: discovery, platform_settings: platform_settings.clone(), list_bytes };
         let (sources, source_changes) = watch::channel(source);
         let (lifecycle, lifecycle_changes) = watch::channel(Lifecycle::Starting);
-        let frontend = Rc::new(Frontend::new(clock, core.clone(), provision, shares, lifecycle_changes));
+        let frontend =
+            Rc::new(Frontend::new(clock, core.clone(), platform_settings, shares, lifecycle_changes));
         let (first_list, first_list_received) = oneshot::channel();
         tokio::task::spawn_local(discovery::follow(
             source_changes,
-            starts.clone(),
+            start_times.clone(),
             core.clone(),
             refetches,
             first_list,
         ));
         let accepting = tokio::task::spawn_local(frontend.clone().accept_connections(listener));
-        tokio::task::spawn_local(sweep(pool.clone(), starts));
-        tokio::task::spawn_local(become_ready(lifecycle.clone(), first_list_received, connect_ms));
+        tokio::task::spawn_local(sweep(pool.clone(), start_times));
+        tokio::task::spawn_local(become_ready(lifecycle.clone(), first_list_received, connect_timeout_ms));
         Running { clock, frontend, core, pool, lifecycle, sources, accepting }
     }
 
@@ -87,14 +89,14 @@
     pub async fn reload_until_stopped(
         &self,
         path: &Path,
-        starts: &SharedStartTimes,
+        start_times: &SharedStartTimes,
         signals: &mut mpsc::Receiver<Signal>,
     ) {
         let mut signal = signals.recv().await;
         while signal == Some(Signal::Reload) {
             // A signal that arrives during a reload takes precedence over it.
             let config = tokio::select! {
-                config = configuration::reload(path, starts) => config,
+                config = configuration::reload(path, start_times) => config,
                 next = signals.recv() => {
                     signal = next;
                     continue;
@@ -119,16 +121,16 @@
             config.settings.connect_timeout_ms,
             config.settings.server_idle_timeout_ms,
         );
-        let provision = Rc::new(config.settings);
-        *self.frontend.provision.borrow_mut() = provision.clone();
-        let _ = self.core.send(CoreEvent::Settings(provision.clone())).await;
+        let platform_settings = Rc::new(config.settings);
+        *self.frontend.platform_settings.borrow_mut() = platform_settings.clone();
+        let _ = self.core.send(CoreEvent::Settings(platform_settings.clone())).await;
         let list_bytes = shares.list_bytes;
-        self.sources.send_replace(Source { address: config.discovery, provision, list_bytes });
+        self.sources.send_replace(Source { address: config.discovery, platform_settings, list_bytes });
     }
 
     /// Shuts down by the schedule of [`Shutdown`]; returns once no work is open.
     pub async fn shut_down(self) {
-        let timeouts_ms = self.frontend.provision.borrow().client_timeouts_ms.clone();
+        let timeouts_ms = self.frontend.platform_settings.borrow().client_timeouts_ms.clone();
         let longest_ms = timeouts_ms.into_iter().fold(0.0, f64::max);
         let shutdown = Shutdown::new(self.clock.now_ms(), grace_period(longest_ms));
         self.frontend.begin_shutdown(shutdown);
@@ -187,11 +189,11 @@
 }
 
 /// Closes idle connections and checks the clocks at regular intervals.
-async fn sweep(pool: Rc<Pool>, starts: SharedStartTimes) {
+async fn sweep(pool: Rc<Pool>, start_times: SharedStartTimes) {
     loop {
         sleep(duration(SWEEP_INTERVAL_MS)).await;
         pool.sweep();
-        starts.observe_wall_offset();
+        start_times.observe_wall_offset();
     }
 }
 
@@ -200,9 +202,9 @@
 async fn become_ready(
     lifecycle: watch::Sender<Lifecycle>,
     first_list_received: oneshot::Receiver<()>,
-    connect_ms: f64,
+    connect_timeout_ms: f64,
 ) {
-    let _ = timeout(duration(connect_ms), first_list_received).await;
+    let _ = timeout(duration(connect_timeout_ms), first_list_received).await;
     // A shutdown that began in the meantime must not be undone.
     lifecycle.send_if_modified(|stage| {
         let starting = *stage == Lifecycle::Starting;
--- a/crates/gateway/src/servers.rs
+++ b/crates/gateway/src/servers.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// The path at which a place on a server is reserved and released for a request id.
+/// The path at which a slot on a server is reserved and released for a request id.
 pub fn hold_path(id: &str) -> String {
     format!("/bootstrap/rooms/{id}")
 }
--- a/crates/gateway/tests/lifecycle.rs
+++ b/crates/gateway/tests/lifecycle.rs
@@ -254,7 +254,7 @@
         open.read_to_end(&mut answer).await.unwrap();
         // It may have run, and may not be idempotent, so the answer promises nothing about a retry.
         assert!(answer.starts_with(b"HTTP/1.1 502 "), "{}", String::from_utf8_lossy(&answer));
-        assert!(began.elapsed() < ms(7000), "before the client gives up: {:?}", began.elapsed());
+        assert!(began.elapsed() < ms(7000), "before the client timeout: {:?}", began.elapsed());
         platform.router.await.unwrap().unwrap();
     });
 }
