--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -58,14 +58,15 @@
     /// whose writers are all overloaded hands both reading and writing over to the next cell in order.
     pub(super) fn read_at(&self, c: &Completion, home: &Home) -> Option<(WorkerId, Stage)> {
         let available = |home: &&WorkerId| !c.excluded.contains(home) && !self.overloaded(c, home, false);
-        let home_easy = home.id.as_ref().filter(available).cloned();
-        let uncovered =
+        let available_home = home.id.as_ref().filter(available).cloned();
+        let uncached_tokens =
             c.arrival.prompt_tokens - home.id.as_ref().map_or(0.0, |home| self.expected_cached(c, home));
         // Short is what alone would not exceed home's limit: a fixed length would not fit all kinds of
         // workers.
         let home_limit = home.id.as_ref().map_or(0.0, |home| self.waiting_limit(&self.workers[home]));
-        let short = uncovered < (1.0 - HOME_CACHED_SHARE) * c.arrival.prompt_tokens || uncovered < home_limit;
-        if let Some(home) = home_easy.clone().filter(|_| short) {
+        let short = uncached_tokens < (1.0 - HOME_CACHED_SHARE) * c.arrival.prompt_tokens
+            || uncached_tokens < home_limit;
+        if let Some(home) = available_home.clone().filter(|_| short) {
             return Some((home, Stage::Whole));
         }
         let readers = self.readers(c, home);
@@ -94,14 +95,14 @@
             return Some((reader.slot.id.clone(), Stage::Read));
         }
         // All readers exceed their limit: home reads, unless it is overloaded too.
-        if home_easy.is_some() || !readers.is_empty() {
-            return home_easy.map(|home| (home, Stage::Whole));
+        if available_home.is_some() || !readers.is_empty() {
+            return available_home.map(|home| (home, Stage::Whole));
         }
         // Neither reader nor home: any worker that both reads and writes.
         let reads = |role| role == Role::Mixed || role == Role::Writer && self.settings.writers_read;
-        let alone: Vec<_> = WRITING.into_iter().filter(|role| reads(*role)).collect();
-        let alone = self.least_loaded(c, Scope::All, &alone);
-        alone.filter(|worker| !self.overloaded(c, worker, true)).zip(Some(Stage::Whole))
+        let reading_writers: Vec<_> = WRITING.into_iter().filter(|role| reads(*role)).collect();
+        let worker = self.least_loaded(c, Scope::All, &reading_writers);
+        worker.filter(|worker| !self.overloaded(c, worker, true)).zip(Some(Stage::Whole))
     }
 
     /// Readers that may read a prompt, in order of preference: those of home's cell, and a few of other
--- a/src/control/ranking.rs
+++ b/src/control/ranking.rs
@@ -78,11 +78,11 @@
     }
 
     /// Adds a penalty to a worker's failure score; a success reduces the score.
-    pub(super) fn record_outcome(&mut self, id: &WorkerId, penalty: f64, good: bool) {
+    pub(super) fn record_outcome(&mut self, id: &WorkerId, penalty: f64, success: bool) {
         let value =
             self.workers.get(id).map_or(0.0, |w| (self.failure_score(w) + penalty).min(FAILURE_SCORE_MAX));
         let failure_score =
-            Decaying { value: value * if good { SUCCESS_FACTOR } else { 1.0 }, at_ms: self.now_ms };
+            Decaying { value: value * if success { SUCCESS_FACTOR } else { 1.0 }, at_ms: self.now_ms };
         self.workers.entry(id.clone()).and_modify(|w| w.failure_score = failure_score);
         if failure_score.value != 0.0 {
             self.roster.mark_failing(id);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -118,6 +118,7 @@
     /// A worker in slow start fails once it receives more than this multiple of its present capacity within
     /// `fall_ms`.
     pub fall_multiple: f64,
+    /// Length of the overload window, in ms: what is sent within it counts towards `fall_multiple`.
     pub fall_ms: f64,
     /// Capacity of a worker just after its start, as a fraction of its full capacity.
     pub cold_share: f64,
@@ -296,18 +297,58 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Dispatch { completion: CompletionId, worker: WorkerId, timeout_ms: f64 },
-    Cancel { completion: CompletionId, seq: Seq },
-    Hold { completion: CompletionId, worker: WorkerId },
-    Release { completion: CompletionId },
-    RateLimit { completion: CompletionId, retry_after_ms: f64 },
-    Abort { completion: CompletionId },
-    Arm { in_ms: f64, timer: Timer },
+    /// Sends the completion to the worker. Its role, and whether a state waits to be fetched, determine what
+    /// it does: read, write, or both.
+    Dispatch {
+        completion: CompletionId,
+        worker: WorkerId,
+        timeout_ms: f64,
+    },
+    Cancel {
+        completion: CompletionId,
+        seq: Seq,
+    },
+    /// Reserves a slot at the worker while the prompt is still being read elsewhere.
+    Hold {
+        completion: CompletionId,
+        worker: WorkerId,
+    },
+    /// Releases the state that waits at a reader and the reserved slot, if no dispatch in flight needs them.
+    Release {
+        completion: CompletionId,
+    },
+    /// Final answer: a retry by the client is safe. A `retry_after_ms` of 0 gives no time for it.
+    RateLimit {
+        completion: CompletionId,
+        retry_after_ms: f64,
+    },
+    /// Final answer: the completion failed, and a retry could run it a second time.
+    Abort {
+        completion: CompletionId,
+    },
+    /// Starts a timer; [`Event::TimerFired`] follows.
+    Arm {
+        in_ms: f64,
+        timer: Timer,
+    },
+    /// Subscribes to changes of the worker list, or renews the subscription.
     Subscribe,
     FetchList,
-    Probe { worker: WorkerId },
-    CloseIdle { worker: WorkerId },
-    MoveStream { completion: CompletionId },
-    SendToPeer { peer: Option<PeerId>, payload: Vec<u8> },
+    Probe {
+        worker: WorkerId,
+    },
+    /// Closes the idle connections to the worker.
+    CloseIdle {
+        worker: WorkerId,
+    },
+    /// Continues a running stream at another worker.
+    MoveStream {
+        completion: CompletionId,
+    },
+    /// Sends a message to one router, or to all for `None`.
+    SendToPeer {
+        peer: Option<PeerId>,
+        payload: Vec<u8>,
+    },
     Log(String),
 }
--- a/tests/effects.rs
+++ b/tests/effects.rs
@@ -130,8 +130,8 @@
 }
 
 fn random_outcome(rng: &mut fastrand::Rng, reads: bool) -> (f64, Outcome) {
-    let good = if reads { Outcome::Read } else { Outcome::Finished };
-    let outcomes = [good, good, Outcome::Error, Outcome::Broken, Outcome::Full, Outcome::ConnectFailed];
+    let success = if reads { Outcome::Read } else { Outcome::Finished };
+    let outcomes = [success, success, Outcome::Error, Outcome::Broken, Outcome::Full, Outcome::ConnectFailed];
     (rng.f64() * 500.0, outcomes[rng.usize(..outcomes.len())])
 }
 
--- a/tests/session_failover.rs
+++ b/tests/session_failover.rs
@@ -35,8 +35,8 @@
                 for action in actions {
                     let Action::Dispatch { completion, worker, .. } = action else { continue };
                     let reads = worker.0.starts_with('r');
-                    let good = if reads { Outcome::Read } else { Outcome::Finished };
-                    let outcome = if failing.contains(&worker) { outcome } else { good };
+                    let success = if reads { Outcome::Read } else { Outcome::Finished };
+                    let outcome = if failing.contains(&worker) { outcome } else { success };
                     now_ms += 5.0;
                     *served.entry(session).or_default() += u32::from(outcome == Outcome::Finished);
                     events.push(Event::Ended {
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,5 +1,5 @@
 //! The bound on what all routers together send to a worker in slow start, by a seeded simulation of the
-//! decisions: with few and many routers, unequal traffic, router restarts, and a cold worker that starts
+//! decisions: with few and many routers, unequal traffic, router restarts, and a new worker that starts
 //! under a traffic burst. `docs/design.md` derives the bound.
 
 mod helpers;
@@ -8,9 +8,9 @@
 use paddleproxy::interface::*;
 use paddleproxy::Control;
 
-/// Number of warm workers beside the cold one.
+/// Number of warm workers beside the new one.
 const WARM: usize = 8;
-/// Start time of the cold worker, and how long the simulation goes on after it.
+/// Start time of the new worker, and how long the simulation goes on after it.
 const STARTED_MS: f64 = 100_000.0;
 const DURATION_MS: f64 = 14_000.0;
 /// How long an answer takes.
@@ -113,7 +113,7 @@
     }
 }
 
-/// The most dispatches to the cold worker in any window, as a fraction of the bound, and their total number.
+/// The most dispatches to the new worker in any window, as a fraction of the bound, and their total number.
 fn simulate(case: Case, seed: u64) -> (f64, usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = |own_number| Settings {
@@ -125,8 +125,8 @@
     };
     let shared = settings(0);
     let warm: Vec<_> = (0..WARM).map(|number| row(&format!("m{}{number}", number % 3))).collect();
-    let cold = Listing { started_ms: Some(STARTED_MS), ..row("m0cold") };
-    let all = [warm.clone(), vec![cold.clone()]].concat();
+    let new_worker = Listing { started_ms: Some(STARTED_MS), ..row("m0cold") };
+    let all = [warm.clone(), vec![new_worker.clone()]].concat();
     // Some routers get several times the mean traffic.
     let mut routers: Vec<_> = (0..case.routers)
         .map(|own| {
@@ -145,7 +145,9 @@
         now_ms += -rng.f64().max(1e-9).ln() / (per_ms * burst);
         if !listed && now_ms >= STARTED_MS {
             listed = true;
-            routers.iter_mut().for_each(|r| r.list(now_ms, ListKind::Changes, std::slice::from_ref(&cold)));
+            routers
+                .iter_mut()
+                .for_each(|r| r.list(now_ms, ListKind::Changes, std::slice::from_ref(&new_worker)));
         }
         if let Some((part, after_ms)) = case.restart.filter(|(_, after)| now_ms >= STARTED_MS + after) {
             if !std::mem::replace(&mut restarted, true) {
@@ -167,7 +169,7 @@
         let own = own.unwrap_or(case.routers - 1);
         let Some((completion, worker)) = routers[own].arrive(now_ms, rng.u64(..)) else { continue };
         answers.push_back((now_ms + ANSWER_MS, own, completion));
-        if worker == cold.worker {
+        if worker == new_worker.worker {
             sent.push(now_ms);
             let from_ms = now_ms - shared.fall_ms;
             let count = sent.iter().rev().take_while(|at_ms| **at_ms > from_ms).count();
@@ -194,7 +196,7 @@
     cases
 }
 
-/// Checks the bound in all cases and seeds for a number of routers, and that the cold worker is used at all.
+/// Checks the bound in all cases and seeds for a number of routers, and that the new worker is used at all.
 fn check_bound(routers: usize, seeds: std::ops::Range<u64>) {
     let (mut breaches, mut dispatched, mut nearest) = (Vec::new(), 0, 0.0_f64);
     for case in cases(routers) {
@@ -208,7 +210,7 @@
         }
     }
     assert!(breaches.is_empty(), "{} breaches, {breaches:#?}", breaches.len());
-    assert!(dispatched > 0, "the cold worker was never used");
+    assert!(dispatched > 0, "the new worker was never used");
     println!("{routers} routers: nearest {nearest:.2} of the bound, {dispatched} dispatches");
 }
 
--- a/tests/slow_start_rotation.rs
+++ b/tests/slow_start_rotation.rs
@@ -115,9 +115,9 @@
 
 /// Without probes, a shared prefix can direct four times the mean load to one reader, and completions that
 /// other workers rejected to one mixed worker, and no router sees it. A quarter of the routers has its turn,
-/// however little each sends. Seen on npga-matchmaking: 47 reads by 47 routers, one each, within 1.5 s, at a
-/// reader with a budget of 12 relative to the other readers (join+mass); 15 whole completions by 15 routers
-/// at a mixed worker with capacity for three (zone+mass).
+/// however little each sends. Seen on npga-matchmaking. Scenario join+mass: 47 reads by 47 routers, one
+/// each, within 1.5 s, at a reader with a budget of 12 relative to the other readers. Scenario zone+mass:
+/// 15 whole completions by 15 routers at a mixed worker with capacity for three.
 #[test]
 fn without_probes_a_quarter_of_the_routers_has_its_turn() {
     let unprobed = [share_of_reads(false), share(4, false)];
