--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -42,11 +42,11 @@
 impl AdmissionLimits {
     /// The limits given by a router's settings.
     pub fn from_settings(settings: &RouterSettings) -> Self {
-        let rules = settings.decisions.customers.iter().map(|customer| customer.quota_per_s);
+        let quotas = settings.decisions.customers.iter().map(|customer| customer.quota_per_s);
         AdmissionLimits {
             open_completions: settings.front.open_completions,
             prompt_bytes: settings.front.prompt_bytes,
-            customers: rules.zip(settings.names.customers.iter().map(|names| names.limits)).collect(),
+            customers: quotas.zip(settings.names.customers.iter().map(|names| names.limits)).collect(),
             workload_values: settings.decisions.workloads.iter().map(|workload| workload.value).collect(),
         }
     }
--- a/crates/routing/src/ledger.rs
+++ b/crates/routing/src/ledger.rs
@@ -592,12 +592,12 @@
             entry.first_run_ms = entry.first_run_ms.filter(|_| entry.ended_without_proof);
         }
         entry.ended_without_proof |= stage != Stage::Read && !never_ran(result);
-        let over = entry.is_done();
+        let done = entry.is_done();
         self.events.push_back(Event::Ended {
             completion,
             seq,
             took_ms,
-            done: over,
+            done,
             outcome: result,
             cached_tokens,
         });
@@ -809,9 +809,8 @@
             }
             self.counts.moot += u64::from(moot);
             let outcome = if moot { Outcome::Moot } else { Outcome::NoState };
-            let over = entry.is_done();
-            let ended =
-                Event::Ended { completion, seq, took_ms: 0.0, done: over, outcome, cached_tokens: 0.0 };
+            let done = entry.is_done();
+            let ended = Event::Ended { completion, seq, took_ms: 0.0, done, outcome, cached_tokens: 0.0 };
             self.events.push_back(ended);
             return;
         }
--- a/crates/routing/src/repeat_guard.rs
+++ b/crates/routing/src/repeat_guard.rs
@@ -7,9 +7,7 @@
 /// The location of a server, as far as the groups that share idempotency keys are concerned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The server's zone.
     pub zone: ZoneId,
-    /// The server's cell.
     pub cell: CellId,
 }
 
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -25,13 +25,18 @@
     /// first's value.
     fn new(open_completions: usize, limits: CustomerLimits) -> Self {
         let customers = vec![(30.0, CustomerLimits::default()), (10.0, limits)];
-        let bounds = AdmissionLimits {
+        let admission_limits = AdmissionLimits {
             open_completions,
             prompt_bytes: 1000,
             customers,
             workload_values: vec![4.0, 1.0],
         };
-        Harness { admission: Admission::new(bounds), now_ms: 0.0, permits: Vec::new(), trace: String::new() }
+        Harness {
+            admission: Admission::new(admission_limits),
+            now_ms: 0.0,
+            permits: Vec::new(),
+            trace: String::new(),
+        }
     }
 
     fn advance(&mut self, ms: f64) -> &mut Self {
